--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -1,6 +1,6 @@
 package core
 
-// This file owns what the decision module acts through: its choices are handed to the request that they are for.
+// This file implements decide.Front: it hands the module's commands to the goroutines of the requests they are for.
 
 import (
 	"context"
@@ -9,54 +9,57 @@
 	"rowanyard/decide"
 )
 
-// probeWait is after how long a probe without an answer is given up.
-const probeWait = 250 * time.Millisecond
+// probeTimeout bounds one load probe of a worker.
+const probeTimeout = 250 * time.Millisecond
 
-// actions is what the module acts through. It is called under the core's lock, while the module
-// handles an event.
+// actions is the decide.Front and decide.Explainer through which the decision module acts. Its methods are called with
+// Core.mu held, while the module handles an event, so they must not block.
 type actions Core
 
-func (x *actions) choose(id decide.RequestID, ch choice) {
-	l := x.lives[id]
-	if l == nil {
+// enqueue queues a command for a request without blocking. A command for a request that has ended is dropped, and so is
+// one that finds the queue full, which is logged.
+func (x *actions) enqueue(id decide.RequestID, cmd command) {
+	req := x.requests[id]
+	if req == nil {
 		return
 	}
 	select {
-	case l.choices <- ch:
+	case req.commands <- cmd:
 	default:
 		x.log.Error("module floods a request", "id", id)
 	}
 }
 
+// settle fixes the final answer of a request, unless it is fixed already, and has the request deliver it.
 func (x *actions) settle(id decide.RequestID, v Verdict, retryAfter time.Duration) {
-	if l := x.lives[id]; l != nil && l.verdict == Open {
-		l.verdict, l.retryAfter = v, retryAfter
-		x.choose(id, choice{do: settle})
+	if req := x.requests[id]; req != nil && req.verdict == Open {
+		req.verdict, req.retryAfter = v, retryAfter
+		x.enqueue(id, command{kind: settle})
 	}
 }
 
 // Explain implements decide.Explainer.
-func (x *actions) Explain(id decide.RequestID, why decide.Reason) {
-	if l := x.lives[id]; l != nil {
-		l.why = string(why)
+func (x *actions) Explain(id decide.RequestID, reason decide.Reason) {
+	if req := x.requests[id]; req != nil {
+		req.reason = string(reason)
 	}
 }
 
-// reason is the module's latest for what it chose.
-func (l *life) reason() string {
-	l.core.mu.Lock()
-	defer l.core.mu.Unlock()
-	return l.why
+// latestReason returns the reason that the module gave last for a choice about the request.
+func (req *activeRequest) latestReason() string {
+	req.core.mu.Lock()
+	defer req.core.mu.Unlock()
+	return req.reason
 }
 
 // Send implements decide.Front.
 func (x *actions) Send(id decide.RequestID, server string, timeout time.Duration) {
-	x.choose(id, choice{do: send, worker: server, timeout: timeout})
+	x.enqueue(id, command{kind: send, worker: server, timeout: timeout})
 }
 
 // Cancel implements decide.Front.
 func (x *actions) Cancel(id decide.RequestID, attempt int) {
-	x.choose(id, choice{do: cancel, n: attempt})
+	x.enqueue(id, command{kind: cancel, attemptNumber: attempt})
 }
 
 // Refuse implements decide.Front.
@@ -68,21 +71,21 @@
 func (x *actions) Fail(id decide.RequestID) { x.settle(id, Failed, 0) }
 
 // Release implements decide.Front.
-func (x *actions) Release(id decide.RequestID) { x.choose(id, choice{do: release}) }
+func (x *actions) Release(id decide.RequestID) { x.enqueue(id, command{kind: release}) }
 
 // SetTimer implements decide.Front.
 func (x *actions) SetTimer(token uint64, at time.Duration) {
 	c := (*Core)(x)
 	time.AfterFunc(at-c.clock(), func() {
-		c.tell(func(now time.Duration, r *decide.Router) { r.Timer(now, token) })
+		c.dispatch(func(now time.Duration, r *decide.Router) { r.Timer(now, token) })
 	})
 }
 
-// Probe implements decide.Front. A probe without an answer is not told.
+// Probe implements decide.Front. The module hears nothing of a probe that failed.
 func (x *actions) Probe(server string) {
 	c, w := (*Core)(x), x.workers[server]
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), probeWait)
+		ctx, stop := context.WithTimeout(context.Background(), probeTimeout)
 		defer stop()
 		p, err := c.prober.Probe(ctx, w)
 		if err != nil {
@@ -91,13 +94,14 @@
 		}
 		p.Server = server
 		c.log.Debug("probed", "worker", server, "queue", p.Queue, "tokens", p.Tokens)
-		c.tell(func(now time.Duration, r *decide.Router) { r.Probed(now, p) })
+		c.dispatch(func(now time.Duration, r *decide.Router) { r.Probed(now, p) })
 	}()
 }
 
-// AskServers implements decide.Front. The list is pushed: there is nobody to ask.
+// AskServers implements decide.Front. It does nothing, as discovery pushes the worker list.
 func (x *actions) AskServers(bool) {}
 
+// statusName returns the name of a status for logs.
 func statusName(s decide.Status) string {
 	names := [...]string{"streaming", "served", "read", "full", "errored", "timed_out", "connect_failed",
 		"reset", "cancelled", "moot"}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,11 @@
-// Package core owns the life of every request that this router has taken: its attempts, its one
-// final answer and what is held for it at the workers. It also owns the decision module (behind
-// one lock), the clock that the module is told, its timers, the ids and the list of workers.
+// Package core runs the requests of a router, independently of the protocol that they came by. For each request it starts
+// and cancels attempts at workers, delivers one final answer, and releases the state that workers hold for it. It also
+// keeps the list of workers and drives the decision module, package decide: it serializes the module's events, keeps its
+// clock and its timers, and numbers the requests.
 //
-// It must never speak a wire: fronts hand it requests and a Carrier that starts attempts and
-// releases what is held; HTTP, gRPC and whatever else stay in the fronts. It must never decide
-// where a request goes or whether it goes again: that is asked of package decide at each choice.
+// Protocols such as HTTP and gRPC belong to the fronts. A front hands over each request together with a Transport that
+// carries out its attempts. Which worker an attempt goes to, and whether a request is tried again, is decided by the
+// module alone.
 package core
 
 import (
@@ -22,53 +23,56 @@
 	"rowanyard/internal/invariant"
 )
 
-// Worker is one entry of the worker list: what the module decides on, and where a carrier finds it.
+// Worker is an entry of the worker list: the decision module's view of the worker, and how a Transport reaches it.
 type Worker struct {
 	decide.Server
-	// Born is when it started as it says itself, in Unix time, 0 = long ago; Since, by the core's clock, is made of it.
+	// UnixStart is when the worker's process started, as Unix time by the worker's own clock; 0: long ago. The core
+	// derives Since from it, on its own clock.
 	Born time.Duration
 	Addr string
-	Wire string // how the worker is spoken to, for the carriers; the core does not look at it
+	Wire string // protocol that the worker speaks, for transports; the core does not look at it
 }
 
 // Attempt is one send of a request to a worker.
 type Attempt struct {
-	Number int
+	Number int // position among the attempts of the request, from 0
 	To     Worker
-	Read   bool // at a reader: the first of the two stages
-	// Deadline is when the router stops waiting. A carrier tells the worker what is left until then at the moment it
-	// writes, as its connection may have taken long to come up.
+	Read   bool // To is a reader: this is the first of the two stages
+	// Deadline is when the router stops waiting for the attempt. A transport tells the worker the time that remains when
+	// it writes the request, not earlier, since connecting may have taken long.
 	Deadline time.Time
-	// Allowed is asked once more right before the first byte is written: a worker may have begun
-	// to drain since it was chosen, or the client may have gone.
+	// MaySend reports whether the attempt may still be sent. A transport calls it right before it writes the first byte:
+	// since the choice the worker may have begun to drain, or the client may have left.
 	Allowed func() bool
-	// Verify has the carrier see to it that a write's connection is alive right before, as workers may be probed; it calls
-	// Verified where that was so, or where probes use the same connection. A write on one that is not is not made.
+	// Verify asks the transport to make sure that the connection of a write is alive right before it writes, and not to
+	// write where it is not. It is set only where workers may be probed. The transport calls Verified once the connection
+	// has proved alive, or where probes use the same connection.
 	Verify   bool
 	Verified func()
-	// Settle is how long Try may go on after its context has ended, until the worker was seen to have ended the
-	// attempt too; 0: it returns at once.
+	// CancelGrace bounds how long Try may go on after its context has ended, to see the worker end the attempt too.
+	// 0: Try returns at once.
 	Settle time.Duration
 }
 
-// Remaining is how long the router will wait from now on: never more than the client does.
+// Remaining returns how long the router will still wait for the attempt, which is never longer than its client waits.
 func (a Attempt) Remaining() time.Duration { return time.Until(a.Deadline) }
 
-// Result is how an attempt ended, or that its answer has begun to stream.
+// Result reports how an attempt ended, or that its answer has begun to stream.
 type Result struct {
-	Status  decide.Status // 0: the answer has begun, Stream is set
-	Kept    int           // prompt tokens found kept
-	NoState bool          // Full: there was no state to fetch
-	Stream  any           // the carrier's own: the front that gets the Answer relays it
+	Status  decide.Status // 0: the answer has begun and Stream is set
+	Kept    int           // prompt tokens that the worker found in its cache
+	NoState bool          // with Full: the writer found no state to fetch
+	Stream  any           // opaque to the core: the transport's stream, relayed by the front that receives the Answer
 	Err     error         // for the log
 }
 
-// Carrier carries the attempts of one request. Try blocks until the first token or the end; when
-// its context ends it closes the attempt and returns, see Attempt.Settle. Its answer then is Cancelled where
-// the attempt may have reached the worker and Moot or ConnectFailed where it can't have.
+// Transport carries out the attempts of one request.
 type Carrier interface {
+	// Try sends the request and blocks until the first token or the end of the attempt. When ctx ends it closes the
+	// attempt and returns, within Attempt.CancelGrace: with Cancelled if the attempt may have reached the worker, with
+	// Moot or ConnectFailed if it can't have.
 	Try(ctx context.Context, a Attempt) Result
-	// Release asks a worker to let go of all that is held for the request, at any worker.
+	// Release asks one worker to release all state that is held for the request, at whichever worker.
 	Release(ctx context.Context, at Worker) error
 }
 
@@ -77,66 +81,67 @@
 	Probe(ctx context.Context, at Worker) (decide.Probed, error)
 }
 
-// Verdict is a final answer.
+// Verdict is the kind of a final answer.
 type Verdict int
 
-// The final answers. Gone means that the client left first and nothing is owed.
+// The verdicts.
 const (
-	Open Verdict = iota
-	Streaming
-	Refused
-	Failed
-	Gone
+	Open      Verdict = iota // no final answer yet
+	Streaming                // a worker's answer is streamed
+	Refused                  // nothing ran: the client may safely try again
+	Failed                   // nothing is promised: the request may have run
+	Gone                     // the client left first and is owed no answer
 )
 
 // Answer is the one final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // Refused: when to come back, 0 = no advice
-	Stream     any           // Streaming: the carrier's own
-	Worker     Worker        // Streaming: who streams
-	// Ended tells how the stream ended; the front calls it once. Streaming only.
+	RetryAfter time.Duration // Refused: when the client may try again, 0 = no advice
+	Stream     any           // Streaming: the transport's stream, see Result
+	Worker     Worker        // Streaming: the worker that streams
+	// StreamEnded reports how the stream ended. The front calls it once. Set with Streaming only.
 	Ended func(decide.Status)
 }
 
-// Core is the router without its wires.
+// Core is a router without its protocols. Its methods may be called from several goroutines.
 type Core struct {
-	set    atomic.Pointer[decide.Settings] // stored under mu, never written to once stored
-	prober Prober
-	log    *slog.Logger
-	start  time.Time
-
-	mu      sync.Mutex
-	router  *decide.Router
-	workers map[string]Worker // all that are listed
-	starts  *startTimes       // of those
-	lives   map[decide.RequestID]*life
-	claimed map[string]bool      // the ids that clients gave to their open requests
-	heard   map[string]time.Time // listed workers' latest answers, none where the last attempt met silence
-	banned  map[string]bool      // workers that operators have taken out, listed or not
-	lastID  decide.RequestID
-	running inflight.Count // lives, and releases that go on after theirs
-	ended   bool           // End was called: nothing new is begun
-
-	// Guard counts what must not be, and what was stopped in time.
+	settings atomic.Pointer[decide.Settings] // stored with mu held, never modified once stored
+	prober   Prober
+	log      *slog.Logger
+	start    time.Time
+
+	mu           sync.Mutex
+	router       *decide.Router
+	workers      map[string]Worker // the listed workers, by id
+	workerStarts *startTimes       // when they started
+	requests     map[decide.RequestID]*activeRequest
+	claimedIDs   map[string]bool      // ids that clients gave to their open requests
+	lastContact  map[string]time.Time // when listed workers last answered; no entry where the latest call went unanswered
+	banned       map[string]bool      // workers that operators have taken out of service, listed or not
+	lastID       decide.RequestID
+	running      inflight.Count // requests, and releases that outlive their request
+	stopping     bool           // End was called: no new request is started
+
+	// Guard counts violated invariants, and steps that were stopped in time.
 	Guard invariant.Guard
 
-	// Moved is told which workers have begun or ceased to take new work, after each change. Two changes at once may
-	// be told in either order: Wanted says what holds. Set before use.
+	// OnAvailabilityChange is called with the workers that have begun or ceased to accept new work, after each change.
+	// Calls for concurrent changes may come in either order: AcceptsWork tells the current state. Set before use.
 	Moved func(ids []string)
-	// Texts knows what workers report to keep; nil: there are no reports. Set before use.
+	// CacheReports holds what workers report of their caches; nil: there are no reports. Set before use.
 	Texts Texts
 }
 
-// Texts knows what workers keep of a prompt, as they report it.
+// CacheReports holds what workers report of the prompts in their caches.
 type Texts interface {
-	// Kept is how many tokens of a prompt workers keep, by id; one that is not in it does not tell.
+	// Kept returns, by worker id, how many tokens of a prompt workers keep. A worker that does not report is missing.
 	Kept(prompt []byte) map[string]int
-	// Found is told what a reader found kept of a prompt of which Kept had said so much.
+	// RecordActual compares how many tokens of a prompt a reader was predicted to keep, according to Kept, with how many
+	// it found.
 	Found(worker string, predicted, kept int)
 }
 
-// Kept is what workers report to keep of a prompt, nil where there are no reports.
+// Kept returns, by worker id, how many tokens of a prompt workers report to keep, nil where there are no reports.
 func (c *Core) Kept(prompt func() []byte) map[string]int {
 	if c.Texts == nil {
 		return nil
@@ -144,78 +149,83 @@
 	return c.Texts.Kept(prompt())
 }
 
-// arrivalSlack is the part of the 300 ms, which the network has beyond the pin limit, for which a state may stay while its write
-// is likely to have arrived. The rest is for the release itself: a call left unanswered is made elsewhere after 40 ms.
-const arrivalSlack = 200 * time.Millisecond
+// writeArrivalSlack is how long past the pin limit a state may stay held while its write has probably arrived. It is a part
+// of the 300 ms that the network has beyond the pin limit (pinLimitGrace); the rest is left for the release itself, where
+// a call that goes unanswered is repeated at another worker after 40 ms (releaseHedgeDelay).
+const writeArrivalSlack = 200 * time.Millisecond
 
-// busyAgain is when a client that a front has no room for may come back.
-const busyAgain = 250 * time.Millisecond
+// busyRetryAfter is the advice to a client that a front has no room for.
+const busyRetryAfter = 250 * time.Millisecond
 
-// New returns a Core. Its list of workers is empty until SetWorkers.
-func New(set decide.Settings, seed uint64, prober Prober, log *slog.Logger) (*Core, error) {
-	c := &Core{prober: prober, log: log, start: time.Now(), starts: newStartTimes(),
-		workers: make(map[string]Worker), heard: make(map[string]time.Time),
-		lives: make(map[decide.RequestID]*life), claimed: make(map[string]bool)}
+// New returns a Core whose worker list is empty until SetWorkers is called. seed makes the module's random choices
+// repeatable.
+func New(settings decide.Settings, seed uint64, prober Prober, log *slog.Logger) (*Core, error) {
+	c := &Core{prober: prober, log: log, start: time.Now(), workerStarts: newStartTimes(),
+		workers: make(map[string]Worker), lastContact: make(map[string]time.Time),
+		requests: make(map[decide.RequestID]*activeRequest), claimedIDs: make(map[string]bool)}
 	c.Guard.Log = log
-	set.PinSlack = arrivalSlack
-	r, err := decide.New(set, seed, (*actions)(c))
+	settings.PinSlack = writeArrivalSlack
+	r, err := decide.New(settings, seed, (*actions)(c))
 	if err != nil {
 		return nil, err
 	}
 	c.router = r
-	c.set.Store(&set)
+	c.settings.Store(&settings)
 	return c, nil
 }
 
-// Settings are those in force, to be read only.
-func (c *Core) Settings() *decide.Settings { return c.set.Load() }
+// Settings returns the settings in force. They must not be modified.
+func (c *Core) Settings() *decide.Settings { return c.settings.Load() }
 
-// errNotApplied is the outcome of a change of settings that the module did not survive.
-var errNotApplied = errors.New("the decision module failed on them")
+// errModulePanicked is returned by Apply if the module panicked while it took the new settings.
+var errModulePanicked = errors.New("the decision module failed on them")
 
-// Apply puts other settings in force for requests that come from now on, unless they make no sense or need a restart: then
-// the old ones hold. Requests under way keep their class. See decide.Router.Apply.
-func (c *Core) Apply(set decide.Settings) error {
-	err := errNotApplied
-	set.PinSlack = arrivalSlack
-	c.tell(func(now time.Duration, r *decide.Router) {
-		if err = r.Apply(now, set); err == nil {
-			c.set.Store(&set)
+// Apply puts new settings in force for the requests that come from now on; open requests keep their class. If the settings
+// are invalid or need a restart it returns an error and the old ones stay in force. See decide.Router.Apply.
+func (c *Core) Apply(settings decide.Settings) error {
+	err := errModulePanicked
+	settings.PinSlack = writeArrivalSlack
+	c.dispatch(func(now time.Duration, r *decide.Router) {
+		if err = r.Apply(now, settings); err == nil {
+			c.settings.Store(&settings)
 		}
 	})
 	return err
 }
 
-// Claim takes the id that a client gave to its request until free is called. It says no where the id
-// is open already: a second request with it would share what workers hold for the first.
+// ClaimID reserves the id that a client gave to its request until free is called. It fails if an open request has the id
+// already: a second one would share the state that workers hold for the first.
 func (c *Core) Claim(id string) (free func(), ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.claimed[id] {
+	if c.claimedIDs[id] {
 		return nil, false
 	}
-	c.claimed[id] = true
-	return func() { c.mu.Lock(); delete(c.claimed, id); c.mu.Unlock() }, true
+	c.claimedIDs[id] = true
+	return func() { c.mu.Lock(); delete(c.claimedIDs, id); c.mu.Unlock() }, true
 }
 
-// Busy is when a client that a front has no room for may come back, 0 where none may be told.
-func (c *Core) Busy() time.Duration { return min(busyAgain, c.Settings().MaxRetryAfter) }
+// BusyRetryAfter returns when a client that a front has no room for may try again, 0 where no advice may be given.
+func (c *Core) Busy() time.Duration { return min(busyRetryAfter, c.Settings().MaxRetryAfter) }
 
-// clockOrigin is what the core's clock reads at the start of the process. Workers that started before have times above zero.
+// clockOrigin is what the core's clock reads when the process starts. It is far from zero, so that workers that started
+// before the router have start times above zero.
 const clockOrigin = 100 * 365 * 24 * time.Hour
 
-// clock is the time that the module is told. It is monotonic: a step of the wall clock moves no deadline, window or wait.
+// clock returns the time on the clock that the module uses. It is monotonic: a step of the wall clock moves no deadline,
+// window or wait.
 func (c *Core) clock() time.Duration { return clockOrigin + time.Since(c.start) }
 
-// tell gives the module one event. A panic there must not take the router down: the request that
-// caused it is failed by its own deadline at the latest.
-func (c *Core) tell(event func(now time.Duration, r *decide.Router)) {
+// dispatch passes one event to the module. A panic of the module is recovered and logged, so that it does not take down
+// the router: the request that caused it fails at its deadline at the latest.
+func (c *Core) dispatch(event func(now time.Duration, r *decide.Router)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tellLocked(event)
+	c.dispatchLocked(event)
 }
 
-func (c *Core) tellLocked(event func(now time.Duration, r *decide.Router)) {
+// dispatchLocked is dispatch for callers that hold c.mu.
+func (c *Core) dispatchLocked(event func(now time.Duration, r *decide.Router)) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.log.Error("module panicked", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
@@ -224,48 +234,47 @@
 	event(c.clock(), c.router)
 }
 
-// Serve takes a request and returns its final answer. What must be done after that (attempts to
-// call off, states to release, the stream's end) goes on without the caller. ctx is the client:
-// when it ends, the client has gone.
-func (c *Core) Serve(ctx context.Context, q decide.Request, via Carrier) Answer {
-	l := &life{core: c, client: ctx, via: via, arrived: time.Now(), choices: make(chan choice, maxChoices),
-		events: make(chan event, maxChoices), streamEnd: make(chan decide.Status, 1), answer: make(chan Answer, 1)}
+// Serve runs a request and returns its final answer. What remains to be done after that (attempts to cancel, states to
+// release, the end of the stream) goes on in the background. ctx ends when the client leaves.
+func (c *Core) Serve(ctx context.Context, q decide.Request, transport Carrier) Answer {
+	req := &activeRequest{core: c, client: ctx, transport: transport, arrived: time.Now(), commands: make(chan command, queueCapacity),
+		events: make(chan attemptEvent, queueCapacity), streamEnd: make(chan decide.Status, 1), answer: make(chan Answer, 1)}
 	c.mu.Lock()
-	if c.ended {
+	if c.stopping {
 		c.mu.Unlock()
-		c.Guard.Stopped(invariant.Starting, "the process ends", "txn", q.Label)
+		c.Guard.Stopped(invariant.Starting, "shutting down", "txn", q.Label)
 		return Answer{Verdict: Refused, RetryAfter: c.Busy()}
 	}
 	c.lastID++
 	q.ID = c.lastID
-	l.Request = q
-	c.lives[q.ID] = l
+	req.Request = q
+	c.requests[q.ID] = req
 	c.running.Begin()
 	c.mu.Unlock()
-	go l.live()
-	return <-l.answer
+	go req.run()
+	return <-req.answer
 }
 
-// End has every open request answered at once: the process ends, and what it still held then would be
-// let go by nobody. What comes after that is refused: nothing of it is begun.
+// End is called before the process exits. It has every open request answered at once, so that the state that workers hold
+// for it is released while this process can still do so. Requests that come later are refused.
 func (c *Core) End() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended = true
-	c.tellLocked(func(now time.Duration, r *decide.Router) { r.End(now) })
+	c.stopping = true
+	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.End(now) })
 }
 
-// Learned tells what the module has learned so far.
-func (c *Core) Learned() (l decide.Learned) {
-	c.tell(func(now time.Duration, r *decide.Router) { l = r.Learned(now) })
-	return l
+// Learned returns what the module has learned so far.
+func (c *Core) Learned() (learned decide.Learned) {
+	c.dispatch(func(now time.Duration, r *decide.Router) { learned = r.Learned(now) })
+	return learned
 }
 
-// Learn gives the module what the process before this one had learned.
-func (c *Core) Learn(l decide.Learned) (err error) {
-	c.tell(func(now time.Duration, r *decide.Router) { err = r.Learn(now, l) })
+// Learn passes what the previous process had learned to the module.
+func (c *Core) Learn(learned decide.Learned) (err error) {
+	c.dispatch(func(now time.Duration, r *decide.Router) { err = r.Learn(now, learned) })
 	return err
 }
 
-// Wait returns when all that requests have left to do is done, or ctx ends. New ones may come meanwhile.
+// Wait returns when all requests and their releases are done, or when ctx ends. New requests may come meanwhile.
 func (c *Core) Wait(ctx context.Context) { c.running.Wait(ctx) }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -17,25 +17,25 @@
 	"rowanyard/decide"
 )
 
-// scripted is a Carrier of which each test says what its attempts come to.
-type scripted struct {
-	try      func(ctx context.Context, a Attempt) Result
-	mu       sync.Mutex
-	tries    []Attempt
-	released []string
-	refuse   map[string]bool // workers that take no release
-	mute     map[string]bool // workers that can't be reached
+// scriptedTransport is a Transport and a Prober whose attempts end as the test's try function says.
+type scriptedTransport struct {
+	try         func(ctx context.Context, a Attempt) Result
+	mu          sync.Mutex
+	tries       []Attempt
+	released    []string
+	refuse      map[string]bool // workers that refuse releases
+	unreachable map[string]bool // workers that can't be reached
 }
 
-func (s *scripted) Try(ctx context.Context, a Attempt) Result {
+func (s *scriptedTransport) Try(ctx context.Context, a Attempt) Result {
 	s.mu.Lock()
 	s.tries = append(s.tries, a)
 	s.mu.Unlock()
 	return s.try(ctx, a)
 }
 
-func (s *scripted) Release(ctx context.Context, at Worker) error {
-	if s.mute[at.ID] {
+func (s *scriptedTransport) Release(ctx context.Context, at Worker) error {
+	if s.unreachable[at.ID] {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func (s *scripted) Probe(context.Context, Worker) (decide.Probed, error) {
+func (s *scriptedTransport) Probe(context.Context, Worker) (decide.Probed, error) {
 	return decide.Probed{Queue: -1, Tokens: -1}, nil
 }
 
@@ -58,12 +58,14 @@
 		{Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: decide.Safe},
 		{Aim: time.Second, Deadline: 5 * time.Second, Worth: 2, Effect: decide.Unsafe}}}
 
+// The classes of settings.
 const (
-	draft = iota
-	message
+	safeClass   = iota // may be repeated
+	unsafeClass        // must not run twice
 )
 
-func started(t *testing.T, s *scripted, writers ...string) *Core {
+// newTestCore returns a Core with the reader "r" and the given writers.
+func newTestCore(t *testing.T, s *scriptedTransport, writers ...string) *Core {
 	t.Helper()
 	c, err := New(settings, 1, s, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -77,47 +79,48 @@
 	return c
 }
 
-func settled(t *testing.T, c *Core) {
+// waitSettled fails the test unless all requests and releases end.
+func waitSettled(t *testing.T, c *Core) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	c.Wait(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ctx.Err() != nil || len(c.lives) > 0 {
-		t.Fatalf("%d requests never end", len(c.lives))
+	if ctx.Err() != nil || len(c.requests) > 0 {
+		t.Fatalf("%d requests have not ended", len(c.requests))
 	}
 }
 
-func ask(class int, left time.Duration) decide.Request {
+func newRequest(class int, left time.Duration) decide.Request {
 	return decide.Request{Class: class, TimeLeft: left, Session: 5, Prompt: 100, MaxOutput: 10}
 }
 
-func TestTwoStagesToTheStreamsEnd(t *testing.T) {
-	s := &scripted{try: func(_ context.Context, a Attempt) Result {
+func TestReadThenWriteStreamsToTheEnd(t *testing.T) {
+	s := &scriptedTransport{try: func(_ context.Context, a Attempt) Result {
 		if a.Read {
 			return Result{Status: decide.Read}
 		}
 		return Result{Stream: "tokens"}
 	}}
-	c := started(t, s, "w")
-	a := c.Serve(context.Background(), ask(message, time.Second), s)
+	c := newTestCore(t, s, "w")
+	a := c.Serve(context.Background(), newRequest(unsafeClass, time.Second), s)
 	if a.Verdict != Streaming || a.Stream != "tokens" || a.Worker.ID != "w" {
-		t.Fatalf("%+v", a)
+		t.Fatalf("got answer %+v, want a stream of worker w", a)
 	}
 	a.Ended(decide.Served)
-	a.Ended(decide.Reset) // only the first counts
-	settled(t, c)
+	a.Ended(decide.Reset) // ignored: only the first call counts
+	waitSettled(t, c)
 	if len(s.released) > 0 {
 		t.Error("a state that the writer fetched was released")
 	}
 }
 
-// What a read leaves must be released though its fate is unknown and its request has ended, by
-// another worker if the reader does not answer.
+// A read that was cancelled or reset may have left a state. It must be released although its request has ended, by way of
+// another worker if the reader does not take the release.
 func TestUnknownReadIsReleasedAfterTheEnd(t *testing.T) {
-	for name, end := range map[string]decide.Status{"called off": decide.Cancelled, "reset": decide.Reset} {
-		s := &scripted{refuse: map[string]bool{"r": true}}
+	for name, end := range map[string]decide.Status{"cancelled": decide.Cancelled, "reset": decide.Reset} {
+		s := &scriptedTransport{refuse: map[string]bool{"r": true}}
 		inside := make(chan struct{}, 4)
 		s.try = func(ctx context.Context, a Attempt) Result {
 			inside <- struct{}{}
@@ -126,59 +129,59 @@
 			}
 			return Result{Status: end}
 		}
-		c := started(t, s, "w")
+		c := newTestCore(t, s, "w")
 		client, leave := context.WithCancel(context.Background())
 		go func() { <-inside; leave() }()
-		if a := c.Serve(client, ask(message, 200*time.Millisecond), s); a.Verdict == Streaming || a.Verdict == Failed {
-			t.Errorf("%s: verdict %d", name, a.Verdict)
+		if a := c.Serve(client, newRequest(unsafeClass, 200*time.Millisecond), s); a.Verdict == Streaming || a.Verdict == Failed {
+			t.Errorf("%s: got verdict %d", name, a.Verdict)
 		}
 		leave()
-		settled(t, c)
+		waitSettled(t, c)
 		if n := len(s.released); n < 2 || s.released[0] != "r" || s.released[1] != "w" {
-			t.Errorf("%s: released at %v", name, s.released)
+			t.Errorf("%s: released at %v, want r, then w", name, s.released)
 		}
 	}
 }
 
-// A read that ends well right after its request was called off still leaves a state.
+// A read that succeeds just after its request was cancelled still leaves a state, which must be released.
 func TestLateReadIsReleased(t *testing.T) {
-	s := &scripted{}
+	s := &scriptedTransport{}
 	client, leave := context.WithCancel(context.Background())
 	s.try = func(ctx context.Context, a Attempt) Result {
 		leave()
 		<-ctx.Done()
 		return Result{Status: decide.Read}
 	}
-	c := started(t, s, "w")
-	if a := c.Serve(client, ask(draft, time.Second), s); a.Verdict != Gone {
-		t.Errorf("verdict %d", a.Verdict)
+	c := newTestCore(t, s, "w")
+	if a := c.Serve(client, newRequest(safeClass, time.Second), s); a.Verdict != Gone {
+		t.Errorf("got verdict %d, want ClientGone", a.Verdict)
 	}
-	settled(t, c)
+	waitSettled(t, c)
 	if len(s.released) == 0 {
-		t.Error("not released")
+		t.Error("the state was not released")
 	}
 }
 
-// A write that may have run must not be sent again, nor may its client be told to come back.
+// A write that may have run must not be sent again, nor may its client be told to retry.
 func TestUnsafeWriteIsNeverSentTwice(t *testing.T) {
 	for _, end := range []decide.Status{decide.Reset, decide.Errored, decide.TimedOut} {
-		s := &scripted{try: func(_ context.Context, a Attempt) Result {
+		s := &scriptedTransport{try: func(_ context.Context, a Attempt) Result {
 			if a.Read {
 				return Result{Status: decide.Read}
 			}
 			return Result{Status: end}
 		}}
-		c := started(t, s, "w1", "w2", "w3")
-		if a := c.Serve(context.Background(), ask(message, time.Second), s); a.Verdict != Failed || len(s.tries) != 2 {
+		c := newTestCore(t, s, "w1", "w2", "w3")
+		if a := c.Serve(context.Background(), newRequest(unsafeClass, time.Second), s); a.Verdict != Failed || len(s.tries) != 2 {
 			t.Errorf("status %d: verdict %d after %d attempts", end, a.Verdict, len(s.tries))
 		}
-		settled(t, c)
+		waitSettled(t, c)
 	}
 }
 
-// A worker that begins to drain between the choice and the dial gets nothing.
-func TestDrainAfterTheChoiceIsObeyed(t *testing.T) {
-	s := &scripted{}
+// A worker that begins to drain after it was chosen and before the request is written must get nothing.
+func TestDrainAfterTheChoiceStopsTheAttempt(t *testing.T) {
+	s := &scriptedTransport{}
 	var c *Core
 	s.try = func(_ context.Context, a Attempt) Result {
 		if a.Read {
@@ -188,137 +191,137 @@
 			c.SetWorkers(false, []Worker{{Server: decide.Server{ID: "w1", Kind: 1, State: decide.Draining}},
 				{Server: decide.Server{ID: "w2", Kind: 1}}})
 			if a.Allowed() {
-				t.Error("still allowed")
+				t.Error("an attempt at a draining worker is still allowed")
 			}
 			return Result{Status: decide.Moot}
 		}
 		return Result{Stream: a.To.ID}
 	}
-	c = started(t, s, "w1")
-	a := c.Serve(context.Background(), ask(draft, time.Second), s)
+	c = newTestCore(t, s, "w1")
+	a := c.Serve(context.Background(), newRequest(safeClass, time.Second), s)
 	if a.Verdict != Streaming || a.Stream != "w2" {
-		t.Fatalf("%+v", a)
+		t.Fatalf("got answer %+v, want a stream of worker w2", a)
 	}
 	a.Ended(decide.Served)
-	settled(t, c)
+	waitSettled(t, c)
 }
 
 func TestStreamEndsWithItsClient(t *testing.T) {
 	closed := make(chan struct{})
-	s := &scripted{try: func(ctx context.Context, a Attempt) Result {
+	s := &scriptedTransport{try: func(ctx context.Context, a Attempt) Result {
 		if a.Read {
 			return Result{Status: decide.Read}
 		}
 		context.AfterFunc(ctx, func() { close(closed) })
 		return Result{Stream: 1}
 	}}
-	c := started(t, s, "w")
-	var lines bytes.Buffer
-	c.log = slog.New(slog.NewTextHandler(&lines, nil))
+	c := newTestCore(t, s, "w")
+	var logText bytes.Buffer
+	c.log = slog.New(slog.NewTextHandler(&logText, nil))
 	client, leave := context.WithCancel(context.Background())
-	a := c.Serve(client, ask(message, time.Second), s)
+	a := c.Serve(client, newRequest(unsafeClass, time.Second), s)
 	leave()
 	<-closed
-	a.Ended(decide.Reset) // what a front sees when the stream is closed under it
-	settled(t, c)
-	if !strings.Contains(lines.String(), "status=cancelled") {
-		t.Errorf("a client that leaves is held against the worker: %s", lines.String())
+	a.Ended(decide.Reset) // as a front reports a stream that is closed while it relays it
+	waitSettled(t, c)
+	if !strings.Contains(logText.String(), "status=cancelled") {
+		t.Errorf("a stream that its client left was not logged as cancelled: %s", logText.String())
 	}
 }
 
-// A carrier or a module that panics costs one request, answered once, not the router.
+// A panic of a transport or of the module must fail one request, which is answered once, and not take down the router.
 func TestPanicsFailTheRequest(t *testing.T) {
-	s := &scripted{try: func(context.Context, Attempt) Result { panic("carrier") }}
-	c := started(t, s, "w")
-	if a := c.Serve(context.Background(), ask(draft, 100*time.Millisecond), s); a.Verdict != Refused && a.Verdict != Failed {
-		t.Errorf("verdict %d", a.Verdict)
+	s := &scriptedTransport{try: func(context.Context, Attempt) Result { panic("carrier") }}
+	c := newTestCore(t, s, "w")
+	if a := c.Serve(context.Background(), newRequest(safeClass, 100*time.Millisecond), s); a.Verdict != Refused && a.Verdict != Failed {
+		t.Errorf("transport panicked: got verdict %d", a.Verdict)
 	}
 	c.router = nil
-	if a := c.Serve(context.Background(), ask(draft, 20*time.Millisecond), s); a.Verdict != Failed {
-		t.Errorf("module: verdict %d", a.Verdict)
+	if a := c.Serve(context.Background(), newRequest(safeClass, 20*time.Millisecond), s); a.Verdict != Failed {
+		t.Errorf("module panicked: got verdict %d", a.Verdict)
 	}
-	settled(t, c)
+	waitSettled(t, c)
 }
 
-// The answer is out once the module has given up, not at the deadline.
-func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
-	s := &scripted{try: func(context.Context, Attempt) Result { return Result{Status: decide.Full, Err: io.EOF} }}
-	c := started(t, s, "w")
+// A request that the module gives up is answered at once, not at its deadline.
+func TestAbandonedRequestIsAnsweredImmediately(t *testing.T) {
+	s := &scriptedTransport{try: func(context.Context, Attempt) Result { return Result{Status: decide.Full, Err: io.EOF} }}
+	c := newTestCore(t, s, "w")
 	c.SetWorkers(true, nil)
 	began := time.Now()
-	a := c.Serve(context.Background(), ask(draft, time.Hour), s)
+	a := c.Serve(context.Background(), newRequest(safeClass, time.Hour), s)
 	if a.Verdict != Refused || time.Since(began) > time.Minute {
-		t.Errorf("verdict %d after %v", a.Verdict, time.Since(began))
+		t.Errorf("got verdict %d after %v, want Refused at once", a.Verdict, time.Since(began))
 	}
 }
 
-// What discovery says of a removed worker may be its name alone, and it is forgotten at once: on a day on
-// which workers come and go under new ids, what is kept of the old ones would grow for good.
+// Discovery may name a removed worker by its id alone. Removed workers are forgotten at once: where workers come and go
+// under new ids, entries kept for old ones would grow without bound.
 func TestRemovedWorkers(t *testing.T) {
-	s := &scripted{}
-	c := started(t, s, "w1", "w2")
+	s := &scriptedTransport{}
+	c := newTestCore(t, s, "w1", "w2")
 	gone := []Worker{{Server: decide.Server{ID: "w1", Kind: -1, State: decide.Gone}}}
 	c.SetWorkers(false, gone)
 	if _, kept := c.workers["w1"]; kept || c.Wanted("w1") || !c.Wanted("w2") || c.Wanted("never listed") {
-		t.Errorf("%+v", c.workers)
+		t.Errorf("workers after w1 was removed: %+v", c.workers)
 	}
 	c.SetWorkers(false, gone)
 	c.SetWorkers(true, nil)
 	if len(c.workers) > 0 {
-		t.Errorf("%+v", c.workers)
+		t.Errorf("workers after all were removed: %+v", c.workers)
 	}
 }
 
-// An id that is open can't be taken twice, and again once it is free.
+// An id that an open request has can't be claimed again until it is freed.
 func TestClaim(t *testing.T) {
-	c := started(t, &scripted{})
+	c := newTestCore(t, &scriptedTransport{})
 	free, ok := c.Claim("a")
 	if _, twice := c.Claim("a"); !ok || twice {
-		t.Errorf("%v, then %v", ok, twice)
+		t.Errorf("claimed: %v, claimed again: %v, want true and false", ok, twice)
 	}
 	free()
 	if _, ok := c.Claim("a"); !ok {
-		t.Error("never free again")
+		t.Error("an id that was freed can't be claimed again")
 	}
 }
 
-// While a zone is cut off most workers can't be reached, the reader that holds a state among them. Those that
-// have answered lately, then those of the router's own zone, must be asked to let it go before others, and
-// each while the ones before it may still answer: else the limit passes before anyone has been reached.
+// While a zone is cut off most workers can't be reached, and the reader that holds a state may be one of them. Workers that
+// answered recently, then those of the router's own zone, must be asked before others, without waiting for unanswered
+// calls to time out: otherwise the pin limit passes before any worker is reached.
 func TestReleaseReachesAWorkerWhileOthersAreCutOff(t *testing.T) {
 	for _, heard := range []bool{true, false} {
-		s := &scripted{mute: map[string]bool{"r": true}}
-		c := started(t, s)
+		s := &scriptedTransport{unreachable: map[string]bool{"r": true}}
+		c := newTestCore(t, s)
 		all := []Worker{{Server: decide.Server{ID: "near", Kind: 1}}}
 		for i := range 99 {
 			w := Worker{Server: decide.Server{ID: fmt.Sprint("far", i), Kind: 1, Zone: 1}}
-			s.mute[w.ID] = true
+			s.unreachable[w.ID] = true
 			all = append(all, w)
 		}
 		want := "near"
 		if heard {
 			want = "far7"
-			delete(s.mute, want)
+			delete(s.unreachable, want)
 		}
 		c.SetWorkers(false, all)
-		c.hears("far7", heard)
+		c.recordContact("far7", heard)
 		c.running.Begin()
-		c.release(&life{core: c, via: s}, Worker{Server: decide.Server{ID: "r"}}, false, func() bool { return true })
+		c.release(&activeRequest{core: c, transport: s}, Worker{Server: decide.Server{ID: "r"}}, false, func() bool { return true })
 		if !slices.Equal(s.released, []string{want}) {
-			t.Errorf("taken by %v, want %s", s.released, want)
+			t.Errorf("released at %v, want %s", s.released, want)
 		}
 	}
 }
 
-// nth does something when a message is logged for the nth time.
-type nth struct {
+// nthMessageHook is a slog.Handler that calls do when message is logged for the nth time, and discards all records.
+type nthMessageHook struct {
 	slog.Handler
 	message string
 	n       int
 	do      func()
 }
 
-func (h *nth) Handle(_ context.Context, r slog.Record) error {
+func (h *nthMessageHook) Handle(_ context.Context, r slog.Record) error {
 	if r.Message == h.message {
 		if h.n--; h.n == 0 {
 			h.do()
@@ -327,9 +330,9 @@
 	return nil
 }
 
-// A client may go in any state of its request, also in the very instant in which the next attempt is chosen: none begins
-// after that, and what is held is let go.
-func TestNothingIsBegunForAClientThatHasGone(t *testing.T) {
+// A client may leave at any stage of its request, also at the moment at which the next attempt is chosen. No attempt may
+// start after that, and the state that is held must be released.
+func TestNoAttemptStartsAfterTheClientLeaves(t *testing.T) {
 	reader := Worker{Server: decide.Server{ID: "r", Kind: 0}}
 	writers := []Worker{{Server: decide.Server{ID: "w1", Kind: 1}}, {Server: decide.Server{ID: "w2", Kind: 1}}}
 	all := append([]Worker{reader}, writers...)
@@ -343,32 +346,32 @@
 		return Result{Status: decide.Full}
 	}
 	for name, x := range map[string]struct {
-		tries int      // before the client goes
-		first []Worker // listed before the last of them, and from then on, until it has gone
-		then  []Worker
-		goes  bool // when the last of them has ended and the module has not been told yet
-		out   bool // within the last of them
-		try   func(ctx context.Context, a Attempt) Result
+		tries           int      // attempts before the client leaves
+		initialWorkers  []Worker // listed until the last of these attempts
+		laterWorkers    []Worker // listed from then on until the client has left
+		leaveAfterLast  bool     // it leaves when the last attempt has ended and the module has not been told yet
+		leaveDuringLast bool     // it leaves within the last attempt
+		try             func(ctx context.Context, a Attempt) Result
 	}{
-		"before the first attempt":         {tries: 0, first: writers},
-		"between read and write":           {tries: 1, first: all, then: []Worker{reader}, try: func(_ context.Context, a Attempt) Result { return full(a) }},
-		"waiting to try again":             {tries: 2, first: all, then: []Worker{reader}, try: func(_ context.Context, a Attempt) Result { return full(a) }},
-		"in the instant of the write":      {tries: 1, first: all, then: all, goes: true, try: func(_ context.Context, a Attempt) Result { return full(a) }},
-		"in the instant of the second try": {tries: 2, first: all, then: all, goes: true, try: func(_ context.Context, a Attempt) Result { return full(a) }},
-		"while an attempt is out": {tries: 1, first: all, then: all, out: true, try: func(ctx context.Context, _ Attempt) Result {
+		"before the first attempt":    {tries: 0, initialWorkers: writers},
+		"between read and write":      {tries: 1, initialWorkers: all, laterWorkers: []Worker{reader}, try: func(_ context.Context, a Attempt) Result { return full(a) }},
+		"waiting to try again":        {tries: 2, initialWorkers: all, laterWorkers: []Worker{reader}, try: func(_ context.Context, a Attempt) Result { return full(a) }},
+		"as the write is chosen":      {tries: 1, initialWorkers: all, laterWorkers: all, leaveAfterLast: true, try: func(_ context.Context, a Attempt) Result { return full(a) }},
+		"as the second try is chosen": {tries: 2, initialWorkers: all, laterWorkers: all, leaveAfterLast: true, try: func(_ context.Context, a Attempt) Result { return full(a) }},
+		"while an attempt is in flight": {tries: 1, initialWorkers: all, laterWorkers: all, leaveDuringLast: true, try: func(ctx context.Context, _ Attempt) Result {
 			<-ctx.Done()
 			return Result{Status: decide.Cancelled}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for range 50 { // a choice and the client's leaving come to one select in any order
+			for range 50 { // select picks at random between the module's command and the client's departure
 				client, leave := context.WithCancel(context.Background())
 				tried := make(chan struct{}, 100)
-				s := &scripted{}
+				s := &scriptedTransport{}
 				log := slog.DiscardHandler
-				if x.goes {
-					log = &nth{Handler: slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug}), message: "attempt", n: x.tries, do: leave}
+				if x.leaveAfterLast {
+					log = &nthMessageHook{Handler: slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelDebug}), message: "attempt", n: x.tries, do: leave}
 				}
 				c, err := New(long, 1, s, slog.New(log))
 				if err != nil {
@@ -376,34 +379,34 @@
 				}
 				s.try = func(ctx context.Context, a Attempt) Result {
 					if a.Number == x.tries-1 {
-						c.SetWorkers(true, x.then)
-						if x.out {
+						c.SetWorkers(true, x.laterWorkers)
+						if x.leaveDuringLast {
 							leave()
 						}
 					}
 					tried <- struct{}{}
 					return x.try(ctx, a)
 				}
-				c.SetWorkers(true, x.first)
+				c.SetWorkers(true, x.initialWorkers)
 				done := make(chan Answer, 1)
-				go func() { done <- c.Serve(client, ask(draft, time.Hour), s) }()
-				if !x.goes && !x.out {
+				go func() { done <- c.Serve(client, newRequest(safeClass, time.Hour), s) }()
+				if !x.leaveAfterLast && !x.leaveDuringLast {
 					for range x.tries {
 						<-tried
 					}
 					leave()
 				}
 				if a := <-done; a.Verdict != Gone {
-					t.Fatalf("verdict %d", a.Verdict)
+					t.Fatalf("got verdict %d, want ClientGone", a.Verdict)
 				}
 				c.SetWorkers(true, all)
-				settled(t, c)
+				waitSettled(t, c)
 				s.mu.Lock()
 				if len(s.tries) != x.tries {
-					t.Fatalf("%d attempts, %d before the client went", len(s.tries), x.tries)
+					t.Fatalf("%d attempts, %d before the client left", len(s.tries), x.tries)
 				}
 				if x.tries > 0 && len(s.released) == 0 {
-					t.Fatal("what is held was not let go")
+					t.Fatal("the held state was not released")
 				}
 				s.mu.Unlock()
 			}
@@ -411,16 +414,17 @@
 	}
 }
 
-// Wait may be called while requests still come: what came before it has ended when it returns, and it never misses the end.
+// Wait may be called while requests still come. The requests from before the call have ended when it returns, and it must
+// not miss the moment at which none is left.
 func TestWaitWhileRequestsCome(t *testing.T) {
-	s := &scripted{try: func(context.Context, Attempt) Result { return Result{Status: decide.Full} }}
-	c := started(t, s, "w")
+	s := &scriptedTransport{try: func(context.Context, Attempt) Result { return Result{Status: decide.Full} }}
+	c := newTestCore(t, s, "w")
 	c.SetWorkers(true, nil)
 	var all sync.WaitGroup
 	for range 8 {
 		all.Go(func() {
 			for range 20 {
-				c.Serve(t.Context(), ask(draft, 10*time.Millisecond), s)
+				c.Serve(t.Context(), newRequest(safeClass, 10*time.Millisecond), s)
 			}
 		})
 		all.Go(func() {
@@ -430,17 +434,17 @@
 		})
 	}
 	all.Wait()
-	settled(t, c)
+	waitSettled(t, c)
 }
 
-// A called-off attempt of a class that must not run twice may take until its worker was seen to have ended it, within the
-// limits of the settings; nothing follows it before its Try has returned. Others lose no time.
-func TestACalledOffAttemptIsOverBeforeTheNext(t *testing.T) {
-	const seen = 7 * time.Millisecond // so long the worker takes to end it
-	for class, settle := range map[int]time.Duration{draft: 0, message: settings.PinLimit / 2} {
+// A cancelled attempt of a class that must not run twice may take some time, bounded by the settings, to see its worker end
+// it; the next attempt must not start before its Try has returned. Other classes don't wait.
+func TestCancelledAttemptEndsBeforeTheNextStarts(t *testing.T) {
+	const workerEndTime = 7 * time.Millisecond // how long the worker takes to end a cancelled attempt
+	for class, settle := range map[int]time.Duration{safeClass: 0, unsafeClass: settings.PinLimit / 2} {
 		synctest.Test(t, func(t *testing.T) {
 			var ended, told, next time.Time
-			s := &scripted{}
+			s := &scriptedTransport{}
 			s.try = func(ctx context.Context, a Attempt) Result {
 				if a.Settle != settle {
 					t.Errorf("class %d: an attempt may take %v to end, want %v", class, a.Settle, settle)
@@ -450,72 +454,72 @@
 					return Result{Status: decide.Full}
 				}
 				<-ctx.Done()
-				time.Sleep(min(a.Settle, seen))
+				time.Sleep(min(a.Settle, workerEndTime))
 				ended = time.Now()
 				return Result{Status: decide.Cancelled}
 			}
-			c := started(t, s, "w")
+			c := newTestCore(t, s, "w")
 			c.SetWorkers(false, []Worker{{Server: decide.Server{ID: "r2", Kind: 0}}})
-			c.log = slog.New(&nth{Handler: slog.NewTextHandler(io.Discard, nil), message: "attempt", n: 1, do: func() { told = time.Now() }})
-			c.Serve(t.Context(), ask(class, 5*time.Second), s)
-			settled(t, c)
+			c.log = slog.New(&nthMessageHook{Handler: slog.NewTextHandler(io.Discard, nil), message: "attempt", n: 1, do: func() { told = time.Now() }})
+			c.Serve(t.Context(), newRequest(class, 5*time.Second), s)
+			waitSettled(t, c)
 			if told != ended || next.Before(ended) || ended.IsZero() || next.IsZero() {
-				t.Errorf("class %d: ended %v, told %v, the next began %v", class, ended, told, next)
+				t.Errorf("class %d: ended at %v, reported at %v, next attempt at %v", class, ended, told, next)
 			}
-			time.Sleep(time.Minute) // timers of the module
+			time.Sleep(time.Minute) // until the timers of the module have fired
 		})
 	}
 }
 
-// The time to end is bounded by the connect timeout and by what is left of the limit on held states.
-func TestTheTimeToEndAnAttemptIsBounded(t *testing.T) {
+// The time for a cancelled attempt to end is bounded by the connect timeout and by half of the limit on held states.
+func TestCancelGraceIsBounded(t *testing.T) {
 	for _, c := range []struct{ connect, pin, want time.Duration }{
 		{100 * time.Millisecond, 300 * time.Millisecond, 100 * time.Millisecond},
 		{250 * time.Millisecond, 300 * time.Millisecond, 150 * time.Millisecond},
 		{250 * time.Millisecond, 0, 250 * time.Millisecond},
-		{0, 0, settleMost},
+		{0, 0, defaultCancelGrace},
 	} {
 		set := settings
 		set.ConnectTimeout, set.PinLimit = c.connect, c.pin
-		l := &life{settings: &set, Request: decide.Request{Class: message}}
-		if got := l.settle(); got != c.want {
+		req := &activeRequest{settings: &set, Request: decide.Request{Class: unsafeClass}}
+		if got := req.cancelGrace(); got != c.want {
 			t.Errorf("connect timeout %v, limit on held states %v: %v, want %v", c.connect, c.pin, got, c.want)
 		}
 	}
 }
 
-// What an attempt tells its worker is no more than what is left to the client then, for the further ones too.
-func TestEachAttemptTellsWhatIsLeft(t *testing.T) {
+// An attempt, also a further one, must not tell its worker more time than its client still waits.
+func TestAttemptsReportTheRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const whole = 3 * time.Second
 		began, told := time.Now(), 0
-		s := &scripted{}
+		s := &scriptedTransport{}
 		s.try = func(_ context.Context, a Attempt) Result {
 			told++
 			if left := whole - time.Since(began); a.Remaining() > left || a.Remaining() <= 0 {
-				t.Errorf("attempt %d tells %v where %v is left", a.Number, a.Remaining(), left)
+				t.Errorf("attempt %d tells its worker %v, the client waits %v", a.Number, a.Remaining(), left)
 			}
 			time.Sleep(400 * time.Millisecond)
 			return Result{Status: decide.Reset}
 		}
-		c := started(t, s, "w")
+		c := newTestCore(t, s, "w")
 		c.SetWorkers(false, []Worker{{Server: decide.Server{ID: "r2", Kind: 0}}, {Server: decide.Server{ID: "r3", Kind: 0}}})
-		c.Serve(t.Context(), ask(draft, whole), s)
-		settled(t, c)
+		c.Serve(t.Context(), newRequest(safeClass, whole), s)
+		waitSettled(t, c)
 		if told < 2 {
-			t.Errorf("%d attempts", told)
+			t.Errorf("%d attempts, want at least 2", told)
 		}
-		time.Sleep(time.Minute) // timers of the module
+		time.Sleep(time.Minute) // until the timers of the module have fired
 	})
 }
 
-// The first token and the end of the attempt's time cross, in each order and in one instant: the client has one answer, and
-// where it is no stream none goes on.
-func TestAFirstTokenCrossesTheEndOfItsTime(t *testing.T) {
+// The first token comes just before, at, or just after the attempt's deadline. The client must get one answer, and no stream
+// may stay open unless that answer is the stream.
+func TestFirstTokenRacesTheAttemptDeadline(t *testing.T) {
 	for _, late := range []time.Duration{-1, 0, 1} {
 		synctest.Test(t, func(t *testing.T) {
 			var streams []context.Context
-			s := &scripted{}
+			s := &scriptedTransport{}
 			s.try = func(ctx context.Context, a Attempt) Result {
 				if a.Read {
 					return Result{Status: decide.Read}
@@ -524,28 +528,28 @@
 				streams = append(streams, ctx)
 				return Result{Stream: a.Number}
 			}
-			c := started(t, s, "w")
-			a := c.Serve(t.Context(), ask(message, time.Second), s)
+			c := newTestCore(t, s, "w")
+			a := c.Serve(t.Context(), newRequest(unsafeClass, time.Second), s)
 			switch {
 			case a.Verdict == Streaming && late > 0:
-				t.Errorf("%v late: a stream whose time was up goes on", late)
+				t.Errorf("%v late: a stream that began after the deadline goes on", late)
 			case a.Verdict == Streaming:
 				if streams[0].Err() != nil {
-					t.Errorf("%v late: a stream that was cut goes on", late)
+					t.Errorf("%v late: the client was given a stream that is cancelled", late)
 				}
 				a.Ended(decide.Served)
 			case late < 0:
-				t.Errorf("%v late: verdict %v", late, a.Verdict)
+				t.Errorf("%v late: got verdict %v, want a stream", late, a.Verdict)
 			case a.Verdict == Refused:
-				t.Errorf("%v late: refused though it has run", late)
+				t.Errorf("%v late: refused although the write has run", late)
 			}
-			settled(t, c)
+			waitSettled(t, c)
 			for _, ctx := range streams {
 				if ctx.Err() == nil {
-					t.Errorf("%v late: an attempt is out for ever", late)
+					t.Errorf("%v late: the context of an attempt never ends", late)
 				}
 			}
-			time.Sleep(time.Minute) // timers of the module
+			time.Sleep(time.Minute) // until the timers of the module have fired
 		})
 	}
 }
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -1,7 +1,7 @@
 package core
 
-// This file owns the guards of the core: what must hold whatever the module has chosen, checked where the step is taken. It
-// must never choose anything itself.
+// This file holds the guards of a request: invariants that must hold whatever the module has chosen, checked right where
+// a step is taken. A guard stops a step or counts a violation; it chooses nothing.
 
 import (
 	"time"
@@ -10,69 +10,71 @@
 	"rowanyard/internal/invariant"
 )
 
-// pinSlack is what the network may take beyond the pin limit before a state that is still held is a violation.
-const pinSlack = 300 * time.Millisecond
+// pinLimitGrace is how far past the pin limit, for delays of the network, a state may stay held before that is a violation.
+const pinLimitGrace = 300 * time.Millisecond
 
-// maySend is the guard of sending: it is asked right before an attempt's first byte. It says why the attempt is due no more,
-// "" = it is due.
-func (l *life) maySend(a *attempt) string {
+// sendBlockedBy is the sending guard's rule. It returns why the first byte of an attempt must not be sent any more, "" if
+// it may be.
+func (req *activeRequest) sendBlockedBy(a *attempt) string {
 	switch {
-	case l.client.Err() != nil:
+	case req.client.Err() != nil:
 		return "client gone"
-	case !l.core.Wanted(a.To.ID):
-		return "worker takes nothing new"
+	case !req.core.Wanted(a.To.ID):
+		return "worker accepts no new work"
 	case a.Remaining() <= 0:
 		return "time is up"
-	case l.closed.Load():
+	case req.answerFixed.Load():
 		return "answered"
 	}
 	return ""
 }
 
-// allowed is the attempt's Allowed: maySend, counted, and noted as asked.
-func (l *life) allowed(a *attempt) bool {
-	a.checked.Store(true)
-	why := l.maySend(a)
+// checkSendAllowed implements Attempt.MaySend: it is the sending guard, counts what it stops, and notes that it was asked.
+func (req *activeRequest) checkSendAllowed(a *attempt) bool {
+	a.guardChecked.Store(true)
+	why := req.sendBlockedBy(a)
 	if why != "" {
-		l.core.Guard.Stopped(invariant.Sending, why, "id", l.ID, "txn", l.Label, "n", a.Number, "worker", a.To.ID)
+		req.core.Guard.Stopped(invariant.Sending, why, "id", req.ID, "txn", req.Label, "n", a.Number, "worker", a.To.ID)
 	}
 	return why == ""
 }
 
-// checkSent notes an attempt that has reached its worker although its carrier did not ask the guard.
-func (l *life) checkSent(a *attempt, status decide.Status) {
-	if a.checked.Load() || status == decide.Moot || status == decide.ConnectFailed {
+// checkGuardWasAsked counts a violation if an attempt may have reached its worker although its transport never asked
+// MaySend.
+func (req *activeRequest) checkGuardWasAsked(a *attempt, status decide.Status) {
+	if a.guardChecked.Load() || status == decide.Moot || status == decide.ConnectFailed {
 		return
 	}
-	l.core.Guard.Violated(invariant.Sending, "not checked", "id", l.ID, "txn", l.Label, "n", a.Number, "worker", a.To.ID)
+	req.core.Guard.Violated(invariant.Sending, "not checked", "id", req.ID, "txn", req.Label, "n", a.Number, "worker", a.To.ID)
 }
 
-// mayRepeat is the guard of repeating: it is asked before each attempt is begun. A write of a class that must not run twice
-// needs proof that none before it has run, and a further attempt must be within the settings' number.
-func (l *life) mayRepeat(read bool) bool {
+// checkRepeatAllowed is the repeating guard, asked before each attempt starts. The number of attempts must stay within the
+// settings, and a write of a class that must not run twice needs proof that no earlier write has run.
+func (req *activeRequest) checkRepeatAllowed(read bool) bool {
 	why := ""
-	if most := l.settings.MaxAttempts; most > 0 && len(l.attempts) >= most {
+	if maxAttempts := req.settings.MaxAttempts; maxAttempts > 0 && len(req.attempts) >= maxAttempts {
 		why = "too many attempts"
 	}
-	if !read && l.isUnsafe() {
-		for _, before := range l.attempts {
-			if !before.Read && (before.out || before.mayHaveRun) {
+	if !read && req.isUnsafe() {
+		for _, earlier := range req.attempts {
+			if !earlier.Read && (earlier.inFlight || earlier.mayHaveRun) {
 				why = "may have run"
 			}
 		}
 	}
 	if why != "" {
-		l.core.Guard.Violated(invariant.Repeating, why, "id", l.ID, "txn", l.Label, "n", len(l.attempts))
+		req.core.Guard.Violated(invariant.Repeating, why, "id", req.ID, "txn", req.Label, "n", len(req.attempts))
 	}
 	return why == ""
 }
 
-func (l *life) isUnsafe() bool {
-	classes := l.settings.Classes
-	return l.Class >= 0 && l.Class < len(classes) && classes[l.Class].Effect == decide.Unsafe
+// isUnsafe reports whether the request must not run twice.
+func (req *activeRequest) isUnsafe() bool {
+	classes := req.settings.Classes
+	return req.Class >= 0 && req.Class < len(classes) && classes[req.Class].Effect == decide.Unsafe
 }
 
-// mayHaveRun says whether a write that ended so may have had its effect.
+// mayHaveRun reports whether a write that ended with status may have taken effect.
 func mayHaveRun(status decide.Status) bool {
 	switch status {
 	case decide.Full, decide.ConnectFailed, decide.Moot, decide.Read:
@@ -81,31 +83,33 @@
 	return true
 }
 
-// heldFor is how long the state that waits has been held with no attempt that is known to have arrived, 0 where none waits.
-func (l *life) heldFor() time.Duration {
-	if l.heldSince.IsZero() {
+// heldFor returns how long the state has been held since its read, or since the latest write that is known to have
+// arrived; 0 if there was neither.
+func (req *activeRequest) heldFor() time.Duration {
+	if req.heldSince.IsZero() {
 		return 0
 	}
-	return time.Since(l.heldSince)
+	return time.Since(req.heldSince)
 }
 
-// hasVerifiedWrite says whether a write is out on a connection that was alive right before: it waits at its worker.
-func (l *life) hasVerifiedWrite() bool {
-	if len(l.attempts) == 0 {
+// hasVerifiedWrite reports whether the latest attempt is a write in flight on a connection that was alive right before, so
+// that it can be taken to wait at its writer.
+func (req *activeRequest) hasVerifiedWrite() bool {
+	if len(req.attempts) == 0 {
 		return false
 	}
-	last := l.attempts[len(l.attempts)-1]
-	return !last.Read && last.out && last.verified.Load()
+	last := req.attempts[len(req.attempts)-1]
+	return !last.Read && last.inFlight && last.verified.Load()
 }
 
-// checkHeld is the guard of closing for what workers hold: it lets go of a state for which the limit has passed, whatever the
-// module thinks, and counts it. A state that its carrier keeps by leases is the carrier's.
-func (l *life) checkHeld() {
-	limit := l.settings.PinLimit
-	if limit <= 0 || l.Leased || !l.waiting || l.letGoOnce || l.heldFor() < limit+pinSlack || l.hasVerifiedWrite() {
+// checkHeld is the closing guard for states held at workers: it releases a state that is held past the limit, whatever the
+// module knows of it, and counts a violation. States under a lease are left to the transport, which releases them.
+func (req *activeRequest) checkHeld() {
+	limit := req.settings.PinLimit
+	if limit <= 0 || req.Leased || !req.stateWaiting || req.releasedAtLimit || req.heldFor() < limit+pinLimitGrace || req.hasVerifiedWrite() {
 		return
 	}
-	l.letGoOnce = true
-	l.core.Guard.Violated(invariant.Closing, "state held", "id", l.ID, "txn", l.Label, "held_ms", l.heldFor().Milliseconds())
-	l.startRelease("guard", l.reader, false)
+	req.releasedAtLimit = true
+	req.core.Guard.Violated(invariant.Closing, "state held", "id", req.ID, "txn", req.Label, "held_ms", req.heldFor().Milliseconds())
+	req.startRelease("guard", req.reader, false)
 }
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -10,23 +10,23 @@
 	"rowanyard/internal/invariant"
 )
 
-// violated is how often the guard of a step found an invariant broken.
-func violated(c *Core, step invariant.Step) int64 { return c.Guard.Counts()[step].Violated }
+// violations returns how many violations the guard of a step has counted.
+func violations(c *Core, step invariant.Step) int64 { return c.Guard.Counts()[step].Violated }
 
-// forgetful has the module know no pin limit, so that it lets go of nothing in time.
-func forgetful(t *testing.T, c *Core) {
+// disableModulePinLimit has the module run without a pin limit, so that it releases nothing in time.
+func disableModulePinLimit(t *testing.T, c *Core) {
 	t.Helper()
 	set := settings
 	set.PinLimit = 0
-	c.tell(func(now time.Duration, r *decide.Router) {
+	c.dispatch(func(now time.Duration, r *decide.Router) {
 		if err := r.Apply(now, set); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// writeWaits is a carrier of which reads end well and writes wait until they are called off.
-func writeWaits(verified bool) func(ctx context.Context, a Attempt) Result {
+// hangingWrites returns a try function of which reads succeed and writes wait until they are cancelled.
+func hangingWrites(verified bool) func(ctx context.Context, a Attempt) Result {
 	return func(ctx context.Context, a Attempt) Result {
 		if a.Allowed(); a.Read {
 			return Result{Status: decide.Read}
@@ -39,8 +39,8 @@
 	}
 }
 
-// The guard of repeating goes by what became of the attempts before, whatever the module has chosen.
-func TestGuardOfRepeating(t *testing.T) {
+// The repeating guard judges by the outcomes of the earlier attempts, whatever the module has chosen.
+func TestRepeatingGuard(t *testing.T) {
 	set := settings
 	for name, x := range map[string]struct {
 		class  int
@@ -48,25 +48,25 @@
 		read   bool
 		want   bool
 	}{
-		"unsafe, may have run":    {message, &attempt{mayHaveRun: true}, false, false},
-		"unsafe, still out":       {message, &attempt{out: true}, false, false},
-		"unsafe, never ran":       {message, &attempt{}, false, true},
-		"unsafe, read again":      {message, &attempt{mayHaveRun: true}, true, true},
-		"unsafe, after its read":  {message, &attempt{Attempt: Attempt{Read: true}}, false, true},
-		"safe, may have run":      {draft, &attempt{mayHaveRun: true}, false, true},
-		"safe, too many attempts": {draft, &attempt{}, false, true},
+		"unsafe, may have run":    {unsafeClass, &attempt{mayHaveRun: true}, false, false},
+		"unsafe, in flight":       {unsafeClass, &attempt{inFlight: true}, false, false},
+		"unsafe, never ran":       {unsafeClass, &attempt{}, false, true},
+		"unsafe, read again":      {unsafeClass, &attempt{mayHaveRun: true}, true, true},
+		"unsafe, after its read":  {unsafeClass, &attempt{Attempt: Attempt{Read: true}}, false, true},
+		"safe, may have run":      {safeClass, &attempt{mayHaveRun: true}, false, true},
+		"safe, too many attempts": {safeClass, &attempt{}, false, true},
 	} {
-		c := started(t, &scripted{}, "w")
-		l := &life{core: c, settings: &set, attempts: []*attempt{x.before}}
-		l.Class = x.class
-		if got := l.mayRepeat(x.read); got != x.want || (violated(c, invariant.Repeating) == 0) != x.want {
-			t.Errorf("%s: %v, %d violations", name, got, violated(c, invariant.Repeating))
+		c := newTestCore(t, &scriptedTransport{}, "w")
+		req := &activeRequest{core: c, settings: &set, attempts: []*attempt{x.before}}
+		req.Class = x.class
+		if got := req.checkRepeatAllowed(x.read); got != x.want || (violations(c, invariant.Repeating) == 0) != x.want {
+			t.Errorf("%s: allowed %v, %d violations", name, got, violations(c, invariant.Repeating))
 		}
 	}
-	c := started(t, &scripted{}, "w")
-	l := &life{core: c, settings: &set, attempts: make([]*attempt, set.MaxAttempts)}
-	if l.mayRepeat(true) {
-		t.Error("more attempts than there may be")
+	c := newTestCore(t, &scriptedTransport{}, "w")
+	req := &activeRequest{core: c, settings: &set, attempts: make([]*attempt, set.MaxAttempts)}
+	if req.checkRepeatAllowed(true) {
+		t.Error("an attempt beyond MaxAttempts is allowed")
 	}
 	for status, want := range map[decide.Status]bool{decide.Full: false, decide.ConnectFailed: false, decide.Moot: false,
 		decide.Errored: true, decide.TimedOut: true, decide.Reset: true, decide.Cancelled: true, decide.Served: true} {
@@ -76,12 +76,12 @@
 	}
 }
 
-// A carrier that sends without asking is found, and so is one that asks when nothing is due any more.
-func TestGuardOfSending(t *testing.T) {
-	s := &scripted{}
-	asks := true
+// The sending guard counts a transport that sends without asking it, and stops an attempt whose request has its answer.
+func TestSendingGuard(t *testing.T) {
+	s := &scriptedTransport{}
+	asksGuard := true
 	s.try = func(_ context.Context, a Attempt) Result {
-		if asks {
+		if asksGuard {
 			a.Allowed()
 		}
 		if a.Read {
@@ -89,71 +89,72 @@
 		}
 		return Result{Status: decide.Errored}
 	}
-	c := started(t, s, "w")
-	c.Serve(t.Context(), ask(message, time.Second), s)
-	settled(t, c)
-	if n := violated(c, invariant.Sending); n != 0 {
-		t.Errorf("%d violations of one that asks", n)
+	c := newTestCore(t, s, "w")
+	c.Serve(t.Context(), newRequest(unsafeClass, time.Second), s)
+	waitSettled(t, c)
+	if n := violations(c, invariant.Sending); n != 0 {
+		t.Errorf("%d violations by a transport that asks", n)
 	}
-	l := &life{core: c, client: t.Context()}
+	req := &activeRequest{core: c, client: t.Context()}
 	due := &attempt{Attempt: Attempt{To: Worker{Server: decide.Server{ID: "w"}}, Deadline: time.Now().Add(time.Minute)}}
-	if !l.allowed(due) {
-		t.Error("not allowed")
+	if !req.checkSendAllowed(due) {
+		t.Error("an attempt that is due is not allowed")
 	}
-	l.closed.Store(true)
-	if l.allowed(due) || c.Guard.Counts()[invariant.Sending].Stopped != 1 {
-		t.Error("sent for a request that has its answer")
+	req.answerFixed.Store(true)
+	if req.checkSendAllowed(due) || c.Guard.Counts()[invariant.Sending].Stopped != 1 {
+		t.Error("an attempt for a request that has its answer was not stopped")
 	}
 	unasked := &attempt{}
-	l.checkSent(unasked, decide.Moot)
-	if l.checkSent(unasked, decide.Reset); violated(c, invariant.Sending) != 1 {
-		t.Errorf("%d violations of one that has not asked", violated(c, invariant.Sending))
+	req.checkGuardWasAsked(unasked, decide.Moot)
+	if req.checkGuardWasAsked(unasked, decide.Reset); violations(c, invariant.Sending) != 1 {
+		t.Errorf("%d violations by a transport that does not ask, want 1", violations(c, invariant.Sending))
 	}
 }
 
-// A module that does not let go of a state before its write has shown a sign is found, and the state is let go all the same.
-func TestGuardOfClosing(t *testing.T) {
+// The closing guard counts a module that fails to release a state whose write never shows that it arrived, and releases the
+// state itself.
+func TestClosingGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scripted{try: writeWaits(false)}
-		c := started(t, s, "w")
-		forgetful(t, c)
+		s := &scriptedTransport{try: hangingWrites(false)}
+		c := newTestCore(t, s, "w")
+		disableModulePinLimit(t, c)
 		client, leave := context.WithCancel(t.Context())
 		began := time.Now()
-		go c.Serve(client, ask(message, time.Minute), s)
-		time.Sleep(settings.PinLimit + pinSlack)
+		go c.Serve(client, newRequest(unsafeClass, time.Minute), s)
+		time.Sleep(settings.PinLimit + pinLimitGrace)
 		synctest.Wait()
-		if n := violated(c, invariant.Closing); n != 1 || len(s.released) == 0 {
+		if n := violations(c, invariant.Closing); n != 1 || len(s.released) == 0 {
 			t.Errorf("%v after the read: %d violations, released at %v", time.Since(began), n, s.released)
 		}
 		leave()
-		settled(t, c)
+		waitSettled(t, c)
 	})
 }
 
-// A write that is out on a connection that was alive right before waits at its worker: the guard finds nothing, however long it
-// takes, and does not spin meanwhile (the clock of the test would stand still).
-func TestGuardOfClosingLeavesVerifiedWritesAlone(t *testing.T) {
+// A write in flight on a connection that was alive right before waits at its worker. The closing guard must count nothing,
+// however long the write takes, and must not spin meanwhile (the test's clock would stand still).
+func TestClosingGuardIgnoresVerifiedWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scripted{try: writeWaits(true)}
-		c := started(t, s, "w")
-		forgetful(t, c)
+		s := &scriptedTransport{try: hangingWrites(true)}
+		c := newTestCore(t, s, "w")
+		disableModulePinLimit(t, c)
 		client, leave := context.WithCancel(t.Context())
-		go c.Serve(client, ask(message, time.Minute), s)
+		go c.Serve(client, newRequest(unsafeClass, time.Minute), s)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if n := violated(c, invariant.Closing); n != 0 {
-			t.Errorf("%d violations", n)
+		if n := violations(c, invariant.Closing); n != 0 {
+			t.Errorf("%d violations, want none", n)
 		}
 		leave()
-		settled(t, c)
+		waitSettled(t, c)
 	})
 }
 
-// A read of unknown fate may have left a state. The next read may not arrive: what was left is let go at the limit all the same,
-// and not before, while the next read may be about to leave one.
-func TestWhatAReadMayHaveLeftIsLetGoAtTheLimit(t *testing.T) {
+// A read of unknown outcome may have left a state, and the next read may never arrive. The state must be released at the
+// pin limit, and not earlier, since the next read may be about to leave a state that the release would hit.
+func TestUnknownReadIsReleasedAtTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scripted{}
+		s := &scriptedTransport{}
 		s.try = func(ctx context.Context, a Attempt) Result {
 			if a.Allowed(); a.Number == 0 {
 				return Result{Status: decide.Reset}
@@ -161,38 +162,38 @@
 			<-ctx.Done()
 			return Result{Status: decide.Cancelled}
 		}
-		c := started(t, s, "w")
+		c := newTestCore(t, s, "w")
 		c.SetWorkers(false, []Worker{{Server: decide.Server{ID: "r2", Kind: 0}}})
 		client, leave := context.WithCancel(t.Context())
-		go c.Serve(client, ask(draft, time.Minute), s)
+		go c.Serve(client, newRequest(safeClass, time.Minute), s)
 		time.Sleep(settings.PinLimit - time.Millisecond)
 		synctest.Wait()
 		s.mu.Lock()
 		if len(s.tries) != 2 || len(s.released) > 0 {
-			t.Errorf("before the limit: %d attempts, released at %v", len(s.tries), s.released)
+			t.Errorf("before the limit: %d attempts, want 2, released at %v, want none", len(s.tries), s.released)
 		}
 		s.mu.Unlock()
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
 		s.mu.Lock()
 		if len(s.released) == 0 {
-			t.Error("not let go at the limit")
+			t.Error("not released at the limit")
 		}
 		s.mu.Unlock()
 		leave()
-		settled(t, c)
+		waitSettled(t, c)
 	})
 }
 
-// Once the process ends, nothing new is begun: it is refused, and may come again elsewhere.
-func TestGuardOfStarting(t *testing.T) {
-	s := &scripted{try: func(context.Context, Attempt) Result { return Result{Status: decide.Read} }}
-	c := started(t, s, "w")
+// Once the process shuts down, new requests are refused, so that their clients may retry elsewhere.
+func TestStartingGuard(t *testing.T) {
+	s := &scriptedTransport{try: func(context.Context, Attempt) Result { return Result{Status: decide.Read} }}
+	c := newTestCore(t, s, "w")
 	c.End()
-	if a := c.Serve(t.Context(), ask(message, time.Minute), s); a.Verdict != Refused {
-		t.Errorf("%+v", a)
+	if a := c.Serve(t.Context(), newRequest(unsafeClass, time.Minute), s); a.Verdict != Refused {
+		t.Errorf("got answer %+v, want a refusal", a)
 	}
 	if len(s.tries) > 0 || c.Guard.Counts()[invariant.Starting].Stopped != 1 {
-		t.Errorf("%d attempts", len(s.tries))
+		t.Errorf("%d attempts, want none and one stopped request", len(s.tries))
 	}
 }
--- a/internal/core/life.go
+++ b/internal/core/life.go
@@ -1,7 +1,7 @@
 package core
 
-// This file owns the life of one request, from its arrival until nothing is left to do for it: live reads from top to
-// bottom. It must never choose a worker, nor whether to try again: each choice comes from package decide.
+// This file runs one request, from its arrival until nothing is left to do for it; activeRequest.run is the loop to read
+// first. It chooses neither a worker nor whether to try again: it carries out the commands of package decide.
 
 import (
 	"cmp"
@@ -17,404 +17,416 @@
 	"rowanyard/decide"
 )
 
-// Limits of a request's life, none of them a decision on where it goes.
+// Limits on the course of a request.
 const (
-	overdue    = 15 * time.Millisecond  // what the module has left unanswered for so long is failed
-	settleMost = 250 * time.Millisecond // for an attempt's end to be seen, where no connect timeout is set
-	maxChoices = 64                     // of a request not yet carried out
-	guardLook  = 50 * time.Millisecond  // what is held past its limit is looked at so often
-	never      = 1 << 62 * time.Nanosecond
+	overdueGrace         = 15 * time.Millisecond     // past its deadline a request that the module has not answered is failed
+	defaultCancelGrace   = 250 * time.Millisecond    // for cancelled attempts to end, where no connect timeout is set
+	queueCapacity        = 64                        // of a request's queues of commands and of attempt events
+	heldCheckMinInterval = 50 * time.Millisecond     // between checks of a state that is held past its limit
+	farFuture            = 1 << 62 * time.Nanosecond // for a timer that is not set
 )
 
-// life is one request from its arrival until nothing is left to do for it.
-type life struct {
+// activeRequest is a request from its arrival until nothing is left to do for it. Its own goroutine executes run.
+type activeRequest struct {
 	decide.Request
 	core      *Core
 	settings  *decide.Settings // in force when the request came
-	client    context.Context  // ends when the client has gone
-	via       Carrier
+	client    context.Context  // ends when the client leaves
+	transport Carrier
 	arrived   time.Time
-	choices   chan choice        // what the module chose, in order
-	events    chan event         // what became of the attempts
+	commands  chan command       // from the module, in order
+	events    chan attemptEvent  // first tokens and ends of the attempts
 	streamEnd chan decide.Status // how the answer's stream ended
-	answer    chan Answer        // takes the one final answer
+	answer    chan Answer        // receives the one final answer
 
-	// Owned by live, but for verdict and retryAfter, which the core's lock guards: the module may
-	// settle the request from a timer while its first token arrives, and only one of them wins.
-	verdict      Verdict
-	retryAfter   time.Duration
-	answered     bool
-	attempts     []*attempt
-	out          int  // attempts without a result
-	streaming    bool // the answer's stream has not ended
-	stream       int  // the attempt that streams
-	left         bool // its client went while it streamed
-	held         bool // a state may be held for it at a worker
-	unknown      bool // a read ended without telling whether it left a state
-	waiting      bool // a read state waits and the module knows it
-	reader       Worker
-	reads        atomic.Int32 // that left a state
-	unknownSince time.Time    // a read of unknown fate ended then
-	heldSince    time.Time    // the state that waits has been held since then
-	letGoOnce    bool         // and was let go at the limit
-	closed       atomic.Bool  // the final answer is fixed
-	why          string       // the module's latest reason; the core's lock guards it
+	// The fields below are used by run's goroutine only, except for the atomic ones and for verdict, retryAfter and reason,
+	// which Core.mu guards: the module may settle the request from a timer while its first token arrives, and only one of
+	// the two gives the final answer.
+	verdict            Verdict
+	retryAfter         time.Duration
+	answered           bool
+	attempts           []*attempt
+	inFlight           int          // attempts without a result
+	streaming          bool         // the answer's stream has not ended
+	streamAttempt      int          // number of the attempt that streams
+	clientLeft         bool         // the client left while the answer streamed
+	mayHoldState       bool         // a worker may hold a state for the request
+	readOutcomeUnknown bool         // a read ended without telling whether it left a state
+	stateWaiting       bool         // a successful read left a state that no write has fetched
+	reader             Worker       // where that state is, or may be
+	successfulReads    atomic.Int32 // reads that left a state
+	unknownSince       time.Time    // end of the latest read whose outcome is unknown
+	heldSince          time.Time    // start of the current holding time of the waiting state
+	releasedAtLimit    bool         // the waiting state was released since heldSince, at the pin limit
+	answerFixed        atomic.Bool  // the final answer was delivered: no further attempt may be sent
+	reason             string       // the module's latest reason for a choice
 }
 
+// attempt is an attempt with what the core notes of it.
 type attempt struct {
 	Attempt
-	began  time.Time
-	cancel context.CancelCauseFunc
-	out    bool
+	began    time.Time
+	cancel   context.CancelCauseFunc
+	inFlight bool
 
-	checked    atomic.Bool // the guard of sending was asked
-	verified   atomic.Bool // its connection was alive right before
-	mayHaveRun bool        // it ended so that it may have had its effect
+	guardChecked atomic.Bool // the sending guard was asked
+	verified     atomic.Bool // the connection was alive right before the write
+	mayHaveRun   bool        // a write that may have taken effect, as far as its outcome tells
 }
 
-type event struct {
-	n int
+// attemptEvent is the first token (status 0) or the end of an attempt.
+type attemptEvent struct {
+	attemptNumber int
 	Result
 }
 
-// choice is one thing that the module wants done for a request.
-type choice struct {
-	do      action
-	worker  string
-	timeout time.Duration
-	n       int
+// command is what the module wants done for a request.
+type command struct {
+	kind          commandKind
+	worker        string        // send
+	timeout       time.Duration // send; 0 = until the client gives up
+	attemptNumber int           // cancel
 }
 
-type action int
+type commandKind int
 
 const (
-	send action = iota
-	cancel
-	settle // the final answer is fixed: verdict holds it
-	release
+	send    commandKind = iota // start an attempt
+	cancel                     // cancel an attempt
+	settle                     // deliver the final answer, which verdict holds
+	release                    // release the state that waits for a write that has not shown that it arrived
 )
 
+// The causes with which the contexts of attempts end.
 var (
 	errTimedOut  = errors.New("the attempt's time is up")
-	errCancelled = errors.New("called off")
+	errCancelled = errors.New("attempt cancelled")
 )
 
-// live is the life of one request, from top to bottom. The module is asked at each choice: when the
-// request comes, at each attempt's first token or end, and by its own timers. Its choices come back
-// on l.choices.
-func (l *life) live() {
-	defer l.core.running.End()
-	defer l.guard()
-	c := l.core
+// run executes the request until nothing is left to do. It reports the request, the first token and the end of each
+// attempt, and the client's departure to the module, and carries out the commands that come back on req.commands. The
+// module also sends commands from its own timers.
+func (req *activeRequest) run() {
+	defer req.core.running.End()
+	defer req.recoverPanic()
+	c := req.core
 
-	c.tell(func(now time.Duration, r *decide.Router) {
-		l.settings = c.Settings() // the module takes the request's class of the same
-		r.Request(now, l.Request)
+	c.dispatch(func(now time.Duration, r *decide.Router) {
+		req.settings = c.Settings() // those from which the module takes the request's class
+		r.Request(now, req.Request)
 	})
-	late := time.NewTimer(l.TimeLeft + overdue)
-	defer late.Stop()
-	held := time.NewTimer(never)
-	defer held.Stop()
-	gone := l.client.Done()
+	overdueTimer := time.NewTimer(req.TimeLeft + overdueGrace)
+	defer overdueTimer.Stop()
+	heldTimer := time.NewTimer(farFuture)
+	defer heldTimer.Stop()
+	clientGone := req.client.Done()
 
-	for !l.over() {
-		// Guards against a choice that came in the same instant: nothing is begun for a client that has gone.
-		if gone != nil && l.client.Err() != nil {
-			gone = nil
-			l.clientGone()
-			l.letGo()
+	for !req.done() {
+		// This comes before the select, which picks at random: a command that arrives at the moment the client leaves must
+		// not start an attempt for it.
+		if clientGone != nil && req.client.Err() != nil {
+			clientGone = nil
+			req.handleClientGone()
+			req.releaseIfDue()
 			continue
 		}
 		select {
-		case ch := <-l.choices:
-			switch ch.do {
+		case cmd := <-req.commands:
+			switch cmd.kind {
 			case send:
-				l.begin(ch)
+				req.startAttempt(cmd)
 			case cancel:
-				l.callOff(ch.n, errCancelled)
+				req.cancelAttempt(cmd.attemptNumber, errCancelled)
 			case settle:
-				l.finish()
+				req.deliverAnswer()
 			case release:
-				l.releaseBeforeArrival()
+				req.releaseUnconfirmedWrite()
 			}
-		case e := <-l.events:
+		case e := <-req.events:
 			if e.Status == 0 {
-				l.firstToken(e)
+				req.handleFirstToken(e)
 			} else {
-				l.ended(e)
+				req.handleAttemptEnd(e)
 			}
-		case status := <-l.streamEnd:
-			l.streamEnded(status)
-		case <-gone: // seen to above
-		case <-held.C: // seen to below
-		case <-late.C:
-			// Guards against a module that leaves a request unanswered: one final answer is owed,
-			// and failing promises nothing.
-			if l.settleAs(Failed) {
-				c.log.Error("overdue", "id", l.ID, "txn", l.Label, "class", l.Class)
-				c.tell(func(now time.Duration, r *decide.Router) { r.Left(now, l.ID) })
+		case status := <-req.streamEnd:
+			req.handleStreamEnd(status)
+		case <-clientGone: // handled at the top of the loop
+		case <-heldTimer.C: // handled below
+		case <-overdueTimer.C:
+			// The module has left the request unanswered past its deadline. The client is owed a final answer, and a failure
+			// is the one that promises nothing.
+			if req.settleAs(Failed) {
+				c.log.Error("overdue", "id", req.ID, "txn", req.Label, "class", req.Class)
+				c.dispatch(func(now time.Duration, r *decide.Router) { r.Left(now, req.ID) })
 			}
 		}
-		l.letGo()
-		l.checkHeld()
-		switch limit := l.settings.PinLimit; {
+		req.releaseIfDue()
+		req.checkHeld()
+		switch limit := req.settings.PinLimit; {
 		case limit <= 0:
-		case l.waiting && !l.letGoOnce:
-			held.Reset(max(guardLook, limit+pinSlack-l.heldFor()))
-		case l.unknown && !l.waiting:
-			held.Reset(max(guardLook, limit-time.Since(l.unknownSince)))
+		case req.stateWaiting && !req.releasedAtLimit:
+			heldTimer.Reset(max(heldCheckMinInterval, limit+pinLimitGrace-req.heldFor()))
+		case req.readOutcomeUnknown && !req.stateWaiting:
+			heldTimer.Reset(max(heldCheckMinInterval, limit-time.Since(req.unknownSince)))
 		}
 	}
 }
 
-// clientGone ends what the client will not see.
-func (l *life) clientGone() {
-	if l.settleAs(Gone) {
-		l.core.tell(func(now time.Duration, r *decide.Router) { r.Left(now, l.ID) })
-	} else if l.streaming {
+// handleClientGone settles the request once its client has left, or closes the stream that nobody reads any more.
+func (req *activeRequest) handleClientGone() {
+	if req.settleAs(Gone) {
+		req.core.dispatch(func(now time.Duration, r *decide.Router) { r.Left(now, req.ID) })
+	} else if req.streaming {
 		// Guards against a stream that goes on, or hangs, with nobody to read it.
-		l.left = true
-		l.attempts[l.stream].cancel(errCancelled)
+		req.clientLeft = true
+		req.attempts[req.streamAttempt].cancel(errCancelled)
 	}
 }
 
-// over says that nothing is left to do.
-func (l *life) over() bool {
-	return l.answered && l.out == 0 && !l.streaming && !l.held && len(l.choices) == 0
+// done reports whether nothing is left to do for the request.
+func (req *activeRequest) done() bool {
+	return req.answered && req.inFlight == 0 && !req.streaming && !req.mayHoldState && len(req.commands) == 0
 }
 
-// guard ends a life that panicked with a failure, so that its client is answered all the same.
-func (l *life) guard() {
+// recoverPanic removes the request when run returns. If run panicked it first cancels the attempts and answers the client
+// with a failure, unless it has its answer.
+func (req *activeRequest) recoverPanic() {
 	p := recover()
 	if p != nil {
-		l.core.log.Error("request panicked", "id", l.ID, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
-		l.callOffAll()
-		if !l.answered {
-			l.answer <- Answer{Verdict: Failed}
+		req.core.log.Error("request panicked", "id", req.ID, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+		req.cancelAttempts()
+		if !req.answered {
+			req.answer <- Answer{Verdict: Failed}
 		}
 	}
-	l.core.mu.Lock()
-	delete(l.core.lives, l.ID)
-	l.core.mu.Unlock()
+	req.core.mu.Lock()
+	delete(req.core.requests, req.ID)
+	req.core.mu.Unlock()
 }
 
-// settleAs fixes the final answer, unless it is fixed already.
-func (l *life) settleAs(v Verdict) bool {
-	l.core.mu.Lock()
-	won := l.verdict == Open
+// settleAs fixes and delivers the final answer, unless one is fixed already. It reports whether it did.
+func (req *activeRequest) settleAs(v Verdict) bool {
+	req.core.mu.Lock()
+	won := req.verdict == Open
 	if won {
-		l.verdict = v
+		req.verdict = v
 	}
-	l.core.mu.Unlock()
+	req.core.mu.Unlock()
 	if won {
-		l.finish()
+		req.deliverAnswer()
 	}
 	return won
 }
 
-// finish gives the final answer at once and calls off what nobody will read any more.
-func (l *life) finish() {
-	if l.answered {
+// deliverAnswer delivers the final answer that verdict holds, without waiting for the attempts in flight, and cancels them,
+// as nobody will read what they return.
+func (req *activeRequest) deliverAnswer() {
+	if req.answered {
 		return
 	}
-	l.core.mu.Lock()
-	a := Answer{Verdict: l.verdict, RetryAfter: l.retryAfter}
-	l.core.mu.Unlock()
-	l.answered = true
-	l.closed.Store(true)
-	l.answer <- a
-	l.log(a.Verdict, "")
-	l.callOffAll()
+	req.core.mu.Lock()
+	a := Answer{Verdict: req.verdict, RetryAfter: req.retryAfter}
+	req.core.mu.Unlock()
+	req.answered = true
+	req.answerFixed.Store(true)
+	req.answer <- a
+	req.log(a.Verdict, "")
+	req.cancelAttempts()
 }
 
-func (l *life) callOffAll() {
-	for n := range l.attempts {
-		l.callOff(n, errCancelled)
+// cancelAttempts cancels all attempts in flight.
+func (req *activeRequest) cancelAttempts() {
+	for n := range req.attempts {
+		req.cancelAttempt(n, errCancelled)
 	}
 }
 
-func (l *life) log(v Verdict, worker string) {
+// log logs the final answer.
+func (req *activeRequest) log(v Verdict, worker string) {
 	names := [...]string{"open", "streaming", "refused", "failed", "gone"}
 	level := slog.LevelInfo
 	if v == Streaming {
 		level = slog.LevelDebug
 	}
-	l.core.log.Log(context.Background(), level, "answer", "verdict", names[v], "id", l.ID, "txn", l.Label, "class", l.Class,
-		"why", l.reason(), "after_ms", time.Since(l.arrived).Milliseconds(), "left_ms", l.TimeLeft.Milliseconds(),
-		"attempts", len(l.attempts), "prompt", l.Prompt, "worker", worker)
+	req.core.log.Log(context.Background(), level, "answer", "verdict", names[v], "id", req.ID, "txn", req.Label, "class", req.Class,
+		"why", req.latestReason(), "after_ms", time.Since(req.arrived).Milliseconds(), "left_ms", req.TimeLeft.Milliseconds(),
+		"attempts", len(req.attempts), "prompt", req.Prompt, "worker", worker)
 }
 
-// begin starts the attempt that the module chose.
-func (l *life) begin(ch choice) {
-	c := l.core
-	w, _ := c.Worker(ch.worker)
-	wait := l.TimeLeft - time.Since(l.arrived)
-	if ch.timeout > 0 {
-		wait = min(wait, ch.timeout)
+// startAttempt starts the attempt that the module has chosen. One that a guard stops, or whose worker is not listed any
+// more, ends at once as Moot.
+func (req *activeRequest) startAttempt(cmd command) {
+	c := req.core
+	w, _ := c.Worker(cmd.worker)
+	remaining := req.TimeLeft - time.Since(req.arrived)
+	if cmd.timeout > 0 {
+		remaining = min(remaining, cmd.timeout)
 	}
-	n, now := len(l.attempts), time.Now()
-	a := &attempt{Attempt: Attempt{Number: n, To: w, Deadline: now.Add(wait), Read: l.isRead(w), Settle: l.settle()}, began: now, out: true}
-	a.Allowed = func() bool { return l.allowed(a) }
-	a.Verify = !a.Read && l.waiting && l.settings.CanProbe
+	n, now := len(req.attempts), time.Now()
+	a := &attempt{Attempt: Attempt{Number: n, To: w, Deadline: now.Add(remaining), Read: req.isReader(w), Settle: req.cancelGrace()}, began: now, inFlight: true}
+	a.Allowed = func() bool { return req.checkSendAllowed(a) }
+	a.Verify = !a.Read && req.stateWaiting && req.settings.CanProbe
 	a.Verified = func() {
 		a.verified.Store(true)
-		c.tell(func(now time.Duration, r *decide.Router) { r.Verified(now, l.ID, n) })
+		c.dispatch(func(now time.Duration, r *decide.Router) { r.Verified(now, req.ID, n) })
 	}
-	may := l.mayRepeat(a.Read)
-	l.attempts = append(l.attempts, a)
-	l.out++
-	if w.ID == "" || !may || !a.Allowed() {
+	repeatAllowed := req.checkRepeatAllowed(a.Read)
+	req.attempts = append(req.attempts, a)
+	req.inFlight++
+	if w.ID == "" || !repeatAllowed || !a.Allowed() {
 		a.cancel = func(error) {}
-		l.events <- event{n, Result{Status: decide.Moot}}
+		req.events <- attemptEvent{n, Result{Status: decide.Moot}}
 		return
 	}
-	up := time.Duration(0) // what the module was told of how long w runs, 0 = long
+	uptime := time.Duration(0) // of w as the module knows it, 0 = long
 	if w.Since > 0 {
-		up = max(time.Millisecond, c.clock()-w.Since)
+		uptime = max(time.Millisecond, c.clock()-w.Since)
 	}
-	c.log.Debug("send", "id", l.ID, "txn", l.Label, "n", n, "why", l.reason(), "worker", w.ID, "kind", w.Kind, "read", a.Read, "up_ms", up.Milliseconds())
+	c.log.Debug("send", "id", req.ID, "txn", req.Label, "n", n, "why", req.latestReason(), "worker", w.ID, "kind", w.Kind, "read", a.Read, "up_ms", uptime.Milliseconds())
 	ctx, stop := context.WithCancelCause(context.Background())
-	timer := time.AfterFunc(wait, func() { stop(errTimedOut) })
+	timer := time.AfterFunc(remaining, func() { stop(errTimedOut) })
 	a.cancel = stop
 	go func() {
 		defer func() {
 			if p := recover(); p != nil {
-				c.log.Error("attempt panicked", "id", l.ID, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
-				l.events <- event{n, Result{Status: decide.Reset}}
+				c.log.Error("attempt panicked", "id", req.ID, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+				req.events <- attemptEvent{n, Result{Status: decide.Reset}}
 			}
 		}()
-		res := l.via.Try(ctx, a.Attempt)
-		if !timer.Stop() && res.Status == 0 { // its time ran out with the first token: the stream is cut already
+		res := req.transport.Try(ctx, a.Attempt)
+		if !timer.Stop() && res.Status == 0 { // the deadline passed as the first token came: the stream is closed already
 			res = Result{Status: decide.Cancelled}
 		}
 		if res.Status == decide.Cancelled && errors.Is(context.Cause(ctx), errTimedOut) {
 			res.Status = decide.TimedOut
 		}
-		l.events <- event{n, res}
+		req.events <- attemptEvent{n, res}
 	}()
 }
 
-// settle is how long an attempt that is called off may take to end at its worker. Guards against a next attempt, or a
-// refusal, that overtakes the close of the one before: that is out still, so there are two of a request that must not
-// run twice. A worker in reach shows its end within a round trip. One that is out of reach shows nothing: what was
-// written has reached it after the connect timeout, or never does. What is held meanwhile must still be let go in time.
-func (l *life) settle() time.Duration {
-	set := l.settings
-	if !l.isUnsafe() {
+// cancelGrace returns how long a cancelled attempt may take to be seen ending at its worker. Only requests that must not
+// run twice wait for this: otherwise the next attempt, or the client's retry after a refusal, could overtake the close of
+// the cancelled one, and two would be under way. A reachable worker shows the end within a round trip. An unreachable one
+// shows nothing, but what was written reaches it within the connect timeout or never. At most half of the pin limit is
+// used, so that the state held meanwhile can still be released in time.
+func (req *activeRequest) cancelGrace() time.Duration {
+	set := req.settings
+	if !req.isUnsafe() {
 		return 0
 	}
-	limit := cmp.Or(set.ConnectTimeout, settleMost)
+	limit := cmp.Or(set.ConnectTimeout, defaultCancelGrace)
 	if set.PinLimit > 0 {
 		limit = min(limit, set.PinLimit/2)
 	}
 	return limit
 }
 
-// isRead says whether an attempt at w is the first of two stages.
-func (l *life) isRead(w Worker) bool {
-	kinds := l.settings.Kinds
+// isReader reports whether w is a reader, so that an attempt there is the first of the two stages.
+func (req *activeRequest) isReader(w Worker) bool {
+	kinds := req.settings.Kinds
 	return w.Kind >= 0 && w.Kind < len(kinds) && kinds[w.Kind].Role == decide.Reader
 }
 
-// callOff stops waiting for an attempt.
-func (l *life) callOff(n int, why error) {
-	if n >= 0 && n < len(l.attempts) && l.attempts[n].out {
-		l.attempts[n].cancel(why)
+// cancelAttempt cancels an attempt, if it is in flight. Its end still comes as an event.
+func (req *activeRequest) cancelAttempt(n int, why error) {
+	if n >= 0 && n < len(req.attempts) && req.attempts[n].inFlight {
+		req.attempts[n].cancel(why)
 	}
 }
 
-// firstToken hands the stream to the client, if the request is still open. From then on it has no
-// deadline and nothing more is sent for it.
-func (l *life) firstToken(e event) {
-	a, c := l.attempts[e.n], l.core
-	l.checkSent(a, e.Status)
+// handleFirstToken answers the client with the attempt's stream, if the request has no final answer yet. From then on the
+// request has no deadline and no further attempts, and the others in flight are cancelled.
+func (req *activeRequest) handleFirstToken(e attemptEvent) {
+	a, c := req.attempts[e.attemptNumber], req.core
+	req.checkGuardWasAsked(a, e.Status)
 	a.mayHaveRun = true
-	c.hears(a.To.ID, true)
+	c.recordContact(a.To.ID, true)
 	c.mu.Lock()
-	won := l.verdict == Open
+	won := req.verdict == Open
 	if won {
-		l.verdict = Streaming
-		c.tellLocked(func(now time.Duration, r *decide.Router) {
-			r.Started(now, decide.Started{ID: l.ID, Attempt: e.n, Server: a.To.ID, Took: time.Since(a.began)})
+		req.verdict = Streaming
+		c.dispatchLocked(func(now time.Duration, r *decide.Router) {
+			r.Started(now, decide.Started{ID: req.ID, Attempt: e.attemptNumber, Server: a.To.ID, Took: time.Since(a.began)})
 		})
 	}
 	c.mu.Unlock()
-	if !won { // a first token that comes after the final answer: nobody will read it
+	if !won { // the token came after the final answer: nobody will read the stream
 		a.cancel(errCancelled)
-		l.ended(event{e.n, Result{Status: decide.Cancelled, Stream: e.Stream}})
+		req.handleAttemptEnd(attemptEvent{e.attemptNumber, Result{Status: decide.Cancelled, Stream: e.Stream}})
 		return
 	}
-	l.answered, l.streaming, l.stream = true, true, e.n
-	l.closed.Store(true)
-	l.held, l.unknown, l.waiting = false, false, false // goes by itself with the first token
-	l.out--
-	a.out = false
+	req.answered, req.streaming, req.streamAttempt = true, true, e.attemptNumber
+	req.answerFixed.Store(true)
+	req.mayHoldState, req.readOutcomeUnknown, req.stateWaiting = false, false, false // the first token frees the state
+	req.inFlight--
+	a.inFlight = false
 	var once sync.Once
-	l.answer <- Answer{Verdict: Streaming, Stream: e.Stream, Worker: a.To, Ended: func(s decide.Status) {
-		once.Do(func() { a.cancel(errCancelled); l.streamEnd <- s })
+	req.answer <- Answer{Verdict: Streaming, Stream: e.Stream, Worker: a.To, Ended: func(s decide.Status) {
+		once.Do(func() { a.cancel(errCancelled); req.streamEnd <- s })
 	}}
-	l.log(Streaming, a.To.ID)
-	l.callOffAll()
+	req.log(Streaming, a.To.ID)
+	req.cancelAttempts()
 }
 
-// streamEnded tells the module how the answer's stream ended. Where it broke, the client's
-// connection ends with it, and nothing is sent again: the client has had its one answer.
-func (l *life) streamEnded(status decide.Status) {
-	l.streaming = false
-	if l.left && status != decide.Served {
-		status = decide.Cancelled // the break is the client's doing, not the worker's
+// handleStreamEnd reports to the module how the answer's stream ended. A stream that broke is not resumed by a further
+// attempt: the client's connection ends with it, as the client has had its one answer.
+func (req *activeRequest) handleStreamEnd(status decide.Status) {
+	req.streaming = false
+	if req.clientLeft && status != decide.Served {
+		status = decide.Cancelled // not counted against the worker: the client left
 	}
 	if status != decide.Served {
-		l.core.log.Info("stream broke off", "id", l.ID, "txn", l.Label, "worker", l.attempts[l.stream].To.ID, "status", statusName(status))
+		req.core.log.Info("stream broke off", "id", req.ID, "txn", req.Label, "worker", req.attempts[req.streamAttempt].To.ID, "status", statusName(status))
 	}
-	l.outcome(l.stream, Result{Status: status})
+	req.reportOutcome(req.streamAttempt, Result{Status: status})
 }
 
-// ended takes the end of an attempt that did not stream to the client.
-func (l *life) ended(e event) {
-	a := l.attempts[e.n]
-	l.checkSent(a, e.Status)
-	a.out, a.mayHaveRun = false, !a.Read && mayHaveRun(e.Status)
-	l.out--
-	a.cancel(errCancelled) // frees its context
+// handleAttemptEnd handles the end of an attempt that did not stream to the client: it notes what the attempt left at
+// workers and reports the outcome to the module.
+func (req *activeRequest) handleAttemptEnd(e attemptEvent) {
+	a := req.attempts[e.attemptNumber]
+	req.checkGuardWasAsked(a, e.Status)
+	a.inFlight, a.mayHaveRun = false, !a.Read && mayHaveRun(e.Status)
+	req.inFlight--
+	a.cancel(errCancelled) // frees the context
 	if e.Status != decide.Moot {
-		l.core.hears(a.To.ID, e.Status == decide.Read || e.Status == decide.Full || e.Status == decide.Errored)
+		req.core.recordContact(a.To.ID, e.Status == decide.Read || e.Status == decide.Full || e.Status == decide.Errored)
 	}
 	switch {
 	case e.Status == decide.Read:
-		l.held, l.waiting, l.reader = true, true, a.To
-		l.heldSince, l.letGoOnce = time.Now(), false
-		l.reads.Add(1)
-		if said, ok := l.Kept[a.To.ID]; ok && l.core.Texts != nil {
-			l.core.Texts.Found(a.To.ID, said, e.Kept)
+		req.mayHoldState, req.stateWaiting, req.reader = true, true, a.To
+		req.heldSince, req.releasedAtLimit = time.Now(), false
+		req.successfulReads.Add(1)
+		if predicted, ok := req.Kept[a.To.ID]; ok && req.core.Texts != nil {
+			req.core.Texts.Found(a.To.ID, predicted, e.Kept)
 		}
 	case e.NoState:
-		l.waiting = false
+		req.stateWaiting = false
 	case !a.Read && (a.verified.Load() || e.Status == decide.Errored || e.Status == decide.Full):
-		// It had arrived: the time begins anew.
-		l.heldSince, l.letGoOnce = time.Now(), false
+		// The write had arrived at the writer: the holding time of the state starts anew.
+		req.heldSince, req.releasedAtLimit = time.Now(), false
 	case a.Read && (e.Status == decide.TimedOut || e.Status == decide.Cancelled || e.Status == decide.Reset ||
 		e.Status == decide.Errored):
-		// It may have ended well just as its connection closed: a state may wait there all the same.
-		l.held, l.unknown, l.reader = true, true, a.To
-		l.unknownSince = time.Now()
+		// The read may have succeeded just as its connection closed, and have left a state at the reader.
+		req.mayHoldState, req.readOutcomeUnknown, req.reader = true, true, a.To
+		req.unknownSince = time.Now()
 	}
 	level := slog.LevelInfo
 	if e.Status == decide.Read {
 		level = slog.LevelDebug
 	}
-	l.core.log.Log(context.Background(), level, "attempt", "id", l.ID, "txn", l.Label, "n", e.n, "worker", a.To.ID, "status", statusName(e.Status),
+	req.core.log.Log(context.Background(), level, "attempt", "id", req.ID, "txn", req.Label, "n", e.attemptNumber, "worker", a.To.ID, "status", statusName(e.Status),
 		"took_ms", time.Since(a.began).Milliseconds(), "read", a.Read, "no_state", e.NoState, "kept", e.Kept,
-		"prompt", l.Prompt, "held_ms", l.heldFor().Milliseconds(), "err", e.Err)
-	l.outcome(e.n, e.Result)
+		"prompt", req.Prompt, "held_ms", req.heldFor().Milliseconds(), "err", e.Err)
+	req.reportOutcome(e.attemptNumber, e.Result)
 }
 
-// outcome tells the module of an attempt's end.
-func (l *life) outcome(n int, res Result) {
-	a, c := l.attempts[n], l.core
+// reportOutcome reports the end of an attempt to the module.
+func (req *activeRequest) reportOutcome(n int, res Result) {
+	a, c := req.attempts[n], req.core
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := decide.Outcome{ID: l.ID, Attempt: n, Server: a.To.ID, Status: res.Status, Took: time.Since(a.began),
-		Final: l.verdict != Open, Kept: res.Kept, NoState: res.NoState}
-	c.tellLocked(func(now time.Duration, r *decide.Router) { r.Outcome(now, o) })
+	o := decide.Outcome{ID: req.ID, Attempt: n, Server: a.To.ID, Status: res.Status, Took: time.Since(a.began),
+		Final: req.verdict != Open, Kept: res.Kept, NoState: res.NoState}
+	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Outcome(now, o) })
 }
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -1,6 +1,7 @@
 package core
 
-// This file owns the release of what workers hold for a request that is over, or that has left a state of unknown fate.
+// This file releases the state that workers hold for a request that is over, or that a read of unknown outcome may have
+// left behind.
 
 import (
 	"cmp"
@@ -14,187 +15,191 @@
 
 // Limits of releases.
 const (
-	releaseNext  = 40 * time.Millisecond  // one unanswered for so long is sent to another worker too
-	releaseWait  = 250 * time.Millisecond // and is given up after this
-	releaseTries = 8
-	reachWait    = 100 * time.Millisecond // a worker that has not answered a probe by then is out of reach
-	releaseAgain = 100 * time.Millisecond // a read of unknown fate is let go a second time after this
-	heardLately  = 10 * time.Second       // a worker that has answered within this is asked before others
+	releaseHedgeDelay   = 40 * time.Millisecond  // a call unanswered for this long is sent to another worker too
+	releaseTimeout      = 250 * time.Millisecond // of one call
+	maxReleaseCalls     = 8                      // of one release, each to another worker
+	reachProbeTimeout   = 100 * time.Millisecond // a worker that does not answer a probe within this is out of reach
+	secondReleaseDelay  = 100 * time.Millisecond // between the two releases after a read of unknown outcome
+	recentContactWindow = 10 * time.Second       // workers that answered within this are asked before others
 )
 
-// letGo releases what may be held for the request once none of its attempts is out: always when it is answered, and before that
-// where a read of unknown fate may have left a state that the module does not know of. That one goes at the pin limit though
-// an attempt is out, as what was sent after it need not have arrived; not before, as a release that is late on its way
-// would let go of what the next read leaves.
-func (l *life) letGo() {
-	ended := l.answered && len(l.choices) == 0
-	leftBehind := l.unknown && !l.waiting && len(l.choices) == 0
-	if l.leftBehindTooLong() && l.out > 0 {
-		l.unknown = false // what is still held in the end is let go then
-		l.releaseUnlessInReach(l.attempts[len(l.attempts)-1].To)
+// releaseIfDue releases the state that may be held for the request once no attempt is in flight: always if the request is
+// answered, and before that if a read of unknown outcome may have left a state that the module does not know of. At the pin
+// limit the latter is released although a further attempt is in flight, since that attempt need not have arrived. It is
+// not released earlier, since a release that is delayed on its way would hit the state that the next read leaves.
+func (req *activeRequest) releaseIfDue() {
+	requestDone := req.answered && len(req.commands) == 0
+	unknownReadLeft := req.readOutcomeUnknown && !req.stateWaiting && len(req.commands) == 0
+	if req.unknownReadPastLimit() && req.inFlight > 0 {
+		req.readOutcomeUnknown = false // mayHoldState stays: what is left at the end is released then
+		req.releaseIfUnreachable(req.attempts[len(req.attempts)-1].To)
 		return
 	}
-	if !l.held || l.out > 0 || !ended && !leftBehind {
+	if !req.mayHoldState || req.inFlight > 0 || !requestDone && !unknownReadLeft {
 		return
 	}
 	why := "answered"
-	if leftBehind {
-		why = "read of unknown fate"
+	if unknownReadLeft {
+		why = "read of unknown outcome"
 	}
-	l.startRelease(why, l.reader, l.unknown)
-	l.held, l.unknown, l.waiting = false, false, false
+	req.startRelease(why, req.reader, req.readOutcomeUnknown)
+	req.mayHoldState, req.readOutcomeUnknown, req.stateWaiting = false, false, false
 }
 
-// leftBehindTooLong says that the pin limit has passed since a read of unknown fate ended, and nothing has come of what was
-// sent after it.
-func (l *life) leftBehindTooLong() bool {
-	limit := l.settings.PinLimit
-	return l.unknown && !l.waiting && !l.answered && limit > 0 && time.Since(l.unknownSince) >= limit
+// unknownReadPastLimit reports whether the pin limit has passed since a read of unknown outcome ended, and no later read
+// has succeeded.
+func (req *activeRequest) unknownReadPastLimit() bool {
+	limit := req.settings.PinLimit
+	return req.readOutcomeUnknown && !req.stateWaiting && !req.answered && limit > 0 && time.Since(req.unknownSince) >= limit
 }
 
-// releaseBeforeArrival lets go of a state whose write is out and has not shown that it arrived. What is still held when its
-// attempts have ended is let go then.
-func (l *life) releaseBeforeArrival() {
-	if l.held && l.out > 0 && !l.answered {
-		l.letGoOnce = true
-		l.startRelease("limit, no sign of the write", l.reader, false)
+// releaseUnconfirmedWrite releases a state whose write is in flight and has not shown that it arrived. Once no attempt is in
+// flight any more, releaseIfDue releases again.
+func (req *activeRequest) releaseUnconfirmedWrite() {
+	if req.mayHoldState && req.inFlight > 0 && !req.answered {
+		req.releasedAtLimit = true
+		req.startRelease("limit, write not confirmed", req.reader, false)
 	}
 }
 
-// releaseUnlessInReach lets go of what a read of unknown fate may have left, unless the worker that was sent the request next is
-// in reach: the attempt there is likely to be under way then, and a release could take what it is about to leave.
-func (l *life) releaseUnlessInReach(next Worker) {
-	if !l.settings.CanProbe {
-		l.startRelease("read of unknown fate", Worker{}, false)
+// releaseIfUnreachable releases what a read of unknown outcome may have left, unless next, the worker that the request was
+// sent to after that, answers a probe: then the attempt there is probably under way, and a release could hit the state that
+// it is about to leave.
+func (req *activeRequest) releaseIfUnreachable(next Worker) {
+	if !req.settings.CanProbe {
+		req.startRelease("read of unknown outcome", Worker{}, false)
 		return
 	}
-	reads := l.reads.Load()
-	l.core.running.Begin()
+	successfulReads := req.successfulReads.Load()
+	req.core.running.Begin()
 	go func() {
-		defer l.core.running.End()
-		ctx, stop := context.WithTimeout(context.Background(), reachWait)
+		defer req.core.running.End()
+		ctx, stop := context.WithTimeout(context.Background(), reachProbeTimeout)
 		defer stop()
-		if _, err := l.core.prober.Probe(ctx, next); err != nil && l.reads.Load() == reads {
-			l.startRelease("read of unknown fate, no sign of the next", Worker{}, false)
+		if _, err := req.core.prober.Probe(ctx, next); err != nil && req.successfulReads.Load() == successfulReads {
+			req.startRelease("read of unknown outcome, next worker unreachable", Worker{}, false)
 		}
 	}()
 }
 
-// startRelease releases what is held, unless another read has left a state by then. first is asked before others: the worker that
-// has the state, or none where its answer may be late, and a late release would let go of what the next read leaves. again has
-// it done once more a little later.
-func (l *life) startRelease(why string, first Worker, again bool) {
-	reads := l.reads.Load()
-	l.core.log.Info("release", "id", l.ID, "txn", l.Label, "why", why, "first", first.ID)
-	l.core.running.Begin()
-	go l.core.release(l, first, again, func() bool { return l.reads.Load() == reads })
+// startRelease releases the state held for the request in the background, and stops as soon as a further read has left a
+// state, which is wanted. preferred is asked first: the worker that has the state. It is empty where that worker may be
+// slow to act, since a late release would hit the state that the next read leaves. repeat has the release done a second
+// time after secondReleaseDelay.
+func (req *activeRequest) startRelease(why string, preferred Worker, repeat bool) {
+	successfulReads := req.successfulReads.Load()
+	req.core.log.Info("release", "id", req.ID, "txn", req.Label, "why", why, "first", preferred.ID)
+	req.core.running.Begin()
+	go req.core.release(req, preferred, repeat, func() bool { return req.successfulReads.Load() == successfulReads })
 }
 
-// hears notes whether a worker has answered.
-func (c *Core) hears(id string, answered bool) {
+// recordContact notes whether a worker answered the latest call to it.
+func (c *Core) recordContact(workerID string, answered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, ok := c.workers[id]; ok && answered {
-		c.heard[id] = time.Now()
+	if _, ok := c.workers[workerID]; ok && answered {
+		c.lastContact[workerID] = time.Now()
 	} else {
-		delete(c.heard, id)
+		delete(c.lastContact, workerID)
 	}
 }
 
-// release lets go of all that is held for a request, at any worker that answers. A worker may be
-// dead, silent or cut off, so the next is asked soon, and while the first may still answer. Where the fate
-// of a read is unknown it is done once more a little later: the state may appear just after the first call.
-// still says that no further read has left a state meanwhile, which is wanted.
-func (c *Core) release(l *life, first Worker, unknown bool, still func() bool) {
+// release has workers release all state held for a request, see releaseAtAny. repeat does it a second time after
+// secondReleaseDelay: after a read of unknown outcome, the state may appear just after the first release. stillNeeded
+// returns false once a further read has left a state, which must stay.
+func (c *Core) release(req *activeRequest, preferred Worker, repeat bool, stillNeeded func() bool) {
 	defer c.running.End()
-	ok := c.releaseOnce(l, first, still)
-	if unknown {
-		time.Sleep(releaseAgain)
-		if still() {
-			ok = c.releaseOnce(l, first, still) || ok
+	ok := c.releaseOnce(req, preferred, stillNeeded)
+	if repeat {
+		time.Sleep(secondReleaseDelay)
+		if stillNeeded() {
+			ok = c.releaseOnce(req, preferred, stillNeeded) || ok
 		}
 	}
-	if !ok && still() {
-		c.log.Error("nothing took the release", "id", l.ID, "txn", l.Label)
+	if !ok && stillNeeded() {
+		c.log.Error("nothing took the release", "id", req.ID, "txn", req.Label)
 	}
 }
 
-// ReleaseAnywhere has call let go of what is held for a request that is over, at one worker after the other until
-// one has answered.
-func (c *Core) ReleaseAnywhere(wait time.Duration, call func(ctx context.Context, at Worker) error) bool {
-	return c.releaseAt(Worker{}, func() bool { return true }, wait, call)
+// ReleaseAnywhere releases the state held for a request that is over. It runs call, which sends the release to one worker
+// and is given timeout, for one worker after the other until one succeeds, and reports whether one did.
+func (c *Core) ReleaseAnywhere(timeout time.Duration, call func(ctx context.Context, at Worker) error) bool {
+	return c.releaseAtAny(Worker{}, func() bool { return true }, timeout, call)
 }
 
-// releaseOnce asks one worker after the other until one has answered.
-func (c *Core) releaseOnce(l *life, first Worker, still func() bool) bool {
-	return c.releaseAt(first, still, releaseWait, func(ctx context.Context, w Worker) error {
-		err := l.via.Release(ctx, w)
+// releaseOnce has the request's transport send the release to one worker after the other until one succeeds, and reports
+// whether one did.
+func (c *Core) releaseOnce(req *activeRequest, preferred Worker, stillNeeded func() bool) bool {
+	return c.releaseAtAny(preferred, stillNeeded, releaseTimeout, func(ctx context.Context, w Worker) error {
+		err := req.transport.Release(ctx, w)
 		if err != nil {
-			c.log.Warn("release failed", "id", l.ID, "txn", l.Label, "worker", w.ID, "err", err)
+			c.log.Warn("release failed", "id", req.ID, "txn", req.Label, "worker", w.ID, "err", err)
 		}
 		return err
 	})
 }
 
-func (c *Core) releaseAt(first Worker, still func() bool, wait time.Duration, release func(context.Context, Worker) error) bool {
-	all := c.releasers(first)
-	all = all[:min(len(all), releaseTries)]
-	done := make(chan error, len(all))
+// releaseAtAny runs release for one worker after the other until one succeeds, and reports whether one did. A worker may be
+// dead, silent or cut off, so the next is asked after releaseHedgeDelay while the calls before may still succeed.
+func (c *Core) releaseAtAny(preferred Worker, stillNeeded func() bool, timeout time.Duration, release func(context.Context, Worker) error) bool {
+	candidates := c.releaseCandidates(preferred)
+	candidates = candidates[:min(len(candidates), maxReleaseCalls)]
+	done := make(chan error, len(candidates))
 	call := func(w Worker) {
-		ctx, stop := context.WithTimeout(context.Background(), wait)
+		ctx, stop := context.WithTimeout(context.Background(), timeout)
 		defer stop()
 		err := release(ctx, w)
-		c.hears(w.ID, err == nil)
+		c.recordContact(w.ID, err == nil)
 		done <- err
 	}
-	next := time.NewTicker(releaseNext)
-	defer next.Stop()
-	for asked, out := 0, 0; asked < len(all) && still() || out > 0; {
-		if asked < len(all) && still() {
-			go call(all[asked])
-			asked, out = asked+1, out+1
+	hedge := time.NewTicker(releaseHedgeDelay)
+	defer hedge.Stop()
+	for asked, pending := 0, 0; asked < len(candidates) && stillNeeded() || pending > 0; {
+		if asked < len(candidates) && stillNeeded() {
+			go call(candidates[asked])
+			asked, pending = asked+1, pending+1
 		}
 		select {
 		case err := <-done:
-			if out--; err == nil {
+			if pending--; err == nil {
 				return true
 			}
-		case <-next.C:
+		case <-hedge.C:
 		}
 	}
 	return false
 }
 
-// releasers lists the workers that a release may be sent to: the one that holds the state, then those that
-// have answered lately, the latest first, then those of this router's zone, then the rest. Guards the pin limit
-// while this zone, or another one, is cut off and most workers can't be reached.
-func (c *Core) releasers(first Worker) []Worker {
+// releaseCandidates lists the workers that a release may be sent to, in order: preferred, then those that answered within
+// recentContactWindow, the latest first, then those of this router's zone, then the rest, each group shuffled. While a zone
+// is cut off and most workers can't be reached, this order finds one that can within the pin limit.
+func (c *Core) releaseCandidates(preferred Worker) []Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var all []Worker
+	var candidates []Worker
 	for _, w := range c.workers {
 		if w.State != decide.Gone {
-			all = append(all, w)
+			candidates = append(candidates, w)
 		}
 	}
-	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	since := time.Now().Add(-heardLately)
-	place := func(w Worker) int {
+	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	cutoff := time.Now().Add(-recentContactWindow)
+	rank := func(w Worker) int {
 		switch {
-		case w.ID == first.ID:
+		case w.ID == preferred.ID:
 			return 0
-		case c.heard[w.ID].After(since):
+		case c.lastContact[w.ID].After(cutoff):
 			return 1
 		case w.Zone == c.Settings().Zone:
 			return 2
 		}
 		return 3
 	}
-	slices.SortStableFunc(all, func(a, b Worker) int {
-		if byPlace := cmp.Compare(place(a), place(b)); byPlace != 0 || place(a) != 1 {
-			return byPlace
+	slices.SortStableFunc(candidates, func(a, b Worker) int {
+		if byRank := cmp.Compare(rank(a), rank(b)); byRank != 0 || rank(a) != 1 {
+			return byRank
 		}
-		return c.heard[b.ID].Compare(c.heard[a.ID])
+		return c.lastContact[b.ID].Compare(c.lastContact[a.ID])
 	})
-	return all
+	return candidates
 }
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -10,20 +10,21 @@
 	"rowanyard/decide"
 )
 
-// changed are settings in which a message may be repeated, and other limits hold.
-func changed() decide.Settings {
+// changedSettings returns settings with which requests of unsafeClass may be repeated and MaxRetryAfter is set.
+func changedSettings() decide.Settings {
 	next := settings
 	next.Classes = append([]decide.Class(nil), settings.Classes...)
-	next.Classes[message].Effect = decide.Safe
+	next.Classes[unsafeClass].Effect = decide.Safe
 	next.MaxRetryAfter = 40 * time.Millisecond
 	return next
 }
 
-// A message that is at its writer when its class becomes harmless to repeat is not repeated; one that comes after is.
-func TestSettingsChangeUnderARequest(t *testing.T) {
+// A request whose write is in flight when its class changes from unsafe to safe must still not be repeated; a later request
+// of the class may be.
+func TestSettingsChangeDuringARequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c *Core
-		s := &scripted{}
+		s := &scriptedTransport{}
 		apply := true
 		s.try = func(_ context.Context, a Attempt) Result {
 			if a.Read {
@@ -31,13 +32,13 @@
 			}
 			if apply {
 				apply = false
-				if err := c.Apply(changed()); err != nil {
+				if err := c.Apply(changedSettings()); err != nil {
 					t.Error(err)
 				}
 			}
 			return Result{Status: decide.Reset}
 		}
-		c = started(t, s, "w", "w2")
+		c = newTestCore(t, s, "w", "w2")
 		writes := func() (n int) {
 			for _, a := range s.tries {
 				if !a.Read {
@@ -46,30 +47,30 @@
 			}
 			return n
 		}
-		if a := c.Serve(t.Context(), ask(message, time.Second), s); a.Verdict != Failed || writes() != 1 {
-			t.Errorf("%+v after %d writes, it must not run twice", a, writes())
+		if a := c.Serve(t.Context(), newRequest(unsafeClass, time.Second), s); a.Verdict != Failed || writes() != 1 {
+			t.Errorf("got answer %+v after %d writes, the request must not run twice", a, writes())
 		}
-		settled(t, c)
-		c.Serve(t.Context(), ask(message, time.Second), s)
-		settled(t, c)
+		waitSettled(t, c)
+		c.Serve(t.Context(), newRequest(unsafeClass, time.Second), s)
+		waitSettled(t, c)
 		if writes() < 3 {
-			t.Errorf("%d writes in all, the second request may be repeated", writes())
+			t.Errorf("%d writes in all, the second request should have been repeated", writes())
 		}
-		time.Sleep(time.Minute) // timers of the module
+		time.Sleep(time.Minute) // until the timers of the module have fired
 	})
 }
 
-// What the module refuses changes nothing, also of what the core reads itself.
-func TestSettingsThatAreRefusedChangeNothing(t *testing.T) {
-	c := started(t, &scripted{}, "w")
+// Settings that the module rejects change nothing, including the settings that the core itself reads.
+func TestRejectedSettingsChangeNothing(t *testing.T) {
+	c := newTestCore(t, &scriptedTransport{}, "w")
 	before := c.Settings()
-	next := changed()
+	next := changedSettings()
 	next.Kinds = nil
 	var restart *decide.RestartError
 	if err := c.Apply(next); !errors.As(err, &restart) || c.Settings() != before {
-		t.Errorf("%v, %+v", err, c.Settings())
+		t.Errorf("got error %v, want a RestartError; settings are now %+v", err, c.Settings())
 	}
-	if err := c.Apply(changed()); err != nil || c.Busy() != 40*time.Millisecond {
-		t.Errorf("%v, busy clients come back after %v", err, c.Busy())
+	if err := c.Apply(changedSettings()); err != nil || c.Busy() != 40*time.Millisecond {
+		t.Errorf("got error %v, busy clients retry after %v", err, c.Busy())
 	}
 }
--- a/internal/core/starttimes.go
+++ b/internal/core/starttimes.go
@@ -1,66 +1,67 @@
 package core
 
-// This file turns the wall-clock times at which workers say that they started into times of the core's own clock. That clock is
-// monotonic; the wall clock of this machine may be off or stepped, and the workers' need not agree with it.
+// This file converts the wall-clock times at which workers say that they started to the core's own clock. The core's clock
+// is monotonic; the wall clock of this machine may be wrong or stepped, and those of the workers may disagree with it.
 
 import (
 	"time"
 )
 
-// listLag is how late a list may know of a start.
-const listLag = 6 * time.Second
+// maxListLag bounds how long after a worker's start the worker list names it.
+const maxListLag = 6 * time.Second
 
-// startTimes remembers when each listed worker started.
+// startTimes remembers when each listed worker started. All times but the Unix times are on the core's clock.
 type startTimes struct {
-	of        map[string]startTime
-	confirmed time.Duration // the list was last known to be complete, 0 = never
-	newest    time.Duration // the latest start, by the workers' wall clock, that has been listed ...
-	newestAt  time.Duration // ... and when that was seen first
+	byWorker        map[string]startTime
+	confirmedAt     time.Duration // when the list was last known to be complete, 0 = never
+	latestStart     time.Duration // latest Unix time of a start that has been listed
+	latestStartSeen time.Duration // when latestStart was listed first
 }
 
-// startTime is one worker's.
+// startTime is the start of one worker's process.
 type startTime struct {
-	born time.Duration // Unix time, as told
-	at   time.Duration // by the core's clock
+	unixStart time.Duration // Unix time by the worker's own clock
+	startedAt time.Duration // on the core's clock
 }
 
-func newStartTimes() *startTimes { return &startTimes{of: make(map[string]startTime)} }
+func newStartTimes() *startTimes { return &startTimes{byWorker: make(map[string]startTime)} }
 
-// confirm notes that the list holds everything up to now.
-func (s *startTimes) confirm(now time.Duration) { s.confirmed = now }
+// confirmComplete notes that the worker list is complete as of now.
+func (s *startTimes) confirmComplete(now time.Duration) { s.confirmedAt = now }
 
-// forget drops a worker that is gone.
-func (s *startTimes) forget(id string) { delete(s.of, id) }
+// forget drops a worker that is not listed any more.
+func (s *startTimes) forget(id string) { delete(s.byWorker, id) }
 
-// at is when a worker that was born at the given Unix time started, 0 for one that started long ago. It stays the same for as
-// long as born does: another start time is another process. now is the core's clock and wall this machine's wall clock.
-func (s *startTimes) at(now, wall time.Duration, id string, born time.Duration) time.Duration {
-	if born <= 0 {
-		delete(s.of, id)
+// startedAt returns when a worker started on the core's clock, 0 if long ago. unixStart is the start as the worker tells it, 0
+// if long ago. The result stays the same for as long as unixStart does: another unixStart means another process. now is the
+// time on the core's clock, and wall the one on this machine's wall clock.
+func (s *startTimes) startedAt(now, wall time.Duration, id string, unixStart time.Duration) time.Duration {
+	if unixStart <= 0 {
+		delete(s.byWorker, id)
 		return 0
 	}
-	if known, ok := s.of[id]; ok && known.born == born {
-		return known.at
+	if known, ok := s.byWorker[id]; ok && known.unixStart == unixStart {
+		return known.startedAt
 	}
-	at := max(1, now-s.age(now, wall, born))
-	if known, ok := s.of[id]; ok && known.at == at {
-		at++ // another process
+	startedAt := max(1, now-s.age(now, wall, unixStart))
+	if known, ok := s.byWorker[id]; ok && known.startedAt == startedAt {
+		startedAt++ // another process must have another start time
 	}
-	s.of[id] = startTime{born: born, at: at}
-	return at
+	s.byWorker[id] = startTime{unixStart: unixStart, startedAt: startedAt}
+	return startedAt
 }
 
-// age is how long ago a start that has just been listed was. The wall clock is believed as far as it agrees with the lists: no
-// worker starts in the future, none before the list that did not name the start (but for the list's lag), and the true time is
-// no earlier than the latest start that has been listed.
-func (s *startTimes) age(now, wall, born time.Duration) time.Duration {
-	if born > s.newest {
-		s.newest, s.newestAt = born, now
+// age returns how long ago a start was that has just been listed. The wall clock is trusted only as far as it agrees with
+// the lists: the true time is no earlier than the latest start listed, so that no worker starts in the future, and a start
+// that an earlier complete list did not name came after that list, but for maxListLag.
+func (s *startTimes) age(now, wall, unixStart time.Duration) time.Duration {
+	if unixStart > s.latestStart {
+		s.latestStart, s.latestStartSeen = unixStart, now
 	}
-	wall = max(wall, s.newest+now-s.newestAt)
-	age := wall - born
-	if s.confirmed > 0 && age > now-s.confirmed+listLag { // the wall clock is ahead
-		return now - s.confirmed
+	wall = max(wall, s.latestStart+now-s.latestStartSeen)
+	age := wall - unixStart
+	if s.confirmedAt > 0 && age > now-s.confirmedAt+maxListLag { // the wall clock is ahead
+		return now - s.confirmedAt
 	}
 	return age
 }
--- a/internal/core/workerlist.go
+++ b/internal/core/workerlist.go
@@ -1,6 +1,7 @@
 package core
 
-// This file owns the list of workers: what is told of it, what operators have taken out, and who is told of changes.
+// This file keeps the list of workers and which of them operators have taken out of service, and reports changes to the
+// module and to Core.OnAvailabilityChange.
 
 import (
 	"slices"
@@ -10,9 +11,10 @@
 	"rowanyard/internal/wallclock"
 )
 
-// SetWorkers takes a change to the worker list, or all of it.
+// SetWorkers applies a change to the worker list: the entries of changed replace those of the same id. If whole is set,
+// changed is the complete list, and workers that it does not name are removed.
 func (c *Core) SetWorkers(whole bool, changed []Worker) {
-	defer c.tellMoved(c.open())
+	defer c.notifyAcceptingChange(c.accepting())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := decide.ServerList{Whole: whole}
@@ -25,54 +27,55 @@
 	}
 	for _, w := range changed {
 		if old, ok := c.workers[w.ID]; ok && w.State == decide.Gone {
-			// The news that a worker is gone need not say what it was.
+			// Discovery may name a removed worker by its id alone.
 			w = old
 			w.State = decide.Gone
 		}
-		w.Since = c.starts.at(now, wall, w.ID, w.Born)
+		w.Since = c.workerStarts.startedAt(now, wall, w.ID, w.Born)
 		c.workers[w.ID] = w
-		list.Servers = append(list.Servers, c.shown(w))
+		list.Servers = append(list.Servers, c.moduleView(w))
 	}
-	for id, w := range c.workers { // guards against a list that grows for as long as the router runs
+	for id, w := range c.workers { // kept, they would grow the list for as long as the router runs
 		if w.State == decide.Gone {
 			delete(c.workers, id)
-			delete(c.heard, id)
-			c.starts.forget(id)
+			delete(c.lastContact, id)
+			c.workerStarts.forget(id)
 		}
 	}
-	c.tellLocked(func(now time.Duration, r *decide.Router) { r.Servers(now, list) })
+	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Servers(now, list) })
 }
 
-// ListConfirmed notes that discovery has said that nothing has changed, or what has.
+// ListConfirmed notes that the worker list is complete as of now: discovery has said that nothing changed, or what did.
 func (c *Core) ListConfirmed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.starts.confirm(c.clock())
+	c.workerStarts.confirmComplete(c.clock())
 }
 
-// open is the workers that take new work, where somebody is told of changes.
-func (c *Core) open() map[string]bool {
+// accepting returns the workers that accept new work, or nil if nobody is to be told of changes.
+func (c *Core) accepting() map[string]bool {
 	if c.Moved == nil {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	open := make(map[string]bool)
+	accepting := make(map[string]bool)
 	for id, w := range c.workers {
-		if c.shown(w).State == decide.Ready {
-			open[id] = true
+		if c.moduleView(w).State == decide.Ready {
+			accepting[id] = true
 		}
 	}
-	return open
+	return accepting
 }
 
-// tellMoved tells of the workers that are open now and were not before, or the other way round.
-func (c *Core) tellMoved(before map[string]bool) {
+// notifyAcceptingChange calls OnAvailabilityChange with the workers that accept new work now and did not before, or the
+// other way round.
+func (c *Core) notifyAcceptingChange(before map[string]bool) {
 	if c.Moved == nil {
 		return
 	}
 	var ids []string
-	after := c.open()
+	after := c.accepting()
 	for id := range after {
 		if !before[id] {
 			ids = append(ids, id)
@@ -89,19 +92,19 @@
 	}
 }
 
-// shown is a listed worker as the module is told of it: one that is out for maintenance drains, whatever
-// the list says.
-func (c *Core) shown(w Worker) decide.Server {
+// moduleView returns a listed worker as the module sees it: one that is out for maintenance is draining, whatever the list
+// says.
+func (c *Core) moduleView(w Worker) decide.Server {
 	if c.banned[w.ID] && w.State == decide.Ready {
 		w.State = decide.Draining
 	}
 	return w.Server
 }
 
-// SetBanned names all workers that are out for maintenance. One that is not in the list stays out when
-// the list names it again.
+// SetBanned replaces the set of workers that are out for maintenance. A worker may be in it without being listed, and is out
+// once it is listed.
 func (c *Core) SetBanned(ids []string) {
-	defer c.tellMoved(c.open())
+	defer c.notifyAcceptingChange(c.accepting())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.banned
@@ -112,21 +115,21 @@
 	var changed decide.ServerList
 	for id, w := range c.workers {
 		if old[id] != c.banned[id] {
-			changed.Servers = append(changed.Servers, c.shown(w))
+			changed.Servers = append(changed.Servers, c.moduleView(w))
 		}
 	}
 	if len(changed.Servers) > 0 {
-		c.tellLocked(func(now time.Duration, r *decide.Router) { r.Servers(now, changed) })
+		c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Servers(now, changed) })
 	}
 }
 
-// Known says whether a worker is listed.
+// HasWorker reports whether a worker is listed.
 func (c *Core) Known(id string) bool {
 	_, ok := c.Worker(id)
 	return ok
 }
 
-// Worker returns a listed worker.
+// Worker returns a listed worker, and whether there is one with the id.
 func (c *Core) Worker(id string) (Worker, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,10 +137,10 @@
 	return w, ok && w.State != decide.Gone
 }
 
-// Wanted says whether a worker may still be sent fresh work.
+// AcceptsWork reports whether a worker is listed and accepts new work.
 func (c *Core) Wanted(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w, ok := c.workers[id]
-	return ok && c.shown(w).State == decide.Ready
+	return ok && c.moduleView(w).State == decide.Ready
 }
