--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -1,5 +1,5 @@
-// Package inflight counts what is under way and lets others wait until nothing is. Unlike with a sync.WaitGroup, something may
-// begin while others wait, and a wait ends with its context.
+// Package inflight counts operations in flight and lets others wait until there are none. Unlike with a sync.WaitGroup, an
+// operation may begin while others wait, and a wait ends with its context.
 package inflight
 
 import (
@@ -7,44 +7,44 @@
 	"sync"
 )
 
-// Count is how much is under way. The zero value is none.
+// Counter counts operations in flight. The zero value counts none and is ready to use.
 type Count struct {
 	mu   sync.Mutex
 	n    int
-	none chan struct{} // closed when nothing is under way any more; nil: nobody waits
+	idle chan struct{} // closed when n falls to 0; nil: nobody waits
 }
 
-// Begin counts one more.
+// Begin counts an operation that begins.
 func (c *Count) Begin() {
 	c.mu.Lock()
 	c.n++
 	c.mu.Unlock()
 }
 
-// End counts one less.
+// End counts an operation that has ended. There must have been a Begin for it.
 func (c *Count) End() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.n--; c.n == 0 && c.none != nil {
-		close(c.none)
-		c.none = nil
+	if c.n--; c.n == 0 && c.idle != nil {
+		close(c.idle)
+		c.idle = nil
 	}
 }
 
-// Wait returns once nothing is under way. It says no where ctx ends first.
+// Wait blocks until no operation is in flight, and returns true, or until ctx ends, and returns false.
 func (c *Count) Wait(ctx context.Context) bool {
 	c.mu.Lock()
 	if c.n == 0 {
 		c.mu.Unlock()
 		return true
 	}
-	if c.none == nil {
-		c.none = make(chan struct{})
+	if c.idle == nil {
+		c.idle = make(chan struct{})
 	}
-	none := c.none
+	idle := c.idle
 	c.mu.Unlock()
 	select {
-	case <-none:
+	case <-idle:
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -6,11 +6,11 @@
 	"testing/synctest"
 )
 
-func TestWaitReturnsWhenNothingIsUnderWay(t *testing.T) {
+func TestWaitReturnsWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Count
 		if !c.Wait(t.Context()) {
-			t.Error("waits for nothing")
+			t.Error("Wait returned false with nothing in flight")
 		}
 		c.Begin()
 		c.Begin()
@@ -21,30 +21,30 @@
 		}
 		synctest.Wait()
 		c.End()
-		c.Begin() // while others wait
+		c.Begin() // begins while others wait
 		c.End()
 		synctest.Wait()
 		if len(done) > 0 {
-			t.Fatal("one is under way")
+			t.Fatal("Wait returned with an operation in flight")
 		}
 		c.End()
 		synctest.Wait()
 		if len(done) != waiters || !<-done || !<-done {
-			t.Error("goes on waiting, or was given up")
+			t.Error("Wait did not return true for all waiters")
 		}
 	})
 }
 
-func TestWaitEndsWithItsContext(t *testing.T) {
+func TestWaitReturnsWhenItsContextEnds(t *testing.T) {
 	var c Count
 	c.Begin()
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	if c.Wait(ctx) {
-		t.Error("one is under way")
+		t.Error("Wait returned true with an operation in flight")
 	}
-	c.End() // nobody waits for it any more
+	c.End() // its waiter has left
 	if !c.Wait(t.Context()) {
-		t.Error("nothing is under way")
+		t.Error("Wait returned false with nothing in flight")
 	}
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant counts, at run time, what the guards of a router find. There is one guard for each kind of step that can
-// break a promise: sending an attempt, repeating one, closing what is open or held, and starting something new. A guard stands
-// at the one place where the step is taken, and asks nobody else whether it is right.
+// Package invariant counts and logs, at run time, what the guards of a router find. There is a guard for each kind of step
+// that can break a guarantee: sending an attempt, repeating one, closing what is open or held, and starting something new.
+// A guard is called at the one place where the step is taken, and judges by itself whether the step is right.
 package invariant
 
 import (
@@ -9,7 +9,7 @@
 	"sync/atomic"
 )
 
-// Step is what a guard stands before.
+// Step is a kind of step that a guard checks.
 type Step int
 
 // The steps.
@@ -18,28 +18,30 @@
 	Repeating             // a further attempt of a request
 	Closing               // the end of a connection, or of what is held at workers
 	Starting              // a request, or the process
-	steps
+	numSteps
 )
 
-var names = [steps]string{"sending", "repeating", "closing", "starting"}
+var stepNames = [numSteps]string{"sending", "repeating", "closing", "starting"}
 
-func (s Step) String() string { return names[s] }
+// String returns the name of the step, as logs and metrics have it.
+func (s Step) String() string { return stepNames[s] }
 
-// Guard counts for one process. The zero value logs nothing.
+// Guard counts, for one process, the findings of the guards of all steps. The zero value is ready to use and logs nothing.
+// Its methods may be called from several goroutines.
 type Guard struct {
-	Log   *slog.Logger // set before use
-	count [steps]struct{ stopped, violated atomic.Int64 }
+	Log    *slog.Logger // set before use
+	counts [numSteps]struct{ stopped, violated atomic.Int64 }
 }
 
-// Stopped notes that a step was due no more when it was to be taken, as two events had crossed: it was not taken.
+// Stopped counts and logs a step that was not taken: when its turn came, a concurrent event had made it wrong. This is no bug.
 func (g *Guard) Stopped(step Step, reason string, attrs ...any) {
-	g.count[step].stopped.Add(1)
+	g.counts[step].stopped.Add(1)
 	g.log(slog.LevelInfo, "stopped", step, reason, attrs)
 }
 
-// Violated notes that an invariant did not hold: there is a bug, whether the guard could stop the step or not.
+// Violated counts and logs a broken invariant. There is a bug, even where the guard could stop the step.
 func (g *Guard) Violated(step Step, reason string, attrs ...any) {
-	g.count[step].violated.Add(1)
+	g.counts[step].violated.Add(1)
 	g.log(slog.LevelError, "invariant violated", step, reason, attrs)
 }
 
@@ -49,22 +51,22 @@
 	}
 }
 
-// Count is what one step's guard has found.
+// Count holds the findings of the guard of one step.
 type Count struct {
 	Step              Step
 	Stopped, Violated int64
 }
 
-// Counts lists what was found so far, by step.
+// Counts returns the findings so far, indexed by step.
 func (g *Guard) Counts() []Count {
-	all := make([]Count, steps)
-	for step := range steps {
-		all[step] = Count{step, g.count[step].stopped.Load(), g.count[step].violated.Load()}
+	all := make([]Count, numSteps)
+	for step := range numSteps {
+		all[step] = Count{step, g.counts[step].stopped.Load(), g.counts[step].violated.Load()}
 	}
 	return all
 }
 
-// Totals sums up all steps.
+// Totals returns the findings so far, summed over all steps.
 func (g *Guard) Totals() (stopped, violated int64) {
 	for _, c := range g.Counts() {
 		stopped += c.Stopped
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -13,15 +13,15 @@
 	g.Violated(Closing, "state held", "held_ms", 900)
 	g.Violated(Closing, "unanswered")
 	if stopped, violated := g.Totals(); stopped != 1 || violated != 2 {
-		t.Errorf("%d stopped, %d violated", stopped, violated)
+		t.Errorf("totals: %d stopped, %d violated, want 1 and 2", stopped, violated)
 	}
 	if c := g.Counts()[Closing]; c.Violated != 2 || c.Stopped != 0 {
-		t.Errorf("closing: %+v", c)
+		t.Errorf("closing: got %+v, want 2 violated", c)
 	}
 	for _, want := range []string{`msg=stopped step=sending reason="client gone" id=7`, `level=ERROR msg="invariant violated" step=closing`} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("no line with %s in %s", want, text.String())
 		}
 	}
-	(&Guard{}).Violated(Starting, "quiet")
+	(&Guard{}).Violated(Starting, "no logger") // must not panic
 }
