--- a/internal/acceptretry/acceptretry_test.go
+++ b/internal/acceptretry/acceptretry_test.go
@@ -9,18 +9,19 @@
 	"testing/synctest"
 )
 
-// Errors are those that accept(2) documents for Linux, but for EBADF, EFAULT, EINVAL and ENOTSOCK, which are bugs.
-var Errors = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+// transientErrors are the errors that accept(2) documents for Linux, except EBADF, EFAULT, EINVAL and ENOTSOCK, which are
+// bugs of the caller.
+var transientErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH,
 	syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT}
 
-// failing is a listener whose Accept returns the given errors and then a connection.
-type failing struct {
+// failingListener is a listener whose Accept returns the given errors and then a connection.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	if len(f.errs) == 0 {
 		c, _ := net.Pipe()
 		return c, nil
@@ -30,21 +31,21 @@
 	return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", err)}
 }
 
-func TestAcceptGoesOnAfterEachError(t *testing.T) {
+func TestAcceptRetriesTransientErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, errno := range Errors {
-			l := Listener(&failing{errs: []error{errno, errno, errno}})
+		for _, errno := range transientErrors {
+			l := Listener(&failingListener{errs: []error{errno, errno, errno}})
 			if c, err := l.Accept(); err != nil || c == nil {
-				t.Errorf("%v ends the listener: %v", errno, err)
+				t.Errorf("%v was not retried: %v", errno, err)
 			}
 		}
 	})
 }
 
-func TestAcceptEndsWithItsListener(t *testing.T) {
+func TestAcceptReturnsTerminalErrors(t *testing.T) {
 	for _, end := range []error{net.ErrClosed, os.ErrDeadlineExceeded} {
-		if _, err := Listener(&failing{errs: []error{end}}).Accept(); !errors.Is(err, end) {
-			t.Errorf("%v: %v", end, err)
+		if _, err := Listener(&failingListener{errs: []error{end}}).Accept(); !errors.Is(err, end) {
+			t.Errorf("want error %v, got %v", end, err)
 		}
 	}
 }
