--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -58,7 +58,7 @@
 func (req *activeRequest) releaseUnconfirmedWrite() {
 	if req.mayHoldState && req.inFlight > 0 && !req.answered {
 		req.releasedAtLimit = true
-		req.startRelease("limit, write not confirmed", req.reader, false)
+		req.startRelease("limit, no sign of the write", req.reader, false)
 	}
 }
 
@@ -77,7 +77,7 @@
 		ctx, stop := context.WithTimeout(context.Background(), reachProbeTimeout)
 		defer stop()
 		if _, err := req.core.prober.Probe(ctx, next); err != nil && req.successfulReads.Load() == successfulReads {
-			req.startRelease("read of unknown outcome, next worker unreachable", Worker{}, false)
+			req.startRelease("read of unknown outcome, no sign of the next worker", Worker{}, false)
 		}
 	}()
 }
