--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -136,8 +136,7 @@
 type Texts interface {
 	// Kept returns, by worker id, how many tokens of a prompt workers keep. A worker that does not report is missing.
 	Kept(prompt []byte) map[string]int
-	// RecordActual compares how many tokens of a prompt a reader was predicted to keep, according to Kept, with how many
-	// it found.
+	// Found records how many tokens of a prompt a reader was predicted to keep, according to Kept, and how many it found.
 	Found(worker string, predicted, kept int)
 }
 
