--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -30,7 +30,7 @@
 	// derives Since from it, on its own clock.
 	Born time.Duration
 	Addr string
-	Wire string // protocol that the worker speaks, for transports; the core does not look at it
+	Wire string // wire protocol that the worker speaks, for transports; the core does not look at it
 }
 
 // Attempt is one send of a request to a worker.
--- a/internal/core/workerlist.go
+++ b/internal/core/workerlist.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// HasWorker reports whether a worker is listed.
+// Known reports whether a worker is listed.
 func (c *Core) Known(id string) bool {
 	_, ok := c.Worker(id)
 	return ok
