--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -171,8 +171,8 @@
 }
 
 // releaseCandidates lists the workers that a release may be sent to, in order: preferred, then those that answered within
-// recentContactWindow, the latest first, then those of this router's zone, then the rest, each group shuffled. While a zone
-// is cut off and most workers can't be reached, this order finds one that can within the pin limit.
+// recentContactWindow, the latest first, then those of this router's zone, then the rest, the last two in random order.
+// While a zone is cut off and most workers can't be reached, this order finds one that can within the pin limit.
 func (c *Core) releaseCandidates(preferred Worker) []Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/workerlist.go
+++ b/internal/core/workerlist.go
@@ -35,7 +35,7 @@
 		c.workers[w.ID] = w
 		list.Servers = append(list.Servers, c.moduleView(w))
 	}
-	for id, w := range c.workers { // kept, they would grow the list for as long as the router runs
+	for id, w := range c.workers { // entries of removed workers would pile up for as long as the router runs
 		if w.State == decide.Gone {
 			delete(c.workers, id)
 			delete(c.lastContact, id)
