--- a/internal/httpfront/answers.go
+++ b/internal/httpfront/answers.go
@@ -1,9 +1,9 @@
 package httpfront
 
-// This file owns what comes back on a connection to a worker before net/http reads it: where an answer's
-// head, its chunks and its end are, and that they make sense. It drops what is not the answer's (1xx heads,
-// load reports that nobody asked for) and ends the connection where bytes come that belong to no answer.
-// It must never change a byte of an answer's body.
+// workerConn reads the responses on a connection to a worker before net/http does. It finds where each head, chunk and
+// response ends and checks that they are well-formed. It drops what is not part of an answer (1xx heads, load reports
+// that were not requested) and closes the connection when bytes arrive that belong to no response. Bodies pass
+// unchanged.
 
 import (
 	"bytes"
@@ -21,142 +21,143 @@
 )
 
 const (
-	answerHead = 16 << 10    // bytes of an answer's head, and of all 1xx heads before it
-	headAnswer = time.Second // an answer's head is whole so long after its first byte
-	maxChunk   = 256 << 10   // a chunk holds no more than a body may
-	maxLine    = 4 << 10     // of a chunk's extension or a trailer
-	maxEvent   = 64 << 10    // a line of a stream, and its first event
-	firstEvent = time.Second // the first event is whole so long after the head
-	headLoad   = "X-Pressure"
-	settleTime = 25 * time.Millisecond // a second answer may come so late behind an answer's end
+	answerHead        = 16 << 10    // of a response's head, and of all 1xx heads before it
+	answerHeadTimeout = time.Second // from a head's first byte until it is complete
+	maxChunk          = 256 << 10   // a chunk may not be larger than a request body
+	maxChunkLineBytes = 4 << 10     // of a chunk extension or a trailer
+	maxEventBytes     = 64 << 10    // of a line of a stream, and of its first event
+	firstEventTimeout = time.Second // from the head until the first event is complete
+	headerLoadReport  = "X-Pressure"
+	lateAnswerWindow  = 25 * time.Millisecond // a second response to a request may arrive this late after the first
 )
 
 var (
-	errSpoilt  = errors.New("a spoilt answer")
-	errBeyond  = errors.New("bytes that belong to no answer")
-	errUnsent  = errors.New("not sent: something waits on the connection")
-	errTooMany = errors.New("too many connections to workers")
+	errMalformedAnswer = errors.New("a spoilt answer")
+	errExtraBytes      = errors.New("bytes that belong to no answer")
+	errUnreadInput     = errors.New("not sent: unread input on the connection")
+	errTooManyConns    = errors.New("too many connections to workers")
 )
 
-func spoilt(format string, a ...any) error {
-	return fmt.Errorf("%w: "+format, append([]any{errSpoilt}, a...)...)
+func malformed(format string, a ...any) error {
+	return fmt.Errorf("%w: "+format, append([]any{errMalformedAnswer}, a...)...)
 }
 
-// workerConn is one connection to a worker.
+// workerConn is a connection to a worker. Its Read returns one response at a time.
 type workerConn struct {
 	net.Conn
-	open   *atomic.Int64
-	done   atomic.Bool
-	asked  atomic.Bool                 // a request has been written since the last answer's end
-	may    atomic.Pointer[func() bool] // asked before that is, nil: it may
-	ended  atomic.Int64                // when that was, from epoch
-	over   chan struct{}               // closed with the connection
-	bad    atomic.Bool                 // serves no further use
-	called atomic.Bool                 // its latest request was a call without a body, not an attempt
-	hand   atomic.Bool                 // its answer is to go on in another process
-	gift   int                         // the socket for that, once Read has returned errHanded
-	addr   string                      // of its worker
-	known  *idleConns                  // it is among these until it is closed
-
-	serving sync.Mutex
-	serves  *calledOff // the attempt at hand, nil once its answer has ended
-
-	// Owned by Read, which the transport calls from one goroutine.
-	buf   []byte // a head that is not whole yet, or what is to be handed over of it
-	ready int
-	head  bool // a head has begun
-	extra int  // bytes of 1xx heads before this one
-	state answerState
-	left  int64 // of the body
-	chunk chunkScan
-	err   error
+	open              *atomic.Int64 // counts the client's open connections
+	closed            atomic.Bool
+	asked             atomic.Bool                 // a request was written after the end of the last response
+	mayWrite          atomic.Pointer[func() bool] // called before that write, nil: no check
+	answerEnded       atomic.Int64                // when the last response ended, since epoch
+	over              chan struct{}               // closed with the connection
+	unusable          atomic.Bool                 // must not be used for another request
+	lastWasCall       atomic.Bool                 // the latest request was a call without a body, not an attempt
+	handOverRequested atomic.Bool                 // another process is to continue the response
+	handOverFD        int                         // the duplicated socket, set once Read has returned errHanded
+	addr              string                      // of the worker
+	registry          *connRegistry               // holds the connection until it is closed
+
+	watchMu sync.Mutex
+	watch   *attemptWatch // of the attempt in progress, nil once its response has ended
+
+	// Used by Read only, which the transport calls from one goroutine.
+	buf                []byte // a head not yet complete, or bytes not yet returned
+	readyBytes         int    // how much of buf Read may return
+	headBegun          bool   // the first bytes of a head have arrived
+	informationalBytes int    // size of the 1xx heads before this one
+	state              answerState
+	bodyLeft           int64 // bytes of the body still to come
+	chunks             chunkScan
+	err                error
 }
 
 type answerState int
 
 const (
 	inHead answerState = iota
-	inLength
-	inChunks
-	toClose
+	inSizedBody
+	inChunkedBody
+	inBodyToClose
 )
 
 // Close implements net.Conn.
 func (c *workerConn) Close() error {
-	if c.done.CompareAndSwap(false, true) {
+	if c.closed.CompareAndSwap(false, true) {
 		c.open.Add(-1)
 		close(c.over)
-		if c.known != nil {
-			c.known.remove(c)
+		if c.registry != nil {
+			c.registry.remove(c)
 		}
 	}
 	return c.Conn.Close()
 }
 
-// Write refuses to put a request on a connection where something waits that it could be taken to answer, and one that is
-// not wanted any more: the transport writes the head before it looks at the body.
+// Write refuses to send a request on a connection with unread input, which could be taken for its answer, and to send
+// one that is no longer wanted: the transport writes the head before it reads the body.
 func (c *workerConn) Write(p []byte) (int, error) {
 	if !c.asked.Load() {
-		if may := c.may.Swap(nil); may != nil && !(*may)() {
+		if mayWrite := c.mayWrite.Swap(nil); mayWrite != nil && !(*mayWrite)() {
 			return 0, errWithdrawn
 		}
-		if c.bad.Load() || waits(c.Conn) {
-			return 0, errUnsent
+		if c.unusable.Load() || hasUnreadInput(c.Conn) {
+			return 0, errUnreadInput
 		}
 		c.asked.Store(true)
 	}
 	return c.Conn.Write(p)
 }
 
-// settle waits until a second answer to the request before would have come, so that Write finds it. Guards against
-// taking it for the next request's: it could say that what runs was turned away, or stream another's answer.
-func (c *workerConn) settle(ctx context.Context, after func(time.Duration) <-chan time.Time) {
-	left := settleTime - (time.Since(epoch) - time.Duration(c.ended.Load()))
-	if left <= 0 {
+// awaitLateAnswer waits until a second response to the previous request would have arrived, so that Write notices it.
+// Taken for the next request's, it could report a running request as turned away or stream another request's answer.
+func (c *workerConn) awaitLateAnswer(ctx context.Context, after func(time.Duration) <-chan time.Time) {
+	wait := lateAnswerWindow - (time.Since(epoch) - time.Duration(c.answerEnded.Load()))
+	if wait <= 0 {
 		return
 	}
 	select {
-	case <-after(left):
+	case <-after(wait):
 	case <-c.over:
 	case <-ctx.Done():
 	}
 }
 
-// answeredWithin says whether an answer has ended on the connection so lately.
+// answeredWithin reports whether a response ended on the connection within the last span.
 func (c *workerConn) answeredWithin(span time.Duration) bool {
-	ended := time.Duration(c.ended.Load())
-	return ended > 0 && time.Since(epoch)-ended <= span
+	answerEnded := time.Duration(c.answerEnded.Load())
+	return answerEnded > 0 && time.Since(epoch)-answerEnded <= span
 }
 
-// waits says whether there is something to read on a connection.
-func waits(c net.Conn) bool {
+// hasUnreadInput reports whether a connection has input that has not been read.
+func hasUnreadInput(c net.Conn) bool {
 	n, err := peek(c)
 	return err == nil && n > 0
 }
 
-// hungUp says that a connection has ended, by the other side or by an error of the network, and nothing waits on it.
+// isDisconnected reports whether a connection was ended by the peer or by a network error and has no unread input.
 func hungUp(c net.Conn) bool {
 	n, err := peek(c)
 	if err == nil {
 		return n == 0
 	}
-	return !errors.Is(err, errNotPeeked) && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.ENOMEM)
+	return !errors.Is(err, errNotASocket) && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.ENOMEM)
 }
 
-var errNotPeeked = errors.New("not a socket")
+var errNotASocket = errors.New("not a socket")
 
-// peek looks for a byte on a connection without taking it; none is an error, or 0 at its end.
+// peek looks at the next byte of a connection without consuming it. It returns 0 at the end of the input and an error
+// if there is none yet.
 func peek(c net.Conn) (n int, err error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
-		return 0, errNotPeeked
+		return 0, errNotASocket
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	err = errNotPeeked
-	if gone := raw.Control(func(fd uintptr) {
+	err = errNotASocket
+	if controlErr := raw.Control(func(fd uintptr) {
 		var b [1]byte
 		for {
 			n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -164,18 +165,18 @@
 				return
 			}
 		}
-	}); gone != nil {
-		err = gone
+	}); controlErr != nil {
+		err = controlErr
 	}
 	return n, err
 }
 
-// Read hands over one answer after the other, each only to its end.
+// Read returns the responses one after the other, never bytes of two at once.
 func (c *workerConn) Read(p []byte) (int, error) {
 	for len(p) > 0 {
-		if c.ready > 0 {
-			n := copy(p, c.buf[:c.ready])
-			c.buf, c.ready = c.buf[n:], c.ready-n
+		if c.readyBytes > 0 {
+			n := copy(p, c.buf[:c.readyBytes])
+			c.buf, c.readyBytes = c.buf[n:], c.readyBytes-n
 			return n, nil
 		}
 		if c.err != nil {
@@ -189,7 +190,7 @@
 		}
 		var n int
 		var err error
-		if len(c.buf) > 0 { // came with the head
+		if len(c.buf) > 0 { // received with the head
 			n = copy(p, c.buf)
 			c.buf = c.buf[n:]
 		} else {
@@ -199,13 +200,13 @@
 		if err != nil {
 			c.err = err
 			// The transport closes the connection as soon as it has the error.
-			if c.hand.Load() && errors.Is(err, os.ErrDeadlineExceeded) && c.state == inChunks && n == 0 {
+			if c.handOverRequested.Load() && errors.Is(err, os.ErrDeadlineExceeded) && c.state == inChunkedBody && n == 0 {
 				if fd, err := dup(c.Conn); err == nil {
-					c.gift, c.err = fd, errHanded
+					c.handOverFD, c.err = fd, errHanded
 				}
 			}
 		}
-		if n, err = c.body(p[:n]); err != nil {
+		if n, err = c.scanBody(p[:n]); err != nil {
 			c.fail(err)
 		}
 		if n > 0 {
@@ -216,11 +217,11 @@
 }
 
 func (c *workerConn) fail(err error) {
-	c.bad.Store(true)
+	c.unusable.Store(true)
 	c.err = err
 }
 
-// readHead reads a head and readies what is handed over of it.
+// readHead reads a head and makes it available to Read.
 func (c *workerConn) readHead() error {
 	if len(c.buf) == 0 {
 		c.buf = make([]byte, 0, 1<<10)
@@ -228,19 +229,19 @@
 	for {
 		if len(c.buf) > 0 {
 			if !c.asked.Load() {
-				return errBeyond
+				return errExtraBytes
 			}
-			if !c.head { // guards against a head that never ends, however slowly it comes
-				c.head = true
-				_ = c.Conn.SetReadDeadline(time.Now().Add(headAnswer))
+			if !c.headBegun { // bounds the time for a head that arrives slowly or never ends
+				c.headBegun = true
+				_ = c.Conn.SetReadDeadline(time.Now().Add(answerHeadTimeout))
 			}
 			if end := headEnd(c.buf); end > 0 {
 				_ = c.Conn.SetReadDeadline(time.Time{})
-				c.head = false
-				return c.takeHead(end)
+				c.headBegun = false
+				return c.parseHead(end)
 			}
-			if c.extra+len(c.buf) > answerHead {
-				return spoilt("a head over %d bytes", answerHead)
+			if c.informationalBytes+len(c.buf) > answerHead {
+				return malformed("head over %d bytes", answerHead)
 			}
 		}
 		if cap(c.buf) == len(c.buf) {
@@ -249,63 +250,63 @@
 		n, err := c.Conn.Read(c.buf[len(c.buf):cap(c.buf)])
 		c.buf = c.buf[:len(c.buf)+n]
 		if err != nil && n == 0 {
-			if c.head {
-				return spoilt("its head ends with %v", err)
+			if c.headBegun {
+				return malformed("incomplete head: %v", err)
 			}
 			return err
 		}
 	}
 }
 
-// takeHead takes the head of so many bytes.
-func (c *workerConn) takeHead(end int) error {
+// parseHead processes the head in the first end bytes of the buffer.
+func (c *workerConn) parseHead(end int) error {
 	first := bytes.IndexByte(c.buf, '\n') + 1
 	version, rest, _ := bytes.Cut(bytes.TrimRight(c.buf[:first], "\r\n"), []byte(" "))
 	text, _, _ := bytes.Cut(rest, []byte(" "))
 	code, err := strconv.Atoi(string(text))
 	if err != nil || len(text) != 3 || code < 100 || !bytes.HasPrefix(version, []byte("HTTP/1.")) || code == 101 {
-		return spoilt("it begins with %.40q", c.buf[:first])
+		return malformed("status line %.40q", c.buf[:first])
 	}
-	if code < 200 { // not the answer yet
-		c.extra += end
-		if c.buf = c.buf[end:]; c.extra > answerHead {
-			return spoilt("over %d bytes of 1xx heads", answerHead)
+	if code < 200 { // an interim response
+		c.informationalBytes += end
+		if c.buf = c.buf[end:]; c.informationalBytes > answerHead {
+			return malformed("1xx heads over %d bytes", answerHead)
 		}
 		return nil
 	}
-	c.extra = 0
-	// Load reports are asked for by probes: one that can't be read must not spoil the head that it came with.
-	keep := func(name []byte) bool { return !bytes.EqualFold(name, []byte(headLoad)) }
+	c.informationalBytes = 0
+	// Load reports are requested by probes only. An unreadable one must not invalidate the head that carries it.
+	keep := func(name []byte) bool { return !bytes.EqualFold(name, []byte(headerLoadReport)) }
 	f, kept, ok := fields(c.buf[first:end], keep, append(make([]byte, 0, len(c.buf)), c.buf[:first]...))
 	if !ok {
-		return spoilt("the framing of its head")
+		return malformed("ambiguous framing in its head")
 	}
-	c.ready = len(kept)
+	c.readyBytes = len(kept)
 	c.buf = append(kept, c.buf[end:]...)
 	switch {
 	case code == 204 || code == 304 || f.told && f.length == 0:
-		return c.end(len(c.buf) - c.ready)
+		return c.end(len(c.buf) - c.readyBytes)
 	case f.chunked:
-		c.state, c.chunk = inChunks, chunkScan{}
+		c.state, c.chunks = inChunkedBody, chunkScan{}
 	case f.told:
-		c.state, c.left = inLength, f.length
+		c.state, c.bodyLeft = inSizedBody, f.length
 	default:
-		c.state = toClose
+		c.state = inBodyToClose
 	}
 	return nil
 }
 
-// body says how many of the bytes belong to the body.
-func (c *workerConn) body(p []byte) (int, error) {
+// scanBody follows the body through p and returns how many of these bytes belong to it.
+func (c *workerConn) scanBody(p []byte) (int, error) {
 	switch c.state {
-	case inLength:
-		n := int(min(c.left, int64(len(p))))
-		if c.left -= int64(n); c.left == 0 {
+	case inSizedBody:
+		n := int(min(c.bodyLeft, int64(len(p))))
+		if c.bodyLeft -= int64(n); c.bodyLeft == 0 {
 			return n, c.end(len(p) - n + len(c.buf))
 		}
 		return n, nil
-	case inChunks:
-		n, end, err := c.chunk.feed(p)
+	case inChunkedBody:
+		n, end, err := c.chunks.feed(p)
 		if end && err == nil {
 			err = c.end(len(p) - n + len(c.buf))
 		}
@@ -314,27 +315,27 @@
 	return len(p), nil
 }
 
-// end ends an answer with so many bytes left behind it.
-func (c *workerConn) end(beyond int) error {
+// end notes the end of a response. extra is the number of bytes that were received behind it.
+func (c *workerConn) end(extra int) error {
 	c.state = inHead
-	c.serve(nil)
-	c.ended.Store(int64(time.Since(epoch)))
-	if beyond > 0 {
-		c.buf = c.buf[:c.ready]
-		c.bad.Store(true)
+	c.setWatch(nil)
+	c.answerEnded.Store(int64(time.Since(epoch)))
+	if extra > 0 {
+		c.buf = c.buf[:c.readyBytes]
+		c.unusable.Store(true)
 		c.asked.Store(false)
-		return errBeyond
+		return errExtraBytes
 	}
 	c.asked.Store(false)
 	return nil
 }
 
-// chunkScan follows a chunked body.
+// chunkScanner follows a chunked body. The zero value is at its start.
 type chunkScan struct {
 	state chunkState
-	left  int64          // of the chunk
-	count int            // of the line
-	keep  func(p []byte) // gets the data, nil = nobody
+	left  int64          // of the chunk's data
+	count int            // of the line at hand
+	keep  func(p []byte) // receives the data, may be nil
 }
 
 type chunkState int
@@ -351,7 +352,7 @@
 	trailerLF
 )
 
-// feed takes the next bytes. It returns how many of them belong to the body, and whether that has ended.
+// feed processes the next bytes. It returns how many of them belong to the body and whether the body has ended.
 func (s *chunkScan) feed(p []byte) (n int, end bool, err error) {
 	for n < len(p) {
 		b := p[n]
@@ -372,18 +373,18 @@
 			case digit >= 0:
 				s.left = s.left<<4 | int64(digit)
 				if s.count++; s.left > maxChunk || s.count > 16 {
-					return n, false, spoilt("a chunk over %d bytes", maxChunk)
+					return n, false, malformed("chunk over %d bytes", maxChunk)
 				}
 			case s.count > 0 && b == '\r':
 				s.state = chunkSizeLF
 			case s.count > 0 && (b == ';' || b == ' ' || b == '\t'):
 				s.state, s.count = chunkExt, 0
 			default:
-				return n, false, spoilt("the size of a chunk")
+				return n, false, malformed("malformed chunk size")
 			}
 		case chunkExt, trailerLine:
-			if s.count++; s.count > maxLine {
-				return n, false, spoilt("a line over %d bytes", maxLine)
+			if s.count++; s.count > maxChunkLineBytes {
+				return n, false, malformed("chunk extension or trailer over %d bytes", maxChunkLineBytes)
 			}
 			if b == '\r' && s.state == chunkExt {
 				s.state = chunkSizeLF
@@ -392,7 +393,7 @@
 			}
 		case chunkSizeLF:
 			if b != '\n' {
-				return n, false, spoilt("the size of a chunk")
+				return n, false, malformed("malformed chunk size")
 			}
 			s.state, s.count = chunkData, 0
 			if s.left == 0 {
@@ -404,7 +405,7 @@
 			} else if s.state == chunkLF && b == '\n' {
 				s.state = chunkSize
 			} else {
-				return n, false, spoilt("a chunk that does not fit its size")
+				return n, false, malformed("chunk does not end after its size")
 			}
 		case trailer:
 			s.state = trailerLine
@@ -413,7 +414,7 @@
 			}
 		case trailerLF:
 			if b != '\n' {
-				return n, false, spoilt("its trailer")
+				return n, false, malformed("malformed trailer")
 			}
 			return n + 1, true, nil
 		}
@@ -434,23 +435,23 @@
 	return -1
 }
 
-// eventScan follows a stream of events: lines of a name, a colon and a value, comments, which may hold
-// anything, and empty lines.
+// eventScanner follows an event stream: lines of a field name, a colon and a value, comments with any content, and
+// empty lines.
 type eventScan struct {
-	line  []byte // its start, up to the longest name
-	count int    // its bytes
-	fine  bool   // its name is one that events have
-	note  bool   // it is a comment
+	line  []byte // the line's first bytes, at most as many as the longest field name has
+	count int    // length of the line so far
+	fine  bool   // what precedes the colon is valid
+	note  bool   // the line is a comment
 }
 
 var eventFields = []string{"data", "event", "id", "retry"}
 
-// feed takes the next bytes and returns how many of them may pass, and where an empty line ended.
+// feed processes the next bytes. It returns how many of them are valid and the position behind the last empty line.
 func (s *eventScan) feed(p []byte) (n, blank int, err error) {
 	for i, b := range p {
 		if b == '\n' {
-			if name := bytes.TrimSuffix(s.line, []byte("\r")); !s.fine && len(name) > 0 && !isField(name) {
-				return i, blank, spoilt("a line %.20q", s.line)
+			if name := bytes.TrimSuffix(s.line, []byte("\r")); !s.fine && len(name) > 0 && !isEventField(name) {
+				return i, blank, malformed("malformed line %.20q", s.line)
 			}
 			if s.count == 0 || s.count == 1 && string(s.line) == "\r" {
 				blank = i + 1
@@ -458,30 +459,30 @@
 			*s = eventScan{line: s.line[:0]}
 			continue
 		}
-		if s.count++; s.count > maxEvent {
-			return i, blank, spoilt("a line over %d bytes", maxEvent)
+		if s.count++; s.count > maxEventBytes {
+			return i, blank, malformed("event line over %d bytes", maxEventBytes)
 		}
 		switch {
 		case s.note:
 		case s.fine:
 			if b < ' ' && b != '\t' && b != '\r' {
-				return i, blank, spoilt("noise in a line")
+				return i, blank, malformed("control character in an event line")
 			}
 		case b == ':':
 			s.note = len(s.line) == 0
-			if s.fine = true; !s.note && !isField(s.line) {
-				return i, blank, spoilt("a line %.20q", s.line)
+			if s.fine = true; !s.note && !isEventField(s.line) {
+				return i, blank, malformed("malformed line %.20q", s.line)
 			}
 		default:
-			if s.line = append(s.line, b); !mayBeField(s.line) {
-				return i, blank, spoilt("a line %.20q", s.line)
+			if s.line = append(s.line, b); !isEventFieldPrefix(s.line) {
+				return i, blank, malformed("malformed line %.20q", s.line)
 			}
 		}
 	}
 	return len(p), blank, nil
 }
 
-func isField(name []byte) bool {
+func isEventField(name []byte) bool {
 	for _, f := range eventFields {
 		if string(name) == f {
 			return true
@@ -490,7 +491,7 @@
 	return false
 }
 
-func mayBeField(start []byte) bool {
+func isEventFieldPrefix(start []byte) bool {
 	start = bytes.TrimSuffix(start, []byte("\r"))
 	for _, f := range eventFields {
 		if len(start) <= len(f) && f[:len(start)] == string(start) {
@@ -500,9 +501,9 @@
 	return false
 }
 
-// whole says whether text, which ends with an empty line, holds an event with data, and an error where
-// the data of the first makes no sense: it is a JSON object, or the mark of the end.
-func whole(text []byte) (bool, error) {
+// hasDataEvent reports whether text, which ends with an empty line, contains an event with data. The data of the first
+// such event must be a JSON object or the end mark [DONE].
+func hasDataEvent(text []byte) (bool, error) {
 	var data []byte
 	for line := range bytes.Lines(text) {
 		if value, ok := bytes.CutPrefix(line, []byte("data:")); ok {
@@ -515,7 +516,7 @@
 			continue
 		}
 		if string(data) != "[DONE]" && !(data[0] == '{' && json.Valid(data)) {
-			return false, spoilt("its first event %.40q", data)
+			return false, malformed("malformed data of the first event: %.40q", data)
 		}
 		return true, nil
 	}
--- a/internal/httpfront/calledoff.go
+++ b/internal/httpfront/calledoff.go
@@ -1,8 +1,9 @@
 package httpfront
 
-// This file owns the end of an attempt that the router calls off. net/http closes the connection and returns, but two
-// connections have no order between them: the next attempt may be read by its worker before the close of this one is. It
-// must never end the sending on a connection that has gone on to another request.
+// Cancellation of an attempt by the router. When a request's context ends, net/http closes the connection and returns.
+// The order in which workers see events on two connections is not defined, however: the next attempt may reach its
+// worker before the close of this one reaches its own. A connection that already serves another request is never
+// half-closed.
 
 import (
 	"context"
@@ -10,72 +11,73 @@
 	"time"
 )
 
-// calledOff watches the context of one attempt. When that ends, the request that net/http carries is ended with it: at
-// once, or, for an attempt with a Settle, only when its worker was seen to have ended it too.
-type calledOff struct {
-	attempt context.Context
-	request context.Context // what net/http is given
-	cancel  context.CancelCauseFunc
-	sent    *atomic.Bool // the request's last byte has been handed to net/http
-	conn    atomic.Pointer[workerConn]
-	settle  time.Duration
-	after   func(time.Duration) <-chan time.Time
-	stop    func() bool // ends the watch
+// attemptWatch watches the context of an attempt and cancels its HTTP request when that ends: at once or, if the
+// attempt has a settle timeout, after its worker was seen to have ended the request too.
+type attemptWatch struct {
+	attemptCtx    context.Context
+	requestCtx    context.Context // given to net/http
+	cancel        context.CancelCauseFunc
+	sent          *atomic.Bool // net/http has received the request's last byte
+	conn          atomic.Pointer[workerConn]
+	settleTimeout time.Duration
+	after         func(time.Duration) <-chan time.Time
+	stopWatching  func() bool // ends the watch
 }
 
-func watchCalledOff(attempt context.Context, settle time.Duration, sent *atomic.Bool, after func(time.Duration) <-chan time.Time) *calledOff {
-	o := &calledOff{attempt: attempt, sent: sent, settle: settle, after: after}
-	o.request, o.cancel = context.WithCancelCause(context.WithoutCancel(attempt))
-	o.stop = context.AfterFunc(attempt, o.end)
-	return o
+func watchAttempt(attemptCtx context.Context, settleTimeout time.Duration, sent *atomic.Bool, after func(time.Duration) <-chan time.Time) *attemptWatch {
+	w := &attemptWatch{attemptCtx: attemptCtx, sent: sent, settleTimeout: settleTimeout, after: after}
+	w.requestCtx, w.cancel = context.WithCancelCause(context.WithoutCancel(attemptCtx))
+	w.stopWatching = context.AfterFunc(attemptCtx, w.cancelRequest)
+	return w
 }
 
-// end ends the request. The half-close lets the worker see the end while its own can still be read here, which the
-// transport reports as the request's error. Before its last byte was sent a request never counts: closing is enough.
-func (o *calledOff) end() {
-	conn := o.conn.Load()
-	if o.settle > 0 && conn != nil && o.sent.Load() && conn.endSending(o) {
+// cancelRequest cancels the request. The half-close signals the cancellation to the worker while the worker's own close
+// can still be read, which the transport reports as the request's error. A request whose last byte was not sent never
+// counts as executed, so that closing is enough.
+func (w *attemptWatch) cancelRequest() {
+	conn := w.conn.Load()
+	if w.settleTimeout > 0 && conn != nil && w.sent.Load() && conn.closeWriteFor(w) {
 		select {
-		case <-conn.over: // the worker's end was read, and the transport has closed the connection
-		case <-o.request.Done():
-		case <-o.after(o.settle): // a worker that is out of reach tells nothing
+		case <-conn.over: // the worker's close was read, and the transport has closed the connection
+		case <-w.requestCtx.Done():
+		case <-w.after(w.settleTimeout): // an unreachable worker never closes
 		}
 	}
-	o.cancel(context.Cause(o.attempt))
+	w.cancel(context.Cause(w.attemptCtx))
 }
 
-// begun is told that the answer has begun to stream: from now on the request ends at once with the attempt. It says no
-// where the attempt has ended already.
-func (o *calledOff) begun() bool {
-	if o.stop() {
-		o.stop = context.AfterFunc(o.attempt, func() { o.cancel(context.Cause(o.attempt)) })
+// streamBegun notes that the answer has begun to stream, so that from now on the request is cancelled at once with the
+// attempt. It returns false if the attempt has ended already.
+func (w *attemptWatch) streamBegun() bool {
+	if w.stopWatching() {
+		w.stopWatching = context.AfterFunc(w.attemptCtx, func() { w.cancel(context.Cause(w.attemptCtx)) })
 		return true
 	}
-	o.cancel(context.Cause(o.attempt))
+	w.cancel(context.Cause(w.attemptCtx))
 	return false
 }
 
-// over says that the attempt has ended without a stream.
-func (o *calledOff) over() {
-	o.stop()
-	o.cancel(nil)
+// finish notes that the attempt has ended without a stream.
+func (w *attemptWatch) finish() {
+	w.stopWatching()
+	w.cancel(nil)
 }
 
-// serve notes whose request is written next.
-func (c *workerConn) serve(o *calledOff) {
-	c.serving.Lock()
-	c.serves = o
-	c.serving.Unlock()
+// setWatch sets the watch of the attempt whose request is written next.
+func (c *workerConn) setWatch(w *attemptWatch) {
+	c.watchMu.Lock()
+	c.watch = w
+	c.watchMu.Unlock()
 }
 
-// endSending ends the sending of o's request, unless the connection has gone on. It serves no further use then.
-func (c *workerConn) endSending(o *calledOff) bool {
-	c.serving.Lock()
-	defer c.serving.Unlock()
-	if c.serves != o {
+// closeWriteFor half-closes the connection unless it has moved on from w's request. It can't be used again afterwards.
+func (c *workerConn) closeWriteFor(w *attemptWatch) bool {
+	c.watchMu.Lock()
+	defer c.watchMu.Unlock()
+	if c.watch != w {
 		return false
 	}
-	c.bad.Store(true)
+	c.unusable.Store(true)
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	return ok && half.CloseWrite() == nil
 }
--- a/internal/httpfront/calledoff_test.go
+++ b/internal/httpfront/calledoff_test.go
@@ -1,7 +1,7 @@
 package httpfront
 
-// An attempt that is called off: Try of one that must not run twice returns after its worker has ended it, in each order of
-// the events that may cross.
+// Cancelled attempts: for a request that must not run twice, Try returns only after the worker has ended the attempt,
+// in whatever order the cancellation, the answer and the close arrive.
 
 import (
 	"bufio"
@@ -18,22 +18,23 @@
 	"rowanyard/internal/core"
 )
 
-// hungWorker takes one request and does with its connection what the test says, once the other side has ended its sending.
-type hungWorker struct {
-	addr string
-	came chan struct{}       // a request has come whole
-	seen chan struct{}       // its sender has ended its sending
-	then chan func(net.Conn) // what is done next, the connection is closed after it
+// scriptedWorker reads one request, waits until the peer has half-closed, and then runs the test's function on the
+// connection.
+type scriptedWorker struct {
+	addr       string
+	received   chan struct{}       // closed when the complete request was received
+	halfClosed chan struct{}       // closed when the peer has half-closed
+	then       chan func(net.Conn) // run next, before the connection is closed
 }
 
-func newHungWorker(t *testing.T) *hungWorker {
+func newScriptedWorker(t *testing.T) *scriptedWorker {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	w := &hungWorker{addr: l.Addr().String(), came: make(chan struct{}), seen: make(chan struct{}), then: make(chan func(net.Conn))}
+	w := &scriptedWorker{addr: l.Addr().String(), received: make(chan struct{}), halfClosed: make(chan struct{}), then: make(chan func(net.Conn))}
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
@@ -46,9 +47,9 @@
 			return
 		}
 		io.Copy(io.Discard, r.Body)
-		close(w.came)
+		close(w.received)
 		if _, err := in.ReadByte(); errors.Is(err, io.EOF) {
-			close(w.seen)
+			close(w.halfClosed)
 		}
 		select {
 		case do := <-w.then:
@@ -59,119 +60,122 @@
 	return w
 }
 
-// callOff begins an attempt at w and calls it off when w has had all of it. The limit of its end is what limit says.
-func callOff(t *testing.T, w *hungWorker, read bool, limit <-chan time.Time) <-chan core.Result {
+// cancelAttempt starts an attempt at w and cancels it once w has received all of it. limit stands in for the settle
+// timeout.
+func cancelAttempt(t *testing.T, w *scriptedWorker, read bool, limit <-chan time.Time) <-chan core.Result {
 	t.Helper()
 	x, a := attempt(w.addr)
 	a.Settle, a.Read = time.Hour, read
-	waits := make(chan struct{})
-	x.Workers.after = func(time.Duration) <-chan time.Time { close(waits); return limit }
+	settling := make(chan struct{})
+	x.Workers.after = func(time.Duration) <-chan time.Time { close(settling); return limit }
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan core.Result, 1)
 	go func() { done <- x.Try(ctx, a) }()
-	<-w.came
+	<-w.received
 	stop()
 	select {
-	case <-waits:
+	case <-settling:
 	case res := <-done:
-		t.Fatalf("%+v before its worker has ended it", res)
+		t.Fatalf("returned %+v before its worker ended the attempt", res)
 	}
-	<-w.seen
+	<-w.halfClosed
 	return done
 }
 
-func TestACalledOffAttemptEndsAfterItsWorkerHasEndedIt(t *testing.T) {
-	w := newHungWorker(t)
-	done := callOff(t, w, false, nil)
+func TestCancelledAttemptReturnsAfterWorkerCloses(t *testing.T) {
+	w := newScriptedWorker(t)
+	done := cancelAttempt(t, w, false, nil)
 	w.then <- func(net.Conn) {}
 	if res := <-done; res.Status != decide.Cancelled {
 		t.Errorf("%+v", res)
 	}
 }
 
-// A worker that is out of reach shows no end: that of the limit is taken for it.
-func TestACalledOffAttemptEndsAtItsLimit(t *testing.T) {
-	w := newHungWorker(t)
+// An unreachable worker never closes its side: the attempt ends when the settle timeout expires.
+func TestCancelledAttemptReturnsAtSettleTimeout(t *testing.T) {
+	w := newScriptedWorker(t)
 	limit := make(chan time.Time)
-	done := callOff(t, w, false, limit)
+	done := cancelAttempt(t, w, false, limit)
 	close(limit)
 	if res := <-done; res.Status != decide.Cancelled {
 		t.Errorf("%+v", res)
 	}
 }
 
-// The answer of a reader crosses the end: it has read the prompt, and that counts. A stream that begins then is nobody's.
-func TestAnAnswerCrossesTheEndOfItsAttempt(t *testing.T) {
-	w := newHungWorker(t)
-	done := callOff(t, w, true, nil)
+// A reader's answer that arrives after the cancellation counts, since the prompt was read. A stream that begins then is
+// dropped.
+func TestAnswerArrivesAfterCancellation(t *testing.T) {
+	w := newScriptedWorker(t)
+	done := cancelAttempt(t, w, true, nil)
 	w.then <- func(c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 202 X\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\": 7}")
 	}
 	if res := <-done; res.Status != decide.Read || res.Kept != 7 {
 		t.Errorf("%+v", res)
 	}
-	w = newHungWorker(t)
-	done = callOff(t, w, false, nil)
+	w = newScriptedWorker(t)
+	done = cancelAttempt(t, w, false, nil)
 	w.then <- func(c net.Conn) { io.WriteString(c, chunkedHead+chunk("data: {}\n\n")) }
 	if res := <-done; res.Status == 0 || res.Stream != nil {
 		t.Errorf("%+v", res)
 	}
 }
 
-// What may run twice ends at once.
-func TestACalledOffAttemptThatMayRunTwiceEndsAtOnce(t *testing.T) {
-	w := newHungWorker(t)
+// An attempt that may run twice is cancelled without waiting.
+func TestCancelledRepeatableAttemptReturnsAtOnce(t *testing.T) {
+	w := newScriptedWorker(t)
 	x, a := attempt(w.addr)
-	x.Workers.after = func(time.Duration) <-chan time.Time { t.Error("it waits"); return nil }
+	x.Workers.after = func(time.Duration) <-chan time.Time { t.Error("waited for the worker"); return nil }
 	ctx, stop := context.WithCancel(t.Context())
-	go func() { <-w.came; stop() }()
+	go func() { <-w.received; stop() }()
 	if res := x.Try(ctx, a); res.Status != decide.Cancelled {
 		t.Errorf("%+v", res)
 	}
 }
 
-// So does what has no connection yet, or was not written whole: it never counts.
-func TestACalledOffAttemptThatWasNotSentEndsAtOnce(t *testing.T) {
+// An attempt without a connection, or with an incomplete request, is cancelled without waiting: it was never executed.
+func TestCancelledUnsentAttemptReturnsAtOnce(t *testing.T) {
 	for _, connected := range []bool{false, true} {
 		ctx, stop := context.WithCancel(t.Context())
-		o := watchCalledOff(ctx, time.Hour, new(atomic.Bool), nil)
+		w := watchAttempt(ctx, time.Hour, new(atomic.Bool), nil)
 		if connected {
-			c := &workerConn{Conn: halfCloser{nil, t}, over: make(chan struct{})}
-			o.conn.Store(c)
-			c.serve(o)
+			c := &workerConn{Conn: noHalfClose{nil, t}, over: make(chan struct{})}
+			w.conn.Store(c)
+			c.setWatch(w)
 		}
 		stop()
-		<-o.request.Done()
+		<-w.requestCtx.Done()
 	}
 }
 
-// The end of an attempt comes as its answer ends: the connection serves another request by then, which must go on.
-func TestTheEndOfAnAttemptLeavesTheNextRequestAlone(t *testing.T) {
+// If the cancellation comes as the answer ends, the connection may already serve another request, which must not be
+// disturbed.
+func TestLateCancellationLeavesNextRequestAlone(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
-	c := &workerConn{Conn: halfCloser{here, t}, over: make(chan struct{})}
-	o := &calledOff{}
-	c.serve(o)
-	c.state = inLength
+	c := &workerConn{Conn: noHalfClose{here, t}, over: make(chan struct{})}
+	w := &attemptWatch{}
+	c.setWatch(w)
+	c.state = inSizedBody
 	if err := c.end(0); err != nil {
 		t.Fatal(err)
 	}
-	if c.endSending(o) || c.bad.Load() {
-		t.Error("an answered request's end was written to its connection")
+	if c.closeWriteFor(w) || c.unusable.Load() {
+		t.Error("the connection was half-closed for an answered request")
 	}
-	c.serve(&calledOff{})
-	if c.endSending(o) || c.bad.Load() {
-		t.Error("the next request's sending was ended")
+	c.setWatch(&attemptWatch{})
+	if c.closeWriteFor(w) || c.unusable.Load() {
+		t.Error("the connection was half-closed during the next request")
 	}
 }
 
-// halfCloser fails the test where its sending is ended.
-type halfCloser struct {
+// noHalfClose fails the test if the connection is half-closed.
+type noHalfClose struct {
 	net.Conn
 	t *testing.T
 }
 
-func (c halfCloser) CloseWrite() error {
-	c.t.Error("the sending was ended")
+func (c noHalfClose) CloseWrite() error {
+	c.t.Error("unexpected half-close")
 	return nil
 }
--- a/internal/httpfront/descriptors.go
+++ b/internal/httpfront/descriptors.go
@@ -1,7 +1,8 @@
 package httpfront
 
-// This file owns what happens where the process has no descriptor left: whoever needs one for the watch, for workers or for
-// operators gets that of a client at which no request is at work. It must never close one that is at work.
+// What happens when the process runs out of file descriptors: the connections to discovery, workers and operators take
+// the descriptor of a client connection that has no request in progress. Busy client connections are never closed for
+// this.
 
 import (
 	"context"
@@ -11,26 +12,26 @@
 	"syscall"
 )
 
-// freeTries is how often one is freed for one need: another may take it first.
-const freeTries = 4
+// maxReclaims bounds the descriptors freed for one connection: another goroutine may take a freed one first.
+const maxReclaims = 4
 
-// Descriptors is where a descriptor can be had from. The zero value has none to give.
-type Descriptors struct{ free atomic.Pointer[func() bool] }
+// DescriptorSource frees file descriptors on demand. The zero value frees none.
+type Descriptors struct{ reclaim atomic.Pointer[func() bool] }
 
-// From sets what frees one and says whether it could.
-func (d *Descriptors) From(free func() bool) { d.free.Store(&free) }
+// SetReclaim sets the function that frees a descriptor and reports whether it could.
+func (d *Descriptors) From(reclaim func() bool) { d.reclaim.Store(&reclaim) }
 
-func (d *Descriptors) freed() bool {
-	free := d.free.Load()
-	return free != nil && (*free)()
+func (d *Descriptors) tryReclaim() bool {
+	reclaim := d.reclaim.Load()
+	return reclaim != nil && (*reclaim)()
 }
 
 func outOfDescriptors(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// isLocal says that a connection failed for want of something on this machine, which tells nothing of the one it was to.
-func isLocal(err error) bool {
+// isLocalFailure reports whether a connection failed for lack of a local resource, which says nothing about the peer.
+func isLocalFailure(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 		syscall.EADDRINUSE, syscall.EAGAIN, syscall.EACCES, syscall.EPERM, syscall.EAFNOSUPPORT} {
 		if errors.Is(err, errno) {
@@ -42,35 +43,36 @@
 
 type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// dialing is dial, which frees descriptors where it needs one.
-func (d *Descriptors) dialing(dial dialFunc) dialFunc {
+// wrapDial returns dial extended to free descriptors when there are none left.
+func (d *Descriptors) wrapDial(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
-		for n := 0; n < freeTries && outOfDescriptors(err) && d.freed(); n++ {
+		for n := 0; n < maxReclaims && outOfDescriptors(err) && d.tryReclaim(); n++ {
 			c, err = dial(ctx, network, addr)
 		}
 		return c, err
 	}
 }
 
-// Listener is l, which frees descriptors where it needs one.
-func (d *Descriptors) Listener(l net.Listener) net.Listener { return &needing{l, d} }
+// Listener returns l extended to free descriptors when there are none left.
+func (d *Descriptors) Listener(l net.Listener) net.Listener { return &reclaimingListener{l, d} }
 
-type needing struct {
+type reclaimingListener struct {
 	net.Listener
-	from *Descriptors
+	source *Descriptors
 }
 
 // Accept implements net.Listener.
-func (l *needing) Accept() (net.Conn, error) {
+func (l *reclaimingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	for n := 0; n < freeTries && outOfDescriptors(err) && l.from.freed(); n++ {
+	for n := 0; n < maxReclaims && outOfDescriptors(err) && l.source.tryReclaim(); n++ {
 		c, err = l.Listener.Accept()
 	}
 	return c, err
 }
 
-// Shed closes the client's connection that goes first, if there is one at which no request is at work.
+// CloseIdleClient closes the client connection that is first in the order of eviction, if there is one without a
+// request in progress. It reports whether it closed one.
 func (f *Front) Shed() bool {
 	f.mu.Lock()
 	clients := f.clients
--- a/internal/httpfront/descriptors_test.go
+++ b/internal/httpfront/descriptors_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// scarce is a listener and a dialer with so many descriptors left.
-type scarce struct {
+// limitedDescriptors is a listener and a dialer with a limited number of descriptors.
+type limitedDescriptors struct {
 	net.Listener
 	left int
 }
 
-func (s *scarce) take() (net.Conn, error) {
+func (s *limitedDescriptors) open() (net.Conn, error) {
 	if s.left--; s.left < 0 {
 		s.left = 0
 		return nil, &net.OpError{Op: "socket", Err: syscall.EMFILE}
@@ -26,19 +26,19 @@
 	return c, nil
 }
 
-func (s *scarce) Accept() (net.Conn, error)                              { return s.take() }
-func (s *scarce) dial(context.Context, string, string) (net.Conn, error) { return s.take() }
-func (s *scarce) broken(context.Context, string, string) (net.Conn, error) {
+func (s *limitedDescriptors) Accept() (net.Conn, error)                              { return s.open() }
+func (s *limitedDescriptors) dial(context.Context, string, string) (net.Conn, error) { return s.open() }
+func (s *limitedDescriptors) refuse(context.Context, string, string) (net.Conn, error) {
 	return nil, syscall.ECONNREFUSED
 }
 
-// Who needs a descriptor where there is none gets one that is freed for it; where none can be, or the failure is another,
-// it hears so.
-func TestDescriptorsAreFreedForWhoNeedsThem(t *testing.T) {
-	s, idle := &scarce{}, 2
+// Without a free descriptor, dials and accepts use one that is reclaimed. If none can be, or the failure has another
+// cause, the error is returned.
+func TestDescriptorsAreReclaimedOnDialAndAccept(t *testing.T) {
+	s, idle := &limitedDescriptors{}, 2
 	var d Descriptors
-	if _, err := d.dialing(s.dial)(t.Context(), "", ""); !errors.Is(err, syscall.EMFILE) {
-		t.Errorf("nobody can free one: %v", err)
+	if _, err := d.wrapDial(s.dial)(t.Context(), "", ""); !errors.Is(err, syscall.EMFILE) {
+		t.Errorf("dial without a reclaim function: %v", err)
 	}
 	d.From(func() bool {
 		if idle == 0 {
@@ -48,26 +48,26 @@
 		s.left++
 		return true
 	})
-	if _, err := d.dialing(s.broken)(t.Context(), "", ""); !errors.Is(err, syscall.ECONNREFUSED) || idle != 2 {
-		t.Errorf("%v, %d idle ones left: another failure frees none", err, idle)
+	if _, err := d.wrapDial(s.refuse)(t.Context(), "", ""); !errors.Is(err, syscall.ECONNREFUSED) || idle != 2 {
+		t.Errorf("dial with another failure: %v, %d idle connections left", err, idle)
 	}
-	if _, err := d.dialing(s.dial)(t.Context(), "", ""); err != nil || idle != 1 {
-		t.Errorf("a dial: %v, %d idle ones left", err, idle)
+	if _, err := d.wrapDial(s.dial)(t.Context(), "", ""); err != nil || idle != 1 {
+		t.Errorf("dial: %v, %d idle connections left", err, idle)
 	}
 	if _, err := d.Listener(s).Accept(); err != nil || idle != 0 {
-		t.Errorf("an accept: %v, %d idle ones left", err, idle)
+		t.Errorf("accept: %v, %d idle connections left", err, idle)
 	}
 	if _, err := d.Listener(s).Accept(); !errors.Is(err, syscall.EMFILE) {
-		t.Errorf("nothing is left: %v", err)
+		t.Errorf("accept with no idle connection left: %v", err)
 	}
 }
 
-// Idle clients make room, one at work never does.
-func TestShedClosesIdleClientsOnly(t *testing.T) {
+// Idle client connections are closed for their descriptors, busy ones never.
+func TestOnlyIdleClientsAreClosedForDescriptors(t *testing.T) {
 	h := newHolding(t)
 	f, _ := patient(t, h.Addr().String())
 	if f.Shed() {
-		t.Error("shed before there was a client")
+		t.Error("closed a client before there was one")
 	}
 	addr := listening(t, f, 10)
 	dial(t, addr, patiently(message("busy", length(bodyText), bodyText)))
@@ -77,15 +77,15 @@
 	if res, err := http.ReadResponse(in, nil); err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
-	for end := time.Now().Add(20 * time.Second); !f.Shed(); { // it has to have been idle for a moment
+	for end := time.Now().Add(20 * time.Second); !f.Shed(); { // only connections idle for a moment are closed
 		if time.Now().After(end) {
-			t.Fatal("the idle one stays")
+			t.Fatal("the idle client is not closed")
 		}
 	}
 	if _, err := in.ReadByte(); err == nil {
-		t.Error("the idle one is open")
+		t.Error("the idle client's connection is open")
 	}
 	if f.Shed() || len(h.ended) > 0 {
-		t.Error("the one at work was shed")
+		t.Error("the busy client was closed")
 	}
 }
--- a/internal/httpfront/discovery.go
+++ b/internal/httpfront/discovery.go
@@ -1,8 +1,7 @@
 package httpfront
 
-// This file owns the watch on discovery: it reads the list of workers and its changes and hands
-// them to the core as they come, from one address at a time. It must never hold a change back, never
-// let a line that it can't read end the watch for good, and never mix what two addresses say.
+// The watch on discovery. It reads the list of workers and its changes and passes them to the core at once. It follows
+// one address at a time and never mixes the lists of two. A list that can't be read never ends it for good.
 
 import (
 	"bytes"
@@ -26,32 +25,33 @@
 	"rowanyard/internal/core"
 )
 
-// Times. A change counts as told newsDue after discovery has it and can be reached, or newsMoved after SIGHUP has named
-// another address, whatever became of the call before. So no call begins later than newsDue less newsSpare after discovery's
-// last word or the beginning of the call before, jitter and that call's own limit included: what is left is for the answer.
+// Timeouts. The router must know a change changeDeadline after discovery has it and can be reached, or moveDeadline
+// after a SIGHUP named another address, whatever became of earlier calls. So no call begins later than that deadline
+// less answerAllowance, which is left for the answer, after discovery's last line or the beginning of the previous
+// call. This includes jitter and the timeout of that call.
 const (
-	pathList      = "/registry/instances"
-	newsDue       = 6 * time.Second
-	newsMoved     = 4 * time.Second
-	newsSpare     = 1500 * time.Millisecond
-	backoffLeast  = 200 * time.Millisecond  // a watch that ended is asked for again after up to this, doubled ...
-	backoffMost   = 2 * time.Second         // ... for each that failed since one held, up to this
-	backoffEach   = 150 * time.Millisecond  // where discovery has no room all routers together ask so often, doubled likewise
-	watchSilent   = 3 * time.Second         // an empty line comes every 2 s,
-	watchFirst    = 2500 * time.Millisecond // and so does the first
-	listWait      = time.Second             // the whole list comes at once or not at all
-	watchLine     = 4 << 20
-	discoveryDial = time.Second
+	pathList             = "/registry/instances"
+	newsDue              = 6 * time.Second
+	newsMoved            = 4 * time.Second
+	newsSpare            = 1500 * time.Millisecond
+	backoffLeast         = 200 * time.Millisecond  // a watch that ended is restarted after up to this, doubled ...
+	backoffMost          = 2 * time.Second         // ... for each failed one since the last that held, up to this
+	backoffEach          = 150 * time.Millisecond  // under overload all routers together make one call in this time, doubled likewise
+	watchSilenceTimeout  = 3 * time.Second         // discovery sends an empty line every 2 s,
+	firstLineTimeout     = 2500 * time.Millisecond // also as the first one
+	listTimeout          = time.Second             // the full list is sent at once
+	defaultMaxListBytes  = 4 << 20
+	discoveryDialTimeout = time.Second
 )
 
-// List is discovery's form of the worker list.
+// List is discovery's representation of the worker list, or of a change to it.
 type List struct {
 	Seq   int64   `json:"seq"`
 	Whole bool    `json:"whole"`
 	Hosts []Entry `json:"hosts"`
 }
 
-// Entry is one worker in it.
+// Entry is a worker in a List.
 type Entry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -63,85 +63,87 @@
 	BornMs float64 `json:"born_ms"`
 }
 
-// Names are the deployment's names in the order of their numbers.
+// Names holds the names that a deployment uses in its lists, in the order of their numbers, and maps lists to core's
+// types.
 type Names struct {
 	Kinds, Zones []string
-	Wire         func(Entry) string // how a worker is spoken to; nil: all by HTTP
+	Wire         func(Entry) string // the wire protocol of a worker; nil: HTTP for all
 }
 
-var states = map[string]decide.ServerState{"up": decide.Ready, "draining": decide.Draining, "removed": decide.Gone}
+var healthStates = map[string]decide.ServerState{"up": decide.Ready, "draining": decide.Draining, "removed": decide.Gone}
 
-// worker turns an entry into the core's form.
-func (n Names) worker(e Entry) (core.Worker, error) {
-	state, ok := states[e.Health]
+// decodeEntry converts an entry to the core's representation.
+func (n Names) decodeEntry(e Entry) (core.Worker, error) {
+	state, ok := healthStates[e.Health]
 	kind, zone := slices.Index(n.Kinds, e.Class), slices.Index(n.Zones, e.Site)
 	if state != decide.Gone {
 		_, _, err := net.SplitHostPort(e.Dial)
 		if !ok || e.Host == "" || kind < 0 || zone < 0 || err != nil || !(e.BornMs >= 0 && e.BornMs < 1e15) {
-			return core.Worker{}, fmt.Errorf("entry %+v", e)
+			return core.Worker{}, fmt.Errorf("invalid entry %+v", e)
 		}
 	}
-	spoken := ""
+	wire := ""
 	if n.Wire != nil {
-		spoken = n.Wire(e)
+		wire = n.Wire(e)
 	}
-	return core.Worker{Addr: e.Dial, Wire: spoken, Born: time.Duration(e.BornMs * float64(time.Millisecond)),
+	return core.Worker{Addr: e.Dial, Wire: wire, Born: time.Duration(e.BornMs * float64(time.Millisecond)),
 		Server: decide.Server{ID: e.Host, State: state, Kind: kind, Cell: e.Block, Zone: zone, Weight: e.Share}}, nil
 }
 
-// Workers turns a list into the core's form. Entries that make no sense are logged and left out.
+// Workers converts a list to the core's representation. Invalid entries are logged and left out.
 func (n Names) Workers(l List, log *slog.Logger) []core.Worker {
-	all, _ := n.sort(l, log)
-	return all
+	workers, _ := n.decodeList(l, log)
+	return workers
 }
 
-// sort sets the entries that make sense apart from the hosts of those that don't.
-func (n Names) sort(l List, log *slog.Logger) (all []core.Worker, garbled []string) {
+// decodeList returns the valid entries' workers and the hosts of the invalid entries.
+func (n Names) decodeList(l List, log *slog.Logger) (workers []core.Worker, rejected []string) {
 	for _, e := range l.Hosts {
-		w, err := n.worker(e)
+		w, err := n.decodeEntry(e)
 		if err != nil {
 			log.Error("worker list: left out", "err", err)
-			garbled = append(garbled, e.Host)
+			rejected = append(rejected, e.Host)
 			continue
 		}
-		all = append(all, w)
+		workers = append(workers, w)
 	}
-	return all, garbled
+	return workers, rejected
 }
 
-// Discovery follows one address of discovery at a time.
+// Discovery follows one discovery address at a time and keeps the core's worker list up to date.
 type Discovery struct {
 	Names Names
 	Core  *core.Core
 	Log   *slog.Logger
-	Line  int // the longest line that is read, 0 = watchLine
-	// Spare is where descriptors come from when there are none left. Not to be replaced.
+	Line  int // maximum size of a list, 0 means defaultMaxListBytes
+	// Descriptors frees file descriptors when the process has none left. Configure it, but don't replace it.
 	Spare *Descriptors
 
-	dial dialFunc // the network's, but for tests
+	dial dialFunc // replaced in tests
 
-	mu   sync.Mutex
-	addr string
-	stop context.CancelFunc
-	told chan struct{} // closed once discovery has said anything
+	mu        sync.Mutex
+	addr      string
+	stop      context.CancelFunc
+	firstList chan struct{} // closed once a list was received
 }
 
-// NewDiscovery returns a Discovery that follows nobody yet and reads lines of so many bytes, 0 = watchLine.
-func NewDiscovery(names Names, c *core.Core, line int, log *slog.Logger) *Discovery {
-	d := &Discovery{Names: names, Core: c, Log: log, Line: line, told: make(chan struct{}), Spare: &Descriptors{}}
-	d.dial = d.Spare.dialing((&net.Dialer{Timeout: discoveryDial}).DialContext)
+// NewDiscovery returns a Discovery that follows no address yet. maxListBytes bounds a list, 0 means
+// defaultMaxLineBytes.
+func NewDiscovery(names Names, c *core.Core, maxListBytes int, log *slog.Logger) *Discovery {
+	d := &Discovery{Names: names, Core: c, Log: log, Line: maxListBytes, firstList: make(chan struct{}), Spare: &Descriptors{}}
+	d.dial = d.Spare.wrapDial((&net.Dialer{Timeout: discoveryDialTimeout}).DialContext)
 	return d
 }
 
-// Told is closed once discovery has told the first line.
-func (d *Discovery) Told() <-chan struct{} { return d.told }
+// FirstListReceived returns a channel that is closed once the first list or change was received.
+func (d *Discovery) Told() <-chan struct{} { return d.firstList }
 
-// wholeList asks for the whole list before the watch.
-const wholeList = -1
+// unknownVersion makes the watch request the full list first.
+const unknownVersion = -1
 
-// Follow watches addr from now on and no other. after is the version of the list that the core has.
-// Where an address was followed before, addr need not count its versions alike: the whole list is
-// taken from there, and what is known holds until it comes. The same address again changes nothing.
+// Follow watches addr from now on and no other address. after is the version of the list that the core has. Versions of
+// different addresses can't be compared: if another address was followed before, the full list is requested, and the
+// current one stays in use until it arrives. Following the same address again has no effect.
 func (d *Discovery) Follow(addr string, after int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,7 +152,7 @@
 	}
 	if d.stop != nil {
 		d.stop()
-		after = wholeList
+		after = unknownVersion
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	d.addr, d.stop = addr, stop
@@ -169,20 +171,20 @@
 // watch follows addr until ctx ends.
 func (d *Discovery) watch(ctx context.Context, addr string, after int64) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: d.dial}}
-	for failed := 0; ; {
-		begun := time.Now()
-		word := begun // discovery's last, or when this call for one began
-		err := d.watchOnce(ctx, client, addr, &after, &word)
-		if time.Since(begun) > newsDue { // it has held for a while
-			failed = 0
+	for failures := 0; ; {
+		callStart := time.Now()
+		lastHeard := callStart // when discovery last sent something, or when this call began
+		err := d.watchOnce(ctx, client, addr, &after, &lastHeard)
+		if time.Since(callStart) > newsDue { // it has held for a while
+			failures = 0
 		}
-		due := newsDue
-		if after == wholeList {
-			due = newsMoved
+		deadline := newsDue
+		if after == unknownVersion {
+			deadline = newsMoved
 		}
-		turn := max(backoffLeast, backoffEach*time.Duration(d.Core.Settings().Fronts)) // all of them share discovery
-		pause := backoff(err, failed, turn, due-newsSpare-time.Since(word))
-		failed++
+		interval := max(backoffLeast, backoffEach*time.Duration(d.Core.Settings().Fronts)) // all routers share discovery
+		pause := backoff(err, failures, interval, deadline-newsSpare-time.Since(lastHeard))
+		failures++
 		if ctx.Err() == nil {
 			d.Log.Warn("watch ended", "addr", addr, "seq", after, "again_ms", pause.Milliseconds(), "err", err)
 		}
@@ -194,59 +196,59 @@
 	}
 }
 
-// notNow is an answer of discovery other than 200, with its advice on when to ask again, 0 = none.
+// statusError is a response of discovery other than 200 with its Retry-After, 0 if there was none.
 type notNow struct {
-	status int
-	after  time.Duration
+	status     int
+	retryAfter time.Duration
 }
 
 func (e notNow) Error() string { return fmt.Sprintf("status %d", e.status) }
 
-// backoff is how long to wait after so many failures before this one, with jitter. turn is the time in which each of
-// all routers may ask once, most the longest wait. Guards discovery against routers that all ask again at once,
-// and again: where it has no room it must get less to do, not more, or it never catches up. And guards the rule
-// on drains against waits after which news that was not asked for counts as told.
-func backoff(err error, failed int, turn, most time.Duration) time.Duration {
-	var busy notNow
+// backoff returns how long to wait, with jitter, after a call that failed with err and so many failures before it.
+// interval is the time in which each router may call once, maxWait the longest wait. Routers that all retry at once
+// would keep an overloaded discovery from recovering, so its load must fall with each failure. maxWait keeps the wait
+// short enough to learn of a drain within the deadline for changes.
+func backoff(err error, failures int, interval, maxWait time.Duration) time.Duration {
+	var statusErr notNow
 	var wait time.Duration
 	switch {
-	case errors.As(err, &busy) && busy.after > 0:
-		wait = busy.after + rand.N(turn)
-	case errors.As(err, &busy), errors.Is(err, syscall.ECONNRESET):
-		turn <<= min(failed, 10)
-		wait = turn/2 + rand.N(turn)
+	case errors.As(err, &statusErr) && statusErr.retryAfter > 0:
+		wait = statusErr.retryAfter + rand.N(interval)
+	case errors.As(err, &statusErr), errors.Is(err, syscall.ECONNRESET):
+		interval <<= min(failures, 10)
+		wait = interval/2 + rand.N(interval)
 	default:
-		seldom := min(backoffLeast<<min(failed, 10), backoffMost)
-		wait = seldom/2 + rand.N(seldom/2)
+		base := min(backoffLeast<<min(failures, 10), backoffMost)
+		wait = base/2 + rand.N(base/2)
 	}
-	if most = max(most, backoffLeast); wait > most {
-		wait = most/2 + rand.N(most/2)
+	if maxWait = max(maxWait, backoffLeast); wait > maxWait {
+		wait = maxWait/2 + rand.N(maxWait/2)
 	}
 	return wait
 }
 
-// watchOnce follows one watch to its end.
-func (d *Discovery) watchOnce(ctx context.Context, client *http.Client, addr string, after *int64, word *time.Time) error {
+// watchOnce makes one watch call and reads it to its end.
+func (d *Discovery) watchOnce(ctx context.Context, client *http.Client, addr string, after *int64, lastHeard *time.Time) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	// Guards against a discovery that keeps the connection open and says nothing.
-	silent := time.AfterFunc(listWait, func() { stop(errors.New("discovery is silent")) })
-	defer silent.Stop()
+	// Discovery might keep the connection open without sending anything.
+	silenceTimer := time.AfterFunc(listTimeout, func() { stop(errors.New("discovery is silent")) })
+	defer silenceTimer.Stop()
 	url := "http://" + addr + pathList
-	if *after == wholeList {
-		if err := d.read(ctx, client, url, silent, after, word); err != nil {
+	if *after == unknownVersion {
+		if err := d.readLists(ctx, client, url, silenceTimer, after, lastHeard); err != nil {
 			return err
 		}
 	}
-	silent.Reset(watchFirst)
-	if err := d.read(ctx, client, url+"?watch=1&after="+strconv.FormatInt(*after, 10), silent, after, word); err != nil {
+	silenceTimer.Reset(firstLineTimeout)
+	if err := d.readLists(ctx, client, url+"?watch=1&after="+strconv.FormatInt(*after, 10), silenceTimer, after, lastHeard); err != nil {
 		return err
 	}
 	return io.ErrUnexpectedEOF
 }
 
-// read takes an answer's lines to its end.
-func (d *Discovery) read(ctx context.Context, client *http.Client, url string, silent *time.Timer, after *int64, word *time.Time) error {
+// readLists reads the lists of a response to its end and applies them.
+func (d *Discovery) readLists(ctx context.Context, client *http.Client, url string, silenceTimer *time.Timer, after *int64, lastHeard *time.Time) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -263,14 +265,14 @@
 		}
 		return notNow{res.StatusCode, time.Duration(after * float64(time.Second))}
 	}
-	values := newLists(res.Body, cmp.Or(d.Line, watchLine), silent, word)
-	values.unchanged = d.Core.ListConfirmed
+	reader := newListReader(res.Body, cmp.Or(d.Line, defaultMaxListBytes), silenceTimer, lastHeard)
+	reader.onUnchanged = d.Core.ListConfirmed
 	for {
-		text, err := values.next()
+		text, err := reader.next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		if err != nil && !values.begun { // it ended between two, which says nothing about either
+		if err != nil && !reader.inValue { // it ended between two lists, so nothing was lost
 			return err
 		}
 		var l List
@@ -278,99 +280,100 @@
 			l, err = parseList(text)
 		}
 		if err == nil && !l.Whole && l.Seq < *after {
-			err = fmt.Errorf("version %d after %d: what changed in between is not known", l.Seq, *after)
+			err = fmt.Errorf("version %d after %d: the changes in between are not known", l.Seq, *after)
 		}
 		if err == nil {
-			err = d.take(ctx, l)
+			err = d.apply(ctx, l)
 		}
-		if err != nil { // what it said is unknown: ask for the whole list
-			*after = wholeList
+		if err != nil { // the change is lost: request the full list next
+			*after = unknownVersion
 			return err
 		}
 		*after = l.Seq
 	}
 }
 
-// lists reads the JSON values of an answer one by one, on one line each or indented over many. Empty lines between
-// them are signs of life. A value that has begun has to end soon: a cut one would swallow those after it.
-type lists struct {
-	from   io.Reader
-	values *json.Decoder
-	most   int // bytes of a value
-	read   int // bytes since the last value ended
-	begun  bool
-	silent *time.Timer
-	word   *time.Time // when the last one ended, or an empty line came
-
-	unchanged func() // told of each empty line, nil: nobody is
+// listReader reads the JSON values of a response one by one, each on one line or indented over many. Empty lines
+// between them are keep-alives. A value that has begun has to end soon, because a truncated one would swallow those
+// that follow.
+type listReader struct {
+	src          io.Reader
+	decoder      *json.Decoder
+	maxBytes     int // maximum size of a value
+	valueBytes   int // bytes read since the last value ended
+	inValue      bool
+	silenceTimer *time.Timer
+	lastHeard    *time.Time // when the last value ended or an empty line arrived
+
+	onUnchanged func() // called for each empty line, may be nil
 }
 
-func newLists(from io.Reader, most int, silent *time.Timer, word *time.Time) *lists {
-	l := &lists{from: from, most: most, silent: silent, word: word}
-	l.values = json.NewDecoder(l)
+func newListReader(src io.Reader, maxBytes int, silenceTimer *time.Timer, lastHeard *time.Time) *listReader {
+	l := &listReader{src: src, maxBytes: maxBytes, silenceTimer: silenceTimer, lastHeard: lastHeard}
+	l.decoder = json.NewDecoder(l)
 	return l
 }
 
-// next is the text of the next value, or io.EOF where the answer ends between two.
-func (l *lists) next() (json.RawMessage, error) {
-	l.read = 0
+// next returns the text of the next value, or io.EOF if the response ends between two.
+func (l *listReader) next() (json.RawMessage, error) {
+	l.valueBytes = 0
 	var text json.RawMessage
-	err := l.values.Decode(&text)
+	err := l.decoder.Decode(&text)
 	if err == nil {
-		rest, _ := io.ReadAll(l.values.Buffered()) // the decoder keeps it
-		l.begun = len(bytes.TrimSpace(rest)) > 0
-		*l.word = time.Now()
-		l.sign()
+		rest, _ := io.ReadAll(l.decoder.Buffered()) // read by the decoder already
+		l.inValue = len(bytes.TrimSpace(rest)) > 0
+		*l.lastHeard = time.Now()
+		l.resetSilenceTimer()
 	}
 	return text, err
 }
 
-// Read reads for the decoder.
-func (l *lists) Read(p []byte) (int, error) {
-	if l.read >= l.most {
-		return 0, fmt.Errorf("a list of more than %d bytes", l.most)
+// Read implements io.Reader for the decoder.
+func (l *listReader) Read(p []byte) (int, error) {
+	if l.valueBytes >= l.maxBytes {
+		return 0, fmt.Errorf("list over %d bytes", l.maxBytes)
 	}
-	n, err := l.from.Read(p)
-	l.read += n
+	n, err := l.src.Read(p)
+	l.valueBytes += n
 	switch blank := len(bytes.TrimSpace(p[:n])) == 0; {
-	case l.begun:
+	case l.inValue:
 	case !blank:
-		l.begun = true
-		l.sign()
+		l.inValue = true
+		l.resetSilenceTimer()
 	case n > 0:
-		l.read = 0
-		*l.word = time.Now()
-		l.sign()
-		if l.unchanged != nil {
-			l.unchanged()
+		l.valueBytes = 0
+		*l.lastHeard = time.Now()
+		l.resetSilenceTimer()
+		if l.onUnchanged != nil {
+			l.onUnchanged()
 		}
 	}
 	return n, err
 }
 
-// sign notes a sign of life: the next is due in some seconds, the rest of a value that has begun at once.
-func (l *lists) sign() {
-	if l.begun {
-		l.silent.Reset(listWait)
+// resetSilenceTimer restarts the timer: empty lines come every few seconds, but the rest of a value must come at once.
+func (l *listReader) resetSilenceTimer() {
+	if l.inValue {
+		l.silenceTimer.Reset(listTimeout)
 	} else {
-		l.silent.Reset(watchSilent)
+		l.silenceTimer.Reset(watchSilenceTimeout)
 	}
 }
 
-// take hands a line to the core, unless another address is followed by now: what the old one
-// said late must not undo what the new one has told.
-func (d *Discovery) take(ctx context.Context, l List) error {
+// apply passes a list to the core unless another address is followed by now: a late list from the old address must not
+// undo what the new one has sent.
+func (d *Discovery) apply(ctx context.Context, l List) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
-	workers, garbled := d.Names.sort(l, d.Log)
-	if l.Whole && len(workers) == 0 && len(garbled) > 0 {
-		return fmt.Errorf("none of %d entries makes sense, the last good list holds", len(garbled))
+	workers, rejected := d.Names.decodeList(l, d.Log)
+	if l.Whole && len(workers) == 0 && len(rejected) > 0 {
+		return fmt.Errorf("none of %d entries is valid, keeping the last good list", len(rejected))
 	}
-	if l.Whole { // a worker whose entry can't be read is not gone: what was last told of it holds
-		for _, id := range garbled {
+	if l.Whole { // a worker with an unreadable entry is not gone: keep its last known state
+		for _, id := range rejected {
 			if w, ok := d.Core.Worker(id); ok {
 				workers = append(workers, w)
 			}
@@ -379,9 +382,9 @@
 	d.Core.SetWorkers(l.Whole, workers)
 	d.Core.ListConfirmed()
 	select {
-	case <-d.told:
+	case <-d.firstList:
 	default:
-		close(d.told)
+		close(d.firstList)
 	}
 	d.Log.Info("worker list", "seq", l.Seq, "whole", l.Whole, "entries", len(l.Hosts))
 	return nil
@@ -392,7 +395,7 @@
 	if err := json.Unmarshal(line, &l); err != nil {
 		return l, fmt.Errorf("malformed line: %w", err)
 	}
-	if l.Hosts == nil { // null and {} are JSON too: taken for a list they would say that nothing has changed
+	if l.Hosts == nil { // null and {} are valid JSON but would be taken for a list without changes
 		return l, errors.New("malformed line: no hosts")
 	}
 	return l, nil
--- a/internal/httpfront/due_test.go
+++ b/internal/httpfront/due_test.go
@@ -1,7 +1,7 @@
 package httpfront
 
-// When news of discovery is had, on a virtual clock: a scripted agent that is reached over pipes fails in every way before
-// it can be reached again. It must never use the network or the real clock.
+// How soon news from discovery is applied. A scripted discovery, reached over pipes on a virtual clock, fails in every
+// way before it becomes reachable. These tests use neither the network nor the real clock.
 
 import (
 	"bufio"
@@ -25,74 +25,74 @@
 	"rowanyard/internal/core"
 )
 
-// agent is discovery as a router meets it: it fails in one way after the other until it can be reached for good.
-type agent struct {
-	t       *testing.T
-	rng     *rand.Rand
-	begun   time.Time
-	fails   []failing     // in order, each until a time
-	up      time.Duration // it can be reached and answers from then on
-	changed time.Duration // it has the change from then on
+// fakeDiscovery is discovery as seen by a router: it goes through its failure phases and is reachable from then on.
+type fakeDiscovery struct {
+	t           *testing.T
+	rng         *rand.Rand
+	started     time.Time
+	phases      []failurePhase // in order
+	reachableAt time.Duration  // since started, reachable and correct from then on
+	changedAt   time.Duration  // since started, has the change from then on
 
-	other atomic.Pointer[agent] // at the address other:1
+	other atomic.Pointer[fakeDiscovery] // reached at the address other:1
 
 	mu    sync.Mutex
 	calls []time.Duration
 }
 
-// called is when it was called.
-func (a *agent) called() []time.Duration {
+// callTimes returns the times of the calls, since started.
+func (a *fakeDiscovery) callTimes() []time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.Clone(a.calls)
 }
 
-type failing struct {
-	way   string
+type failurePhase struct {
+	mode  string
 	until time.Duration
 }
 
-// ways are how calls can fail. A call that fails once stays so, whatever the agent does later.
-var ways = []string{"refuses connections", "connections never come up", "says nothing", "gives a head and no more",
-	"503", "503 at once again", "503 in a second", "503 in 30 s", "503 in an hour", "503 some time", "429 after 2 s", "cut in a list",
-	"resets", "begins a list and stops", "tells the list and goes", "tells the list and falls silent", "garbage", "null", "an older version",
-	"a list by drops"}
+// failureModes are the ways in which a call can fail. A call keeps the mode of the phase in which it began.
+var failureModes = []string{"refuses connections", "connections never come up", "sends nothing", "sends only a head",
+	"503", "503 with Retry-After 0", "503 in a second", "503 in 30 s", "503 in an hour", "503 with a date", "429 after 2 s", "truncates a list",
+	"resets", "stalls in a list", "sends the list and closes", "sends the list and stalls", "garbage", "null", "an older version",
+	"sends a list byte by byte"}
 
-func newAgent(t *testing.T, seed uint64) *agent {
-	a := &agent{t: t, rng: rand.New(rand.NewPCG(seed, 6)), begun: time.Now()}
+func newFakeDiscovery(t *testing.T, seed uint64) *fakeDiscovery {
+	a := &fakeDiscovery{t: t, rng: rand.New(rand.NewPCG(seed, 6)), started: time.Now()}
 	for range 1 + a.rng.IntN(6) {
-		a.up += time.Duration(a.rng.Int64N(int64(8 * time.Second)))
-		a.fails = append(a.fails, failing{ways[a.rng.IntN(len(ways))], a.up})
+		a.reachableAt += time.Duration(a.rng.Int64N(int64(8 * time.Second)))
+		a.phases = append(a.phases, failurePhase{failureModes[a.rng.IntN(len(failureModes))], a.reachableAt})
 	}
-	a.changed = time.Duration(a.rng.Int64N(int64(a.up + 10*time.Second)))
+	a.changedAt = time.Duration(a.rng.Int64N(int64(a.reachableAt + 10*time.Second)))
 	return a
 }
 
-// way is how a call that begins now fails, "" where it does not.
-func (a *agent) way() string {
-	now := time.Since(a.begun)
-	for _, f := range a.fails {
+// mode returns how a call that begins now fails, "" if it does not.
+func (a *fakeDiscovery) mode() string {
+	now := time.Since(a.started)
+	for _, f := range a.phases {
 		if now < f.until {
-			return f.way
+			return f.mode
 		}
 	}
 	return ""
 }
 
-// dial is the network.
-func (a *agent) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+// dial stands in for the network.
+func (a *fakeDiscovery) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if b := a.other.Load(); b != nil && addr == "other:1" {
 		return b.dial(ctx, network, addr)
 	}
 	a.mu.Lock()
-	a.calls = append(a.calls, time.Since(a.begun))
+	a.calls = append(a.calls, time.Since(a.started))
 	a.mu.Unlock()
-	way := a.way()
-	switch way {
+	mode := a.mode()
+	switch mode {
 	case "refuses connections":
 		return nil, syscall.ECONNREFUSED
 	case "connections never come up":
-		ctx, stop := context.WithTimeout(ctx, discoveryDial)
+		ctx, stop := context.WithTimeout(ctx, discoveryDialTimeout)
 		defer stop()
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -100,118 +100,118 @@
 		return nil, fmt.Errorf("read: %w", syscall.ECONNRESET)
 	}
 	ours, theirs := net.Pipe()
-	go a.serve(ours, way)
+	go a.serve(ours, mode)
 	return theirs, nil
 }
 
-func (a *agent) list(whole bool) string {
-	if time.Since(a.begun) >= a.changed {
-		return listed(12, whole, "a=draining")
+func (a *fakeDiscovery) list(whole bool) string {
+	if time.Since(a.started) >= a.changedAt {
+		return listJSON(12, whole, "a=draining")
 	}
-	return listed(7, whole, "a")
+	return listJSON(7, whole, "a")
 }
 
-func (a *agent) serve(c net.Conn, way string) {
+func (a *fakeDiscovery) serve(c net.Conn, mode string) {
 	defer c.Close()
 	req, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
 		return
 	}
-	gone := make(chan struct{})
-	go func() { io.Copy(io.Discard, c); close(gone) }()
+	closed := make(chan struct{})
+	go func() { io.Copy(io.Discard, c); close(closed) }()
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	chunk := func(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 	status := func(line string) { fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: 0\r\n\r\n", line) }
 	watch := req.URL.Query().Has("watch")
-	if said, ok := strings.CutPrefix(way, "503 in "); ok {
+	if said, ok := strings.CutPrefix(mode, "503 in "); ok {
 		status("503 X\r\nRetry-After: " + map[string]string{"a second": "1", "30 s": "30", "an hour": "3600"}[said])
 		return
 	}
-	switch way {
-	case "says nothing":
-		<-gone
+	switch mode {
+	case "sends nothing":
+		<-closed
 		return
-	case "gives a head and no more":
+	case "sends only a head":
 		io.WriteString(c, head)
-		<-gone
+		<-closed
 		return
 	case "503":
 		status("503 X")
 		return
-	case "503 at once again":
+	case "503 with Retry-After 0":
 		status("503 X\r\nRetry-After: 0")
 		return
-	case "503 some time":
+	case "503 with a date":
 		status("503 X\r\nRetry-After: Wed, 21 Oct 2099 07:28:00 GMT")
 		return
 	case "429 after 2 s":
 		select {
-		case <-gone:
+		case <-closed:
 		case <-time.After(2 * time.Second):
 			status("429 X\r\nRetry-After: 5")
 		}
 		return
-	case "cut in a list":
+	case "truncates a list":
 		io.WriteString(c, head)
 		chunk(a.list(true)[:40])
 		return
-	case "begins a list and stops":
+	case "stalls in a list":
 		io.WriteString(c, head)
 		chunk(a.list(true)[:40])
-		<-gone
+		<-closed
 		return
 	case "garbage":
 		io.WriteString(c, head)
 		chunk("\x00{{{\n")
-		<-gone
+		<-closed
 		return
 	case "null":
 		io.WriteString(c, head)
 		chunk("null\n")
-		<-gone
+		<-closed
 		return
 	case "an older version":
 		io.WriteString(c, head)
-		chunk(listed(3, false, "a=draining"))
-		<-gone
+		chunk(listJSON(3, false, "a=draining"))
+		<-closed
 		return
-	case "a list by drops":
+	case "sends a list byte by byte":
 		io.WriteString(c, head)
 		for _, b := range []byte(a.list(true)) {
 			select {
-			case <-gone:
+			case <-closed:
 				return
 			case <-time.After(500 * time.Millisecond):
 				chunk(string(b))
 			}
 		}
-		<-gone
+		<-closed
 		return
 	}
 	io.WriteString(c, head)
-	told := time.Since(a.begun) >= a.changed
-	if !watch || req.URL.Query().Get("after") != "12" && told || req.URL.Query().Get("after") == "-1" {
+	announced := time.Since(a.started) >= a.changedAt
+	if !watch || req.URL.Query().Get("after") != "12" && announced || req.URL.Query().Get("after") == "-1" {
 		chunk(a.list(true))
 	}
 	if !watch {
 		io.WriteString(c, "0\r\n\r\n")
 		return
 	}
-	for way != "tells the list and goes" { // a line each 2 s, or as soon as there is news
-		next := time.Since(a.begun) + 2*time.Second
-		if way == "tells the list and falls silent" {
-			<-gone
+	for mode != "sends the list and closes" { // a line every 2 s, or as soon as there is news
+		next := time.Since(a.started) + 2*time.Second
+		if mode == "sends the list and stalls" {
+			<-closed
 			return
 		}
-		if !told && next > a.changed {
-			next, told = max(a.changed, time.Since(a.begun)), true
+		if !announced && next > a.changedAt {
+			next, announced = max(a.changedAt, time.Since(a.started)), true
 		}
 		select {
-		case <-gone:
+		case <-closed:
 			return
-		case <-time.After(next - time.Since(a.begun)):
+		case <-time.After(next - time.Since(a.started)):
 		}
-		if time.Since(a.begun) == a.changed {
+		if time.Since(a.started) == a.changedAt {
 			chunk(a.list(false))
 		} else {
 			chunk("\n")
@@ -219,14 +219,14 @@
 	}
 }
 
-// ends ends what follows it, and waits for a dial that may still be out: the transport sees it through.
-func ends(d *Discovery) {
+// closeAndWait closes d and waits for a dial in progress, which the transport always completes.
+func closeAndWait(d *Discovery) {
 	d.Close()
-	time.Sleep(2 * discoveryDial)
+	time.Sleep(2 * discoveryDialTimeout)
 }
 
-// follows is a Discovery of one of so many routers that follows the agent.
-func (a *agent) follows(fronts int) (*Discovery, *core.Core) {
+// follow returns a Discovery that follows a, for one of that many routers, and its core.
+func (a *fakeDiscovery) follow(fronts int) (*Discovery, *core.Core) {
 	c, err := core.New(decide.Settings{Fronts: fronts, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
 	if err != nil {
 		a.t.Fatal(err)
@@ -238,17 +238,17 @@
 	return d, c
 }
 
-// Whatever became of the calls before, a change is acted on within 6 s of the moment from which discovery has it and can
-// be reached, the time for the call and its answer included, with any number of routers.
-func TestAChangeIsHadWithinSixSeconds(t *testing.T) {
+// Whatever became of earlier calls, a change is applied within 6 s of the moment from which discovery has it and can be
+// reached, with any number of routers. This includes the time for the call and its answer.
+func TestChangeIsAppliedWithinSixSeconds(t *testing.T) {
 	worst, by := time.Duration(0), ""
 	for seed := range uint64(600) {
 		synctest.Test(t, func(t *testing.T) {
-			a := newAgent(t, seed)
+			a := newFakeDiscovery(t, seed)
 			fronts := []int{1, 3, 20, 350, 1024}[a.rng.IntN(5)]
-			d, c := a.follows(fronts)
-			defer ends(d)
-			due := max(a.changed, a.up)
+			d, c := a.follow(fronts)
+			defer closeAndWait(d)
+			due := max(a.changedAt, a.reachableAt)
 			time.Sleep(due)
 			took := time.Duration(0)
 			for ; took <= newsDue; took += 10 * time.Millisecond {
@@ -258,81 +258,81 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took > newsDue {
-				t.Errorf("seed %d, %d routers: not had %v after %v; %v", seed, fronts, took, due, a.fails)
+				t.Errorf("seed %d, %d routers: not applied %v after %v; %v", seed, fronts, took, due, a.phases)
 			}
 			if took > worst {
-				worst, by = took, fmt.Sprint(seed, a.fails)
+				worst, by = took, fmt.Sprint(seed, a.phases)
 			}
 		})
 	}
 	t.Logf("%v at most: %s", worst, by)
 	if worst > newsDue-300*time.Millisecond || worst < time.Second {
-		t.Errorf("%v at most (%s): that leaves no room for a busy machine, or the script finds no fault", worst, by)
+		t.Errorf("%v at most (%s): no margin for a busy machine, or the script makes no call fail", worst, by)
 	}
 }
 
-// A move by SIGHUP counts after 4 s, also where the first call to the new address fails.
-func TestAMoveIsHadWithinFourSeconds(t *testing.T) {
-	for _, way := range ways {
+// A change of address by SIGHUP takes effect within 4 s, even if the first call to the new address fails.
+func TestMoveIsAppliedWithinFourSeconds(t *testing.T) {
+	for _, mode := range failureModes {
 		synctest.Test(t, func(t *testing.T) {
-			a := &agent{t: t, begun: time.Now(), changed: time.Hour}
-			d, c := a.follows(350)
-			defer ends(d)
+			a := &fakeDiscovery{t: t, started: time.Now(), changedAt: time.Hour}
+			d, c := a.follow(350)
+			defer closeAndWait(d)
 			time.Sleep(10 * time.Second)
-			other := &agent{t: t, begun: time.Now(), up: time.Millisecond, fails: []failing{{way, time.Millisecond}}}
+			other := &fakeDiscovery{t: t, started: time.Now(), reachableAt: time.Millisecond, phases: []failurePhase{{mode, time.Millisecond}}}
 			a.other.Store(other)
 			d.Follow("other:1", 0)
 			time.Sleep(newsMoved - 300*time.Millisecond)
 			if w, _ := c.Worker("a"); w.State != decide.Draining {
-				t.Errorf("%s: what the new address has was not had", way)
+				t.Errorf("%s: the new address's list was not applied", mode)
 			}
 		})
 	}
 }
 
-// Hundreds of routers that are refused, or cut off, at one time ask again each at its own: discovery gets no more in any
-// tenth of a second than an even spread over half of the longest wait lets expect.
-func TestCallsOfAllRoutersStayPaced(t *testing.T) {
-	for _, way := range []string{"503", "503 in an hour", "503 in a second", "503 at once again", "resets"} {
+// Hundreds of routers that are refused or cut off at once retry at different times. The calls in any tenth of a second
+// stay within three times those of an even spread over half of the longest wait.
+func TestCallsOfManyRoutersAreSpread(t *testing.T) {
+	for _, mode := range []string{"503", "503 in an hour", "503 in a second", "503 with Retry-After 0", "resets"} {
 		synctest.Test(t, func(t *testing.T) {
 			const fronts, long = 350, 60 * time.Second
-			var all []*agent
+			var all []*fakeDiscovery
 			var followers []*Discovery
 			for range fronts {
-				a := &agent{t: t, begun: time.Now(), changed: time.Hour, up: long, fails: []failing{{way, long}}}
-				d, _ := a.follows(fronts)
+				a := &fakeDiscovery{t: t, started: time.Now(), changedAt: time.Hour, reachableAt: long, phases: []failurePhase{{mode, long}}}
+				d, _ := a.follow(fronts)
 				all, followers = append(all, a), append(followers, d)
 			}
 			time.Sleep(long)
 			for _, d := range followers {
 				d.Close()
 			}
-			ends(followers[0])
+			closeAndWait(followers[0])
 			var calls []time.Duration
 			for _, a := range all {
-				calls = append(calls, a.called()...)
+				calls = append(calls, a.callTimes()...)
 			}
 			slices.Sort(calls)
 			per := make([]int, long/(100*time.Millisecond)+1)
-			for _, at := range calls[fronts:] { // the first of each is made at once
+			for _, at := range calls[fronts:] { // each router's first call is made at once
 				per[at/(100*time.Millisecond)]++
 			}
 			even := float64(fronts) * 0.1 / ((newsDue - newsSpare) / 2).Seconds()
 			if most := slices.Max(per); float64(most) > 3*even || len(calls) > fronts*int(long/(2*time.Second)) {
-				t.Errorf("%s: %d calls in a tenth of a second, %.0f expected; %d in all", way, most, even, len(calls))
+				t.Errorf("%s: %d calls in a tenth of a second, %.0f expected; %d in all", mode, most, even, len(calls))
 			}
 		})
 	}
 }
 
-// What never comes in time ends with its own reason.
-func TestASilentWatchIsGivenUp(t *testing.T) {
+// A watch without any data ends with an error that says so.
+func TestSilentWatchIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &agent{t: t, begun: time.Now(), up: time.Hour, changed: time.Hour, fails: []failing{{"says nothing", time.Hour}}}
-		d, _ := a.follows(3)
-		defer ends(d)
-		after, word := int64(7), time.Now()
-		err := d.watchOnce(t.Context(), &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: a.dial}}, "agent:1", &after, &word)
+		a := &fakeDiscovery{t: t, started: time.Now(), reachableAt: time.Hour, changedAt: time.Hour, phases: []failurePhase{{"sends nothing", time.Hour}}}
+		d, _ := a.follow(3)
+		defer closeAndWait(d)
+		after, lastHeard := int64(7), time.Now()
+		err := d.watchOnce(t.Context(), &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: a.dial}}, "agent:1", &after, &lastHeard)
 		if err == nil || errors.Is(err, io.ErrUnexpectedEOF) || !strings.Contains(err.Error(), "silent") {
 			t.Errorf("ended with %v", err)
 		}
--- a/internal/httpfront/idleconns.go
+++ b/internal/httpfront/idleconns.go
@@ -1,48 +1,48 @@
 package httpfront
 
-// This file owns the kept connections to a worker that has fallen silent. It must never close one on which something is under
-// way: that may be on a connection that still works.
+// Open connections to workers. The idle ones are closed when their worker has stopped replying; busy ones may still
+// work and are left alone.
 
 import "sync"
 
-// idleConns knows the open connections by their worker's address. The zero value knows none.
-type idleConns struct {
-	mu sync.Mutex
-	of map[string]map[*workerConn]bool
+// connRegistry holds the open connections by worker address. The zero value is empty.
+type connRegistry struct {
+	mu     sync.Mutex
+	byAddr map[string]map[*workerConn]bool
 }
 
-func (i *idleConns) add(c *workerConn) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.of == nil {
-		i.of = make(map[string]map[*workerConn]bool)
+func (r *connRegistry) add(c *workerConn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.byAddr == nil {
+		r.byAddr = make(map[string]map[*workerConn]bool)
 	}
-	if i.of[c.addr] == nil {
-		i.of[c.addr] = make(map[*workerConn]bool)
+	if r.byAddr[c.addr] == nil {
+		r.byAddr[c.addr] = make(map[*workerConn]bool)
 	}
-	i.of[c.addr][c] = true
+	r.byAddr[c.addr][c] = true
 }
 
-func (i *idleConns) remove(c *workerConn) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	delete(i.of[c.addr], c)
-	if len(i.of[c.addr]) == 0 {
-		delete(i.of, c.addr)
+func (r *connRegistry) remove(c *workerConn) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.byAddr[c.addr], c)
+	if len(r.byAddr[c.addr]) == 0 {
+		delete(r.byAddr, c.addr)
 	}
 }
 
-// drop closes the connections to an address on which nothing is under way. Guards against finding one by one, each with a
-// request that waits, that all of them have fallen silent with no error: one that was kept has just left a call unanswered.
-func (i *idleConns) drop(addr string) {
-	i.mu.Lock()
+// closeIdle closes the idle connections to an address. It is called when a reused connection left a call unanswered:
+// the others may have died as silently, and each would cost another request that waits.
+func (r *connRegistry) closeIdle(addr string) {
+	r.mu.Lock()
 	var idle []*workerConn
-	for c := range i.of[addr] {
+	for c := range r.byAddr[addr] {
 		if !c.asked.Load() {
 			idle = append(idle, c)
 		}
 	}
-	i.mu.Unlock()
+	r.mu.Unlock()
 	for _, c := range idle {
 		_ = c.Close()
 	}
--- a/internal/httpfront/relay.go
+++ b/internal/httpfront/relay.go
@@ -1,6 +1,6 @@
 package httpfront
 
-// This file passes the stream of a worker on to the client. It must never change what the worker sent, nor hold it back.
+// Streams pass from worker to client unchanged and without delay.
 
 import (
 	"context"
@@ -18,62 +18,63 @@
 
 const (
 	copyBuffer = 8 << 10
-	handSpread = 600 * time.Millisecond // streams are handed over one by one within this
-	writeLimit = 30 * time.Second       // a client that takes nothing for so long is let go
+	cutSpread  = 600 * time.Millisecond // streams that can't be handed over are cut at random times within this
+	writeLimit = 30 * time.Second       // a client that accepts no data for this long is disconnected
 )
 
-// Stream is what an Answer of this front streams: a worker's events as they stand on the wire.
+// Stream is the type of core.Answer.Stream in this package: a worker's events as they were received.
 type Stream interface {
 	io.ReadCloser
 	Header() http.Header
 }
 
-// relay passes a worker's stream on and tells the core how it ended. A stream that breaks is an
-// error here, on which the proxy ends the client's connection without the last chunk.
+// relay passes a worker's stream on and tells the core how it ended. A broken stream is returned as an error, on which
+// the proxy closes the client's connection without the last chunk.
 type relay struct {
 	Stream
-	ended  func(decide.Status)
-	client *http.ResponseController
-	writes time.Duration
-	over   context.Context // when it ends the stream is cut, but not before something of it has passed
-	keep   func() bool
-	moved  atomic.Bool
-	heirs  *heir
-	conn   *clientConn // nil where the answer has no chunks
-	given  bool        // Read ends with errHanded next
-	log    *slog.Logger
+	ended       func(decide.Status)
+	client      *http.ResponseController
+	writes      time.Duration
+	over        context.Context // ends when streams are to be cut; a stream is not cut before some of it has passed
+	stopCutting func() bool
+	cut         atomic.Bool
+	heirs       *heir
+	conn        *clientConn // nil if the answer is not chunked
+	handedOver  bool        // the next Read returns errHanded
+	log         *slog.Logger
 }
 
 func (r *relay) Read(p []byte) (int, error) {
 	n, err := 0, errHanded
-	if !r.given {
+	if !r.handedOver {
 		n, err = r.Stream.Read(p)
 	}
 	if err == errHanded {
-		if r.given = true; n > 0 { // is passed on first
+		if r.handedOver = true; n > 0 { // passed on first
 			return n, nil
 		}
-		if r.give() {
-			r.ended(decide.Served) // as far as this process goes
+		if r.transfer() {
+			r.ended(decide.Served) // complete as far as this process is concerned
 		}
 	}
-	if r.keep == nil && n > 0 {
-		r.keep = context.AfterFunc(r.over, func() {
-			if s, ok := r.Stream.(*stream); ok && r.conn != nil && r.heirs.get() != "" && s.handOver() {
+	if r.stopCutting == nil && n > 0 {
+		r.stopCutting = context.AfterFunc(r.over, func() {
+			if s, ok := r.Stream.(*stream); ok && r.conn != nil && r.heirs.get() != "" && s.requestHandOver() {
 				return
 			}
-			// Guards the other routers: all at once would be a burst of prompts to read.
-			time.Sleep(rand.N(handSpread))
-			r.moved.Store(true)
+			// Cut streams make their clients request the rest, prompts included; all at once would overload the other
+			// routers.
+			time.Sleep(rand.N(cutSpread))
+			r.cut.Store(true)
 			r.Stream.Close()
 		})
 	}
-	// Guards against a client that stops reading and would hold its stream, and a writer's slot, for good.
+	// A client that stops reading would otherwise hold its stream, and a slot at the writer, for good.
 	_ = r.client.SetWriteDeadline(time.Now().Add(r.writes))
 	switch {
 	case err == io.EOF:
 		r.ended(decide.Served)
-	case err != nil && r.moved.Load(), err == errHanded:
+	case err != nil && r.cut.Load(), err == errHanded:
 		r.ended(decide.Cancelled)
 	case err != nil:
 		r.ended(decide.Reset)
@@ -81,18 +82,18 @@
 	return n, err
 }
 
-// give hands the stream to the process that takes over. If that fails it breaks, and its client asks for
+// transfer hands the stream to the process that takes over. If that fails the stream breaks, and its client requests
 // the rest.
-func (r *relay) give() bool {
+func (r *relay) transfer() bool {
 	s := r.Stream.(*stream)
-	defer syscall.Close(s.conn.gift)
+	defer syscall.Close(s.conn.handOverFD)
 	r.conn.ends.pause()
 	client, err := dup(r.conn.Conn)
 	if err == nil {
 		defer syscall.Close(client)
-		at := handedOf(s.conn.chunk, s.scan)
-		at.Behind = int(r.conn.behind.Load())
-		err = give(r.heirs.get(), at, client, s.conn.gift)
+		position := handedOf(s.conn.chunks, s.events)
+		position.Behind = int(r.conn.behind.Load())
+		err = give(r.heirs.get(), position, client, s.conn.handOverFD)
 	}
 	if err != nil {
 		r.log.Warn("a stream was not handed on", "err", err)
@@ -101,15 +102,15 @@
 }
 
 func (r *relay) Close() error {
-	if r.keep != nil {
-		r.keep()
+	if r.stopCutting != nil {
+		r.stopCutting()
 	}
-	_ = r.client.SetWriteDeadline(time.Time{}) // the connection may be used again
-	r.ended(decide.Cancelled)                  // the client has gone, if the stream has not ended before
+	_ = r.client.SetWriteDeadline(time.Time{}) // the connection may be reused
+	r.ended(decide.Cancelled)                  // no effect if the stream has ended; otherwise the client has left
 	return r.Stream.Close()
 }
 
-// bufferPool bounds what copying the streams takes.
+// bufferPool reuses the buffers that streams are copied with.
 type bufferPool struct{ pool sync.Pool }
 
 func (b *bufferPool) Get() []byte {
--- a/internal/httpfront/silence_test.go
+++ b/internal/httpfront/silence_test.go
@@ -21,9 +21,9 @@
 	"rowanyard/internal/scale/faultproxy"
 )
 
-// All connections that were kept to a worker fall silent with no error. The first call that is left unanswered shows it: the
-// next one must not meet another of them.
-func TestOneUnansweredCallShowsThatKeptConnectionsAreSilent(t *testing.T) {
+// All kept connections to a worker die silently. The first unanswered call must close the idle ones, so that the next
+// call does not use another dead connection.
+func TestUnansweredProbeClosesIdleConnections(t *testing.T) {
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, "util=0.10,queue=0")
 	}))
@@ -42,7 +42,7 @@
 		return err
 	}
 	const kept, long = 8, 20 * time.Second
-	for round := 0; w.open.Load() < kept; round++ { // until so many were needed at once
+	for round := 0; w.open.Load() < kept; round++ { // until this many were open at once
 		var all sync.WaitGroup
 		for range 4 * kept {
 			all.Go(func() { _ = probe(long) })
@@ -54,14 +54,14 @@
 	}
 	proxy.Mute()
 	if probe(50*time.Millisecond) == nil {
-		t.Fatal("answered on a silent connection")
+		t.Fatal("the probe was answered on a silent connection")
 	}
 	if err := probe(long); err != nil {
-		t.Errorf("the call after it: %v", err)
+		t.Errorf("the next probe: %v", err)
 	}
 }
 
-// failingListener is a listener of which Accept fails in the ways that Linux documents before it brings a connection.
+// failingListener is a listener whose Accept fails with the given errors before it returns a connection.
 type failingListener struct {
 	net.Listener
 	errs []syscall.Errno
@@ -77,8 +77,9 @@
 	return c, nil
 }
 
-// Whatever accept fails with, the front goes on taking connections: an error that net/http does not know ends the process.
-func TestAcceptErrorsDoNotEndTheFront(t *testing.T) {
+// Whatever error accept returns, the front goes on accepting: an error that net/http does not know would end the
+// process.
+func TestAcceptErrorsDoNotStopTheListener(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 			syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EOPNOTSUPP, syscall.ETIMEDOUT} {
@@ -92,30 +93,30 @@
 		}
 	})
 	if !acceptretry.Ends(net.ErrClosed) {
-		t.Error("a closed listener goes on")
+		t.Error("accepting goes on after the listener was closed")
 	}
 }
 
-// A connection that fails for want of something on this machine says nothing of the worker; one that the network or the worker
-// refuses does. None of them has run.
-func TestConnectErrorsAreNamed(t *testing.T) {
+// A connection that fails for lack of a local resource says nothing about the worker; one that the network or the
+// worker refuses does. In neither case has the request run.
+func TestConnectErrorsAreClassified(t *testing.T) {
 	for errno, want := range map[syscall.Errno]decide.Status{
 		syscall.EADDRNOTAVAIL: decide.Moot, syscall.ENOBUFS: decide.Moot, syscall.ENFILE: decide.Moot, syscall.EMFILE: decide.Moot,
 		syscall.ENOMEM: decide.Moot, syscall.ECONNREFUSED: decide.ConnectFailed, syscall.ENETUNREACH: decide.ConnectFailed,
 		syscall.EHOSTUNREACH: decide.ConnectFailed, syscall.ETIMEDOUT: decide.ConnectFailed, syscall.ECONNABORTED: decide.ConnectFailed,
 	} {
 		err := fmt.Errorf("dial: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)})
-		if got := failure(context.Background(), err, false); got != want {
+		if got := failureStatus(context.Background(), err, false); got != want {
 			t.Errorf("%v: status %d, want %d", errno, got, want)
 		}
-		if got := failure(context.Background(), err, true); got != decide.Reset {
+		if got := failureStatus(context.Background(), err, true); got != decide.Reset {
 			t.Errorf("%v after the last byte: status %d, want reset", errno, got)
 		}
 	}
 }
 
-// A connection that the network has broken has gone, like one that its client has closed.
-func TestABrokenConnectionHasGone(t *testing.T) {
+// A connection that the network has broken counts as disconnected, like one that the client has closed.
+func TestBrokenConnectionIsDetected(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -134,20 +135,20 @@
 			t.Fatal(err)
 		}
 		if hungUp(server) {
-			t.Errorf("%s: gone before", name)
+			t.Errorf("%s: disconnected too early", name)
 		}
 		end(client.(*net.TCPConn))
 		for until := time.Now().Add(20 * time.Second); !hungUp(server); {
 			if time.Now().After(until) {
-				t.Fatalf("%s: not seen", name)
+				t.Fatalf("%s: not detected", name)
 			}
 		}
-		if !hungUp(server) { // the error was taken off the socket with the first look
-			t.Errorf("%s: back again", name)
+		if !hungUp(server) { // the first check has taken the error off the socket
+			t.Errorf("%s: no longer detected", name)
 		}
 		server.Close()
 	}
-	if c, _ := net.Pipe(); hungUp(c) || errors.Is(errNotPeeked, net.ErrClosed) {
-		t.Error("what is no socket is taken for gone")
+	if c, _ := net.Pipe(); hungUp(c) || errors.Is(errNotASocket, net.ErrClosed) {
+		t.Error("a connection that is not a socket counts as disconnected")
 	}
 }
--- a/internal/httpfront/workers.go
+++ b/internal/httpfront/workers.go
@@ -1,8 +1,7 @@
 package httpfront
 
-// This file owns the connections to workers: attempts, releases and probes over HTTP/1.1. What
-// comes back is turned into the core's outcomes here and nowhere else. It must never send an
-// attempt a second time on its own, nor let a library do so.
+// The HTTP/1.1 client for workers: attempts, releases and probes. Responses and errors become core results only here.
+// Neither this code nor net/http may repeat an attempt on its own.
 
 import (
 	"bytes"
@@ -26,48 +25,48 @@
 )
 
 const (
-	stallGaps   = 10                      // where clients ask for the rest, a stream is broken after so many times its longest gap ...
-	stallLeast  = 1500 * time.Millisecond // ... but not before this
-	idleShare   = 0.6                     // idle connections close after this share of the workers' limit
-	idlePerHost = 96                      // idle connections kept to a worker
-	StallLimit  = 4 * time.Second         // a stream without an event for so long is broken
-	answerLimit = 64 << 10                // bytes read of an answer that is no stream
-	sendAgain   = 3                       // connections that had ended are passed over so often
-	verifyWait  = 150 * time.Millisecond  // a worker's sign on the connection of a write comes within this ...
-	verifiedFor = 50 * time.Millisecond   // ... and stands for so long
-	pathHolds   = "/v1/holds/"
-	pathStats   = "/stats"
-	turnedAway  = "X-Turned-Away"
+	stallGapFactor   = 10                      // a resumable stream has stalled after this multiple of its longest gap ...
+	stallLeast       = 1500 * time.Millisecond // ... but not before this
+	idleTimeoutShare = 0.6                     // idle connections close after this share of the workers' idle timeout
+	maxIdlePerWorker = 96
+	StallLimit       = 4 * time.Second        // a stream without any data for this long has stalled
+	maxAnswerBytes   = 64 << 10               // bytes read of a response that is not a stream
+	maxResends       = 3                      // further connections tried when the one at hand turned out to be closed
+	verifyTimeout    = 150 * time.Millisecond // a worker must reply on a write's connection within this
+	verificationTTL  = 50 * time.Millisecond  // a reply verifies its connection for this long
+	pathHolds        = "/v1/holds/"
+	pathStats        = "/stats"
+	headerTurnedAway = "X-Turned-Away"
 )
 
-// Workers is the client side towards workers.
+// Workers is the HTTP/1.1 client for workers. It implements core.Prober; an Exchange makes its attempts through it.
 type Workers struct {
 	transport *http.Transport
 	log       *slog.Logger
-	// Resume says that clients ask for the rest of a stream that broke: one that falls silent is then broken
-	// sooner. Set before use.
+	// Resume says that clients request the rest of a broken stream, so that a stalled one is broken off
+	// sooner. Set it before use.
 	Resume bool
-	// Spare is where descriptors come from when there are none left. Not to be replaced.
-	Spare *Descriptors
-	open  atomic.Int64
-	limit atomic.Int64
-	idle  idleConns
-	after func(time.Duration) <-chan time.Time // time.After, but for tests
+	// Descriptors frees file descriptors when the process has none left. Configure it, but don't replace it.
+	Spare     *Descriptors
+	open      atomic.Int64
+	connLimit atomic.Int64
+	conns     connRegistry
+	after     func(time.Duration) <-chan time.Time // time.After, replaced in tests
 }
 
-// NewWorkers returns a client that holds at most maxConns connections, none of them idle for as
-// long as the workers' limit.
+// NewWorkers returns a client that holds at most maxConns connections. Idle ones are closed well before connIdle,
+// the idle timeout of the workers.
 func NewWorkers(connectTimeout, connIdle time.Duration, maxConns int, log *slog.Logger) *Workers {
 	w := &Workers{log: log, after: time.After, Spare: &Descriptors{}}
-	w.limit.Store(int64(maxConns))
-	dial := w.Spare.dialing((&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}).DialContext)
+	w.connLimit.Store(int64(maxConns))
+	dial := w.Spare.wrapDial((&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}).DialContext)
 	w.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if w.open.Add(1) > w.limit.Load() { // guards the limit of descriptors: idle ones make room
+			if w.open.Add(1) > w.connLimit.Load() { // close idle connections to stay within the descriptor limit
 				w.transport.CloseIdleConnections()
-				if w.open.Load() > w.limit.Load() {
+				if w.open.Load() > w.connLimit.Load() {
 					w.open.Add(-1)
-					return nil, errTooMany
+					return nil, errTooManyConns
 				}
 			}
 			c, err := dial(ctx, network, addr)
@@ -75,75 +74,75 @@
 				w.open.Add(-1)
 				return nil, err
 			}
-			conn := &workerConn{Conn: c, open: &w.open, over: make(chan struct{}), addr: addr, known: &w.idle}
-			w.idle.add(conn)
+			conn := &workerConn{Conn: c, open: &w.open, over: make(chan struct{}), addr: addr, registry: &w.conns}
+			w.conns.add(conn)
 			return conn, nil
 		},
-		DisableCompression: true, MaxIdleConnsPerHost: max(2, min(idlePerHost, maxConns/4)), MaxIdleConns: max(4, maxConns*2/3),
-		IdleConnTimeout: time.Duration(idleShare * float64(connIdle)),
+		DisableCompression: true, MaxIdleConnsPerHost: max(2, min(maxIdlePerWorker, maxConns/4)), MaxIdleConns: max(4, maxConns*2/3),
+		IdleConnTimeout: time.Duration(idleTimeoutShare * float64(connIdle)),
 		WriteBufferSize: 8 << 10, MaxResponseHeaderBytes: answerHead,
 	}
 	return w
 }
 
-// Limit changes how many connections are held; idle ones make room.
+// Limit changes the maximum number of connections. Idle ones are closed if more are open.
 func (w *Workers) Limit(maxConns int) {
-	w.limit.Store(int64(maxConns))
+	w.connLimit.Store(int64(maxConns))
 	if w.open.Load() > int64(maxConns) {
 		w.transport.CloseIdleConnections()
 	}
 }
 
-// Exchange is one client's request as it is sent to workers over HTTP. It is a core.Carrier.
+// Exchange carries one client request to workers over HTTP. It implements core.Carrier.
 type Exchange struct {
 	Workers     *Workers
 	Method, URI string
 	Head        http.Header
-	Body        []byte // what is sent, until Drop
-	// Left says that the client has gone, though its request's context may not have ended yet; nil: that tells.
+	Body        []byte // sent to workers, nil after DropBody
+	// ClientGone, if set, reports whether the client has left, possibly before the request's context ends.
 	Left   func() bool
 	mu     sync.Mutex
 	others []other
 }
 
-// Drop lets go of the body: an answer has begun, and nothing more is sent for the request.
+// DropBody releases the body. It is called once an answer has begun, after which nothing more is sent for the request.
 func (x *Exchange) Drop() {
 	x.mu.Lock()
 	x.Body, x.others = nil, nil
 	x.mu.Unlock()
 }
 
-// other carries the request to the workers of another wire.
+// wireCarrier carries the request to workers that speak another wire protocol.
 type other struct {
 	wire string
 	core.Carrier
 }
 
-// bodyReader gives a request's body to the transport once. It is no type that net/http knows how
-// to rewind, so that the transport can't send the request again by itself.
+// bodyReader gives the request body to the transport once. net/http does not know how to rewind this type, so the
+// transport can't resend the request on its own.
 type bodyReader struct {
-	r       *bytes.Reader
-	allowed func() bool
-	touched atomic.Bool // the transport has begun to read it
-	drained atomic.Bool // and has had the last byte
+	r         *bytes.Reader
+	allowed   func() bool
+	readBegun atomic.Bool // the transport has begun to read the body
+	fullyRead atomic.Bool // the transport has received the last byte
 }
 
 var (
-	errNoSign  = errors.New("no sign of the worker on the connection")
-	errNotFine = errors.New("status")
+	errNoReply   = errors.New("no sign of life from the worker on the connection")
+	errBadStatus = errors.New("status")
 )
 
-var errWithdrawn = errors.New("the worker drains or is gone, or the client is")
+var errWithdrawn = errors.New("withdrawn: the worker is draining or gone, or the client has left")
 
 func (b *bodyReader) Read(p []byte) (int, error) {
-	b.touched.Store(true)
-	// Guards against sending to a worker that began to drain between the choice and the dial.
+	b.readBegun.Store(true)
+	// The worker may have begun to drain between the choice and the dial.
 	if int64(b.r.Len()) == b.r.Size() && !b.allowed() {
 		return 0, errWithdrawn
 	}
 	n, err := b.r.Read(p)
 	if b.r.Len() == 0 {
-		b.drained.Store(true)
+		b.fullyRead.Store(true)
 	}
 	return n, err
 }
@@ -153,126 +152,127 @@
 // Try implements core.Carrier.
 func (x *Exchange) Try(ctx context.Context, a core.Attempt) core.Result {
 	x.mu.Lock()
-	text, others := x.Body, x.others
+	payload, others := x.Body, x.others
 	x.mu.Unlock()
-	if wanted := a.Allowed; x.Left != nil {
-		a.Allowed = func() bool { return !x.Left() && wanted() }
+	if allowed := a.Allowed; x.Left != nil {
+		a.Allowed = func() bool { return !x.Left() && allowed() }
 	}
 	for _, o := range others {
 		if o.wire == a.To.Wire {
 			return o.Try(ctx, a)
 		}
 	}
-	if text == nil {
+	if payload == nil {
 		return core.Result{Status: decide.Moot}
 	}
 	if a.Verify {
 		if err := x.Workers.verify(ctx, a); err != nil {
-			return core.Result{Status: failure(ctx, err, false), Err: fmt.Errorf("not written: %w", err)}
+			return core.Result{Status: failureStatus(ctx, err, false), Err: fmt.Errorf("not written: %w", err)}
 		}
 	}
-	for again := sendAgain; ; again-- {
-		res, unsent := x.send(ctx, a, text)
-		if !unsent || again == 0 || ctx.Err() != nil {
+	for resendsLeft := maxResends; ; resendsLeft-- {
+		res, unsent := x.send(ctx, a, payload)
+		if !unsent || resendsLeft == 0 || ctx.Err() != nil {
 			return res
 		}
 	}
 }
 
-// verify has a worker answer on the connection that a write is to go on: the transport gives out the one that served last. Guards
-// against writing into one that has fallen silent with no error, of which nobody could say whether the write has arrived.
+// verify makes the worker reply on the connection that a write will use: the transport hands out the one used last. A
+// write into a connection that has silently died would leave open whether it arrived.
 func (w *Workers) verify(ctx context.Context, a core.Attempt) error {
 	if !a.Allowed() {
 		return errWithdrawn
 	}
-	within, stop := context.WithTimeoutCause(ctx, verifyWait, errNoSign)
+	verifyCtx, stop := context.WithTimeoutCause(ctx, verifyTimeout, errNoReply)
 	defer stop()
-	if _, err := w.call(within, http.MethodGet, a.To, pathStats); err != nil && !errors.Is(err, errNotFine) {
-		return errors.Join(err, context.Cause(within))
+	if _, err := w.call(verifyCtx, http.MethodGet, a.To, pathStats); err != nil && !errors.Is(err, errBadStatus) {
+		return errors.Join(err, context.Cause(verifyCtx))
 	}
 	return nil
 }
 
-// send makes one attempt. unsent says that nothing of it was written, because the connection at hand
-// had ended or serves no further use: the worker has no part in that.
-func (x *Exchange) send(ctx context.Context, a core.Attempt, text []byte) (result core.Result, unsent bool) {
+// send makes one attempt. unsent reports that nothing of it was written because its connection had been closed or was
+// no longer usable, which is no failure of the worker.
+func (x *Exchange) send(ctx context.Context, a core.Attempt, payload []byte) (result core.Result, unsent bool) {
 	w := x.Workers
-	body := &bodyReader{r: bytes.NewReader(text), allowed: a.Allowed}
-	var wrote, broke, reused, came atomic.Bool
+	body := &bodyReader{r: bytes.NewReader(payload), allowed: a.Allowed}
+	var wrote, writeFailed, reused, answerBegun atomic.Bool
 	var idle atomic.Int64
-	var attempt atomic.Pointer[http.Request]
-	end := watchCalledOff(ctx, a.Settle, &body.drained, w.after)
-	traced := httptrace.WithClientTrace(end.request, &httptrace.ClientTrace{
+	var outgoing atomic.Pointer[http.Request]
+	watch := watchAttempt(ctx, a.Settle, &body.fullyRead, w.after)
+	traced := httptrace.WithClientTrace(watch.requestCtx, &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
 			reused.Store(i.Reused)
 			idle.Store(int64(i.IdleTime))
 			if c, ok := i.Conn.(*workerConn); ok {
-				called := c.called.Swap(false)
-				if a.Verify && c.answeredWithin(verifiedFor) {
+				lastWasCall := c.lastWasCall.Swap(false)
+				if a.Verify && c.answeredWithin(verificationTTL) {
 					a.Verified()
 				}
-				end.conn.Store(c)
-				c.serve(end)
-				c.may.Store(&a.Allowed)
-				// A read has no effect, and nothing of its answer passes on. A second answer to a call without a body is no
-				// stream and turns nothing away, and what was verified must not wait: a silence may begin meanwhile.
-				if i.Reused && !a.Read && !called {
-					c.settle(ctx, w.after)
+				watch.conn.Store(c)
+				c.setWatch(watch)
+				c.mayWrite.Store(&a.Allowed)
+				// No wait for reads, which have no effect and whose answer is not passed on. A second answer to a call
+				// without a body is neither a stream nor a refusal, and a connection just verified must be used at
+				// once, as it may die meanwhile.
+				if i.Reused && !a.Read && !lastWasCall {
+					c.awaitLateAnswer(ctx, w.after)
 				}
 			}
-			// Only now, before the transport writes the head: the connection may have taken long to come up.
-			if req := attempt.Load(); req != nil {
+			// Set just before the transport writes the head, because connecting may have taken long.
+			if req := outgoing.Load(); req != nil {
 				req.Header.Set(headLeft, strconv.FormatInt(max(1, a.Remaining().Milliseconds()), 10))
 			}
 		},
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
 			wrote.Store(i.Err == nil)
-			broke.Store(i.Err != nil)
+			writeFailed.Store(i.Err != nil)
 		},
-		GotFirstResponseByte: func() { came.Store(true) },
+		GotFirstResponseByte: func() { answerBegun.Store(true) },
 	})
 	req, err := http.NewRequestWithContext(traced, x.Method, "http://"+a.To.Addr+x.URI, body)
 	if err != nil {
-		end.over()
+		watch.finish()
 		return core.Result{Status: decide.Moot, Err: err}, false
 	}
-	req.ContentLength = int64(len(text))
+	req.ContentLength = int64(len(payload))
 	for _, name := range []string{"Content-Type", "Accept", headTxn, "X-Lane", "X-Entity", "X-Labels", "X-Estimate", "X-Resent"} {
 		if v := x.Head.Values(name); len(v) > 0 {
 			req.Header[name] = v
 		}
 	}
-	attempt.Store(req)
+	outgoing.Store(req)
 	res, err := w.transport.RoundTrip(req)
 	if err != nil {
-		end.over()
-		// Whether it may have run turns on the request's last byte. Where the transport has had it
-		// and told nothing of a failed write, it may have been on its way.
-		ran := wrote.Load() || body.drained.Load() && !broke.Load()
+		watch.finish()
+		// Whether the request may have run depends on its last byte. If the transport took that byte and reported no
+		// failed write, it may have been delivered.
+		mayHaveRun := wrote.Load() || body.fullyRead.Load() && !writeFailed.Load()
 		if reused.Load() {
 			err = fmt.Errorf("after %v idle: %w", time.Duration(idle.Load()).Round(time.Millisecond), err)
 		}
-		unsent = errors.Is(err, errUnsent) || reused.Load() && !body.touched.Load()
-		// What has begun to answer has fetched the state, whatever it went on with.
-		return core.Result{Status: failure(ctx, err, ran), NoState: !a.Read && ran && (came.Load() || errors.Is(err, errSpoilt)), Err: err}, unsent
+		unsent = errors.Is(err, errUnreadInput) || reused.Load() && !body.readBegun.Load()
+		// A worker that began to answer has fetched the state, even if the answer then broke.
+		return core.Result{Status: failureStatus(ctx, err, mayHaveRun), NoState: !a.Read && mayHaveRun && (answerBegun.Load() || errors.Is(err, errMalformedAnswer)), Err: err}, unsent
 	}
 	if res.StatusCode == http.StatusOK && !a.Read {
-		if !end.begun() { // nobody will read it
+		if !watch.streamBegun() { // nobody will read the stream
 			res.Body.Close()
 			return core.Result{Status: decide.Cancelled, NoState: true, Err: context.Cause(ctx)}, false
 		}
-		return w.stream(ctx, res, end.conn.Load()), false
+		return w.stream(ctx, res, watch.conn.Load()), false
 	}
-	defer end.over()
-	return w.answer(ctx, a, res), false
+	defer watch.finish()
+	return w.readAnswer(ctx, a, res), false
 }
 
-// failure names the end of an attempt without an answer.
-func failure(ctx context.Context, err error, ran bool) decide.Status {
+// failureStatus classifies an attempt that ended without a usable answer.
+func failureStatus(ctx context.Context, err error, mayHaveRun bool) decide.Status {
 	switch {
-	case errors.Is(err, errWithdrawn), errors.Is(err, errTooMany), !ran && isLocal(err), !ran && ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded):
+	case errors.Is(err, errWithdrawn), errors.Is(err, errTooManyConns), !mayHaveRun && isLocalFailure(err), !mayHaveRun && ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		return decide.Moot
-	case !ran:
+	case !mayHaveRun:
 		return decide.ConnectFailed
 	case ctx.Err() != nil:
 		return decide.Cancelled
@@ -280,57 +280,58 @@
 	return decide.Reset
 }
 
-// stream makes a result of an answer that streams, once its first event is whole.
+// stream turns a streaming response into a result, once its first event is complete.
 func (w *Workers) stream(ctx context.Context, res *http.Response, conn *workerConn) core.Result {
 	s := &stream{res: res, conn: conn, resume: w.Resume}
-	s.stall = time.AfterFunc(firstEvent, func() { res.Body.Close() })
-	if err := s.open(); err != nil { // it broke, or makes no sense, before its first event was whole
+	s.stall = time.AfterFunc(firstEventTimeout, func() { res.Body.Close() })
+	if err := s.readFirstEvent(); err != nil { // it broke or was malformed before its first event was complete
 		s.Close()
-		return core.Result{Status: failure(ctx, err, true), NoState: true, Err: err}
+		return core.Result{Status: failureStatus(ctx, err, true), NoState: true, Err: err}
 	}
 	s.stall.Stop()
 	return core.Result{Stream: s}
 }
 
-// answer turns a worker's answer that is no stream into a result.
-func (w *Workers) answer(ctx context.Context, a core.Attempt, res *http.Response) core.Result {
-	text, err := io.ReadAll(io.LimitReader(res.Body, answerLimit))
+// readAnswer turns a response that is not a stream into a result.
+func (w *Workers) readAnswer(ctx context.Context, a core.Attempt, res *http.Response) core.Result {
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	res.Body.Close()
 	if code := res.StatusCode; code != http.StatusAccepted || !a.Read {
-		return refuseStream(Judge(code, res.Header.Get(turnedAway) != ""))
+		return rejectReaderStream(Judge(code, res.Header.Get(headerTurnedAway) != ""))
 	}
 	if err != nil {
-		return core.Result{Status: failure(ctx, err, true), Err: err}
+		return core.Result{Status: failureStatus(ctx, err, true), Err: err}
 	}
 	kept, err := parseRead(text)
-	if err != nil { // the state waits all the same
+	if err != nil { // the state is there nevertheless
 		w.log.Warn("malformed answer of a reader", "worker", a.To.ID, "err", err)
 	}
 	return core.Result{Status: decide.Read, Kept: kept}
 }
 
-// Judge says what a worker's status means for a write; 200 is the beginning of its answer.
-func Judge(code int, away bool) core.Result {
+// ClassifyStatus returns the result of a write that was answered with this status code. turnedAway says that the
+// response carried X-Turned-Away. The result is zero for 200, which begins the answer.
+func Judge(code int, turnedAway bool) core.Result {
 	switch {
 	case code == http.StatusOK:
 		return core.Result{}
-	case away && code == http.StatusGone:
+	case turnedAway && code == http.StatusGone:
 		return core.Result{Status: decide.Full, NoState: true}
-	case away && (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout):
+	case turnedAway && (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout):
 		return core.Result{Status: decide.Full, Err: fmt.Errorf("turned away: %d", code)}
 	}
 	return core.Result{Status: decide.Errored, Err: fmt.Errorf("status %d", code)}
 }
 
-// refuseStream makes an error of a stream where none is due, from a reader.
-func refuseStream(r core.Result) core.Result {
+// rejectReaderStream turns a zero result, a stream, into an error: readers must not stream.
+func rejectReaderStream(r core.Result) core.Result {
 	if r.Status == 0 {
 		r = core.Result{Status: decide.Errored, Err: errors.New("a stream from a reader")}
 	}
 	return r
 }
 
-// parseRead reads a reader's answer: how much of the prompt was found kept.
+// parseReadAnswer parses a reader's answer and returns how many prompt tokens were cached.
 func parseRead(text []byte) (int, error) {
 	var b struct {
 		Cached float64 `json:"cached_tokens"`
@@ -354,34 +355,34 @@
 	return x.Workers.Release(ctx, at, x.Head.Get(headTxn))
 }
 
-// Release lets go of all that is held for the request with this id, at any worker.
+// Release asks a worker to release everything held for the request with this id, at any worker.
 func (w *Workers) Release(ctx context.Context, at core.Worker, id string) error {
 	_, err := w.call(ctx, http.MethodDelete, at, pathHolds+id)
 	return err
 }
 
-// Probe implements core.Prober.
+// Probe implements core.Prober. An answer that can't be parsed still shows that the worker is alive.
 func (w *Workers) Probe(ctx context.Context, at core.Worker) (decide.Probed, error) {
 	text, err := w.call(ctx, http.MethodGet, at, pathStats)
 	if err != nil {
 		return decide.Probed{}, err
 	}
 	p, err := parseLoad(string(text))
-	if err != nil { // it has answered all the same, that counts
+	if err != nil { // it has answered, so it is alive
 		w.log.Info("load report", "worker", at.ID, "err", err)
 		return decide.Probed{Queue: -1, Tokens: -1}, nil
 	}
 	return p, nil
 }
 
-// call makes a call without a body.
+// call makes a request without a body and returns the response body.
 func (w *Workers) call(ctx context.Context, method string, at core.Worker, path string) ([]byte, error) {
 	var reused atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
 		reused.Store(i.Reused)
-		if c, ok := i.Conn.(*workerConn); ok { // what an attempt that was never written has left there
-			c.called.Store(true)
-			c.may.Store(nil)
+		if c, ok := i.Conn.(*workerConn); ok { // drop the check of an attempt that was never written
+			c.lastWasCall.Store(true)
+			c.mayWrite.Store(nil)
 		}
 	}})
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+at.Addr+path, nil)
@@ -391,26 +392,26 @@
 	res, err := w.transport.RoundTrip(req)
 	if err != nil {
 		if reused.Load() && errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			w.idle.drop(at.Addr)
+			w.conns.closeIdle(at.Addr)
 		}
 		return nil, err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, answerLimit))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, err
 	}
 	if res.StatusCode/100 != 2 {
-		return nil, fmt.Errorf("%s %s: %w %d", method, path, errNotFine, res.StatusCode)
+		return nil, fmt.Errorf("%s %s: %w %d", method, path, errBadStatus, res.StatusCode)
 	}
 	return text, nil
 }
 
-// parseLoad reads a load report, pairs set apart by commas. Names that it does not know are passed
-// over; what is not told is under zero.
+// parseLoadReport parses a load report, a list of name=value pairs separated by commas. Unknown names are skipped; a
+// queue or token count that is not reported is negative.
 func parseLoad(text string) (decide.Probed, error) {
 	p := decide.Probed{Queue: -1, Tokens: -1}
-	if strings.TrimSpace(text) == "" { // the worker runs but has made no report yet
+	if strings.TrimSpace(text) == "" { // the worker runs but has not made a report yet
 		return p, nil
 	}
 	for pair := range strings.SplitSeq(strings.TrimSpace(text), ",") {
@@ -431,41 +432,41 @@
 	return p, nil
 }
 
-// stream is a worker's answer from its first event on.
+// stream is a worker's streaming answer from its first event on.
 type stream struct {
-	res   *http.Response
-	conn  *workerConn // that it comes on
-	first []byte      // read and not passed on
-	scan  eventScan
-	stall *time.Timer
+	res      *http.Response
+	conn     *workerConn // the connection that it arrives on
+	buffered []byte      // received but not yet passed on
+	events   eventScan
+	stall    *time.Timer
 
 	resume bool
-	last   time.Time     // when something came
-	gap    time.Duration // the longest time in which nothing did
+	last   time.Time     // when data last arrived
+	gap    time.Duration // the longest time between two arrivals
 }
 
-// Header is the head of the worker's answer.
+// Header returns the header of the worker's response.
 func (s *stream) Header() http.Header { return s.res.Header }
 
-// open reads until a whole first event has come that makes sense.
-func (s *stream) open() error {
+// readFirstEvent reads until the first event with valid data is complete.
+func (s *stream) readFirstEvent() error {
 	buf := make([]byte, 0, 1<<10)
-	from := 0 // of the blocks that hold no data, comments for one
+	blockStart := 0 // of blocks without data, such as comments
 	for {
 		n, err := s.res.Body.Read(buf[len(buf):cap(buf)])
-		at := len(buf)
-		buf = buf[:at+n]
-		_, blank, bad := s.scan.feed(buf[at:])
-		if bad != nil {
-			return bad
+		start := len(buf)
+		buf = buf[:start+n]
+		_, blank, scanErr := s.events.feed(buf[start:])
+		if scanErr != nil {
+			return scanErr
 		}
 		if blank > 0 {
-			ok, bad := whole(buf[from : at+blank])
-			if bad != nil {
-				return bad
+			ok, scanErr := hasDataEvent(buf[blockStart : start+blank])
+			if scanErr != nil {
+				return scanErr
 			}
-			if from = at + blank; ok {
-				s.first = buf
+			if blockStart = start + blank; ok {
+				s.buffered = buf
 				return nil
 			}
 		}
@@ -474,8 +475,8 @@
 			return io.ErrUnexpectedEOF
 		case err != nil:
 			return err
-		case len(buf) >= maxEvent:
-			return spoilt("no event in %d bytes", len(buf))
+		case len(buf) >= maxEventBytes:
+			return malformed("no event in %d bytes", len(buf))
 		}
 		if cap(buf)-len(buf) < 256 {
 			buf = append(make([]byte, 0, 2*cap(buf)), buf...)
@@ -483,14 +484,14 @@
 	}
 }
 
-// Read passes on what comes, as far as it makes sense. A worker that says nothing for StallLimit after an
-// event is taken for gone: a machine that vanishes leaves its connections open and silent, and the client
-// must not wait.
+// Read passes on what arrives as long as it is well-formed. A worker that sends nothing for stallTimeout after an event
+// is treated as gone: a machine that vanishes leaves its connections open and silent, and the client must not wait for
+// it.
 func (s *stream) Read(p []byte) (int, error) {
-	if len(s.first) > 0 {
-		n := copy(p, s.first)
-		if s.first = s.first[n:]; len(s.first) == 0 {
-			s.first = nil
+	if len(s.buffered) > 0 {
+		n := copy(p, s.buffered)
+		if s.buffered = s.buffered[n:]; len(s.buffered) == 0 {
+			s.buffered = nil
 		}
 		return n, nil
 	}
@@ -503,35 +504,35 @@
 		}
 		s.last = now
 	}
-	n, _, bad := s.scan.feed(p[:n])
-	if bad != nil {
-		return n, bad
+	n, _, scanErr := s.events.feed(p[:n])
+	if scanErr != nil {
+		return n, scanErr
 	}
-	if err == io.EOF && s.scan.count > 0 {
-		return n, spoilt("it ends inside a line")
+	if err == io.EOF && s.events.count > 0 {
+		return n, malformed("it ends inside a line")
 	}
 	return n, err
 }
 
-// patience is how long the stream may say nothing. Guards against connections that fall silent to a worker that
-// is well: each second until its client asks for the rest makes the whole answer slower.
+// stallTimeout returns how long the stream may be silent. It is short for resumable streams because a connection to a
+// healthy worker can die silently, and each second until the client requests the rest slows the whole answer down.
 func (s *stream) patience() time.Duration {
 	if !s.resume || s.gap == 0 {
 		return StallLimit
 	}
-	return min(max(stallLeast, stallGaps*s.gap), StallLimit)
+	return min(max(stallLeast, stallGapFactor*s.gap), StallLimit)
 }
 
-// handOver has Read end with errHanded at the next byte that has not come.
-func (s *stream) handOver() bool {
+// requestHandOver makes Read return errHanded before the next byte that has not arrived yet.
+func (s *stream) requestHandOver() bool {
 	if s.conn == nil {
 		return false
 	}
-	s.conn.hand.Store(true)
+	s.conn.handOverRequested.Store(true)
 	return s.conn.Conn.SetReadDeadline(time.Now()) == nil
 }
 
-// Close ends the stream and, if it has not come to its end, its connection.
+// Close stops the stream and closes its connection unless the stream was complete.
 func (s *stream) Close() error {
 	s.stall.Stop()
 	return s.res.Body.Close()
