--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -17,18 +17,18 @@
 	"rowanyard/internal/core"
 )
 
-// A worker is told the time that is left when the request is written, not when the attempt began: its connection may come
-// up late.
-func TestALateConnectionTellsWhatIsLeftThen(t *testing.T) {
+// A worker is told the time left when the request is written, not when the attempt began: the connection may have taken
+// long to come up.
+func TestRemainingTimeIsSetWhenRequestIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const comesUp, wait = 240 * time.Millisecond, time.Second
+		const dialDelay, wait = 240 * time.Millisecond, time.Second
 		w := NewWorkers(time.Second, 15*time.Second, 10, quiet)
 		defer w.transport.CloseIdleConnections()
 		told := make(chan time.Duration, 1)
 		w.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
-			time.Sleep(comesUp)
+			time.Sleep(dialDelay)
 			here, there := net.Pipe()
-			go readerOnce(there, told)
+			go serveOneRead(there, told)
 			return here, nil
 		}
 		x := &Exchange{Workers: w, Method: http.MethodPost, URI: PathChat, Head: head(), Body: []byte(bodyText)}
@@ -37,15 +37,15 @@
 		if res.Status != decide.Read {
 			t.Fatalf("%+v", res)
 		}
-		if got := <-told; got != wait-comesUp {
-			t.Errorf("the worker was told %v, %v was left", got, wait-comesUp)
+		if got := <-told; got != wait-dialDelay {
+			t.Errorf("the worker was told %v, want %v", got, wait-dialDelay)
 		}
 	})
 }
 
-// The time that a client gives its request counts from the request's first byte: neither a slow head or body nor a place
-// behind another request makes it longer.
-func TestTheTimeOnTheWayInCounts(t *testing.T) {
+// A client's time budget counts from the first byte of its request. A slow head or body or a wait behind another
+// request must not extend it.
+func TestTimeBudgetStartsAtFirstByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const step = 100 * time.Millisecond
 		here, there := net.Pipe()
@@ -59,9 +59,9 @@
 				time.Sleep(step)
 			}
 		}()
-		in := bufio.NewReaderSize(c, 16)
+		reader := bufio.NewReaderSize(c, 16)
 		for _, want := range []time.Duration{3 * step, 2 * step} {
-			r, err := http.ReadRequest(in)
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -69,11 +69,11 @@
 				t.Fatal(err)
 			}
 			if got := onItsWay(ctx); got != want {
-				t.Errorf("%v on its way, it was %v", got, want)
+				t.Errorf("%v on its way, want %v", got, want)
 			}
-			peeked := make(chan struct{}) // net/http looks for what is behind while a request is answered
+			peeked := make(chan struct{}) // net/http reads ahead while a request is answered
 			go func() {
-				in.Peek(1)
+				reader.Peek(1)
 				close(peeked)
 			}()
 			time.Sleep(2 * step)
@@ -85,15 +85,15 @@
 	})
 }
 
-// What a request's way in took is off the time that its worker is told.
-func TestAWorkerIsToldLessForASlowClient(t *testing.T) {
+// The time that a request took to arrive is subtracted from the time that its worker is told.
+func TestSlowClientReducesRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slow, aim = 700 * time.Millisecond, time.Second
 		f, c := aimingAt(t, "worker:1", aim)
 		told := make(chan time.Duration, 9)
 		f.workers.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
 			here, there := net.Pipe()
-			go readerOnce(there, told)
+			go serveOneRead(there, told)
 			return here, nil
 		}
 		conn := &clientConn{from: newClients(nil, 1, 0, quiet)}
@@ -104,15 +104,15 @@
 		r.Header.Set(headLeft, "1000")
 		f.ServeHTTP(httptest.NewRecorder(), r)
 		if got := <-told; got > time.Second-slow {
-			t.Errorf("the worker was told %v, %v was left", got, time.Second-slow)
+			t.Errorf("the worker was told %v, want at most %v", got, time.Second-slow)
 		}
 		c.Wait(t.Context())
-		time.Sleep(time.Minute) // timers of the module
+		time.Sleep(time.Minute) // for the timers of package decide
 	})
 }
 
-// readerOnce answers one request as a reader and tells the time that it was given.
-func readerOnce(c net.Conn, told chan<- time.Duration) {
+// serveOneRead answers one request as a reader and sends the remaining time that the request carried to told.
+func serveOneRead(c net.Conn, told chan<- time.Duration) {
 	defer c.Close()
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
--- a/internal/httpfront/flush_test.go
+++ b/internal/httpfront/flush_test.go
@@ -1,7 +1,7 @@
 package httpfront
 
-// Each event of a stream reaches its client before the next one comes: the worker writes one only after the client has had
-// the one before, so that an event that is held back, or waits for another, ends the test.
+// Each event of a stream must reach the client before the next one is sent. The worker sends an event only after the
+// client has received the previous one, so that a buffered event stalls the test.
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// stepWorker reads every prompt at once and streams what a test gives it, piece by piece.
+// stepWorker reads every prompt at once and streams the pieces that a test provides.
 type stepWorker struct {
 	mu     sync.Mutex
 	read   map[string]bool
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestEachEventIsPassedOnAsItComes(t *testing.T) {
+func TestEachEventIsForwardedImmediately(t *testing.T) {
 	const streams, rounds = 24, 6
 	worker := &stepWorker{read: make(map[string]bool), pieces: make(map[string]chan string)}
 	front, c := bed(t, worker.ServeHTTP)
@@ -81,7 +81,7 @@
 		}
 	}
 	event := func(n int) string { return fmt.Sprintf("data: {\"n\": %d}\n\n", n) }
-	// A client that takes nothing holds up none of the others.
+	// A client that reads nothing delays none of the others.
 	slow, large := open("slow", event(0))
 	defer slow.Close()
 	full := make(chan struct{})
