--- a/decide/api.go
+++ b/decide/api.go
@@ -1,6 +1,8 @@
-// Package decide holds the decisions of a router for two-stage language-model
-// serving. The types here are what a Router is told and what it can do; all
-// decisions are in decide.go.
+// Package decide implements the routing policy of a two-stage language-model router: which server reads the prompt
+// (prefill), which one writes the answer (decode), when an attempt is retried and when a request is refused.
+//
+// A Router handles one event at a time and acts through an Executor. It starts no goroutines, reads no clock and does
+// no I/O, so that equal seeds and events give equal decisions.
 package decide
 
 import (
@@ -9,26 +11,26 @@
 	"time"
 )
 
-// RequestID names one client request at one front; ids are never reused.
+// RequestID identifies a client request within one router process. IDs are never reused.
 type RequestID uint64
 
-// Role says which stages of a request a kind of server can do.
+// Role says which stages of a request the servers of a kind can run.
 type Role int
 
-// The roles a kind of server may have.
+// The roles of a kind of server.
 const (
-	Reader Role = iota + 1 // prefill: reads prompts, keeps the state
+	Reader Role = iota + 1 // prefill: reads prompts and holds the resulting state
 	Writer                 // decode: fetches a state and streams the answer
-	Mixed                  // does both
+	Mixed                  // both stages
 )
 
 // Effect says how far a request may be repeated.
 type Effect int
 
-// The effects a class of requests may have.
+// The effects of a class of requests.
 const (
 	Safe   Effect = iota // any repeat is harmless
-	Keyed                // repeats are dropped inside a group, for a while
+	Keyed                // servers of one scope drop repeats for a while
 	Unsafe               // must not run twice
 )
 
@@ -42,57 +44,56 @@
 	ScopeCell
 )
 
-// Class describes one class of requests.
+// Class is a class of requests that share latency targets, value and repeat rules.
 type Class struct {
-	Aim          time.Duration // first token wanted within this time
-	AimPer1000   time.Duration // added to Aim for each 1,000 prompt tokens
-	Deadline     time.Duration // the whole time that a client waits
-	TokenAim     time.Duration // wanted mean time between tokens
-	Worth        float64       // worth of an answer in time
-	LateWorth    float64       // share of Worth paid after the aim
+	Aim          time.Duration // target time to first token (TTFT)
+	AimPer1000   time.Duration // added to TTFTTarget for each 1,000 prompt tokens
+	Deadline     time.Duration // total time that a client waits
+	TokenAim     time.Duration // target mean time per output token (TPOT)
+	Worth        float64       // value of an answer in time
+	LateWorth    float64       // share of Value that an answer after TTFTTarget is worth
 	Effect       Effect
-	Scope        Scope         // keyed classes: who drops repeats
+	Scope        Scope         // keyed classes: the servers that drop repeats
 	RepeatWindow time.Duration // keyed classes: how long repeats are dropped
 }
 
-// Tenant is one customer and its share of the service.
+// Tenant is one customer of the service.
 type Tenant struct {
-	Quota float64 // requests a second over all fronts, 0 = not limited
+	Quota float64 // requests per second over all routers, 0 = unlimited
 }
 
-// Kind is one kind of server.
+// Kind describes the servers of one kind.
 type Kind struct {
 	Role         Role
-	MemoryTokens int // 0 = not told
+	MemoryTokens int // 0 = unknown
 }
 
-// Settings is what a front knows when it starts. Durations of zero mean
-// that the limit does not exist, unless a comment says otherwise.
+// Settings configures a Router. A zero duration disables its limit unless the field says otherwise.
 type Settings struct {
-	Front, Fronts  int // this front's number and how many there are
+	Front, Fronts  int // index of this router among all, and their number
 	Zone           int
 	Classes        []Class
 	Tenants        []Tenant
 	Kinds          []Kind
-	OverShareWorth float64       // worth of a request over its tenant's share
-	Tick           time.Duration // shortest time between two events' clocks
-	MaxAttempts    int           // sends of one request, 0 = no limit
-	ConnectTimeout time.Duration // a send has reached its server after this, or never does
-	MaxRetryAfter  time.Duration // the longest advice to refused clients, 0 = give none
+	OverShareWorth float64       // factor on the value of a request whose tenant is over its quota
+	Tick           time.Duration // shortest step between the clocks of two events
+	MaxAttempts    int           // attempts per request, 0 = unlimited
+	ConnectTimeout time.Duration // an attempt reaches its server within this time or not at all
+	MaxRetryAfter  time.Duration // longest retry advice to refused clients, 0 = give none
 	CanCancel      bool
-	CanProbe       bool          // servers tell their load to probes
-	WritersRead    bool          // a writer without a state reads the prompt
-	MustAsk        bool          // the server list comes only when asked for
-	AskEvery       time.Duration // MustAsk: ask at least this often
-	PinLimit       time.Duration // held states are to be let go within this
-	PinSlack       time.Duration // and so much later where their write is likely to have arrived
-	ColdFrom       float64       // share of capacity right after a start
-	ColdFor        time.Duration // a started server is warm after this
-	ColdMultiple   float64       // a cold server falls over past this load ...
-	ColdWindow     time.Duration // ... held for this long
+	CanProbe       bool          // servers report their load to probes
+	WritersRead    bool          // a writer without a state reads the prompt itself
+	MustAsk        bool          // the server list arrives only on request
+	AskEvery       time.Duration // PollServerList: longest time between two requests for it
+	PinLimit       time.Duration // a held state must be taken or released within this time
+	PinSlack       time.Duration // added to PinLimit where the write has probably reached its server
+	ColdFrom       float64       // share of full capacity right after a start
+	ColdFor        time.Duration // time from a start to full capacity
+	ColdMultiple   float64       // a cold server fails above this multiple of its capacity ...
+	ColdWindow     time.Duration // ... if the load lasts for this long
 }
 
-// check refuses settings that make no sense.
+// check returns an error for inconsistent or out-of-range settings.
 func check(s Settings) error {
 	if s.Fronts < 1 || s.Front < 0 || s.Front >= s.Fronts {
 		return fmt.Errorf("front %d of %d", s.Front, s.Fronts)
@@ -110,31 +111,32 @@
 			return fmt.Errorf("class %d: effect %d, scope %d", i, c.Effect, c.Scope)
 		}
 	}
-	if s.MaxAttempts < 0 || s.PinLimit < 0 || s.PinSlack < 0 || s.ColdFor < 0 || s.ColdWindow < 0 || s.AskEvery < 0 || s.ConnectTimeout < 0 {
+	if s.MaxAttempts < 0 || s.PinLimit < 0 || s.PinSlack < 0 || s.ColdFor < 0 || s.ColdWindow < 0 ||
+		s.AskEvery < 0 || s.ConnectTimeout < 0 {
 		return errors.New("negative limit")
 	}
 	return nil
 }
 
-// Request is a client request that this front has to answer once.
+// Request is a client request. The Router gives each exactly one final answer.
 type Request struct {
 	ID        RequestID
-	Label     string // what its client calls it, for logs: nothing rests on it
+	Label     string // the client's name for it, for logs only
 	Class     int
 	Tenant    int
-	TimeLeft  time.Duration // until this try's client gives up
+	TimeLeft  time.Duration // until the client gives up this try
 	Session   uint64        // 0 = none
-	Prefix    uint64        // the shared beginning, 0 = none
-	Prompt    int           // tokens in the prompt
-	PrefixLen int           // how many of them are the shared beginning
-	MaxOutput int           // most tokens that the answer may have
-	Hint      time.Duration // rough answer length at TokenAim a token, 0 = none
-	Repeat    bool          // known to be a client's further try
-	Resumed   bool          // came again after its stream broke
-	// Leased says that its carrier lets go of what is held by itself once whoever carries it gives no sign.
+	Prefix    uint64        // identifies the shared prefix of the prompt, 0 = none
+	Prompt    int           // length of the prompt
+	PrefixLen int           // length of the shared prefix
+	MaxOutput int           // upper bound on the length of the answer
+	Hint      time.Duration // estimate of the answer's duration at TPOTTarget, 0 = none
+	Repeat    bool          // known to be a further try of a client
+	Resumed   bool          // sent again after its stream broke
+	// Leased says that the transport releases held states by itself once their router shows no sign of life.
 	Leased bool
-	// Kept is how much of the prompt servers say themselves that they keep, by id. It goes before what this front
-	// remembers of them; of a server that is not in it nothing is told. nil: there are no reports.
+	// Kept is the number of prompt tokens that servers report as cached, by server ID. A report overrides the
+	// Router's own record; for a server without an entry nothing is reported. It is nil where there are no reports.
 	Kept map[string]int
 }
 
@@ -144,29 +146,29 @@
 // The ways an attempt can end.
 const (
 	Served        Status = iota + 1 // answered
-	Read                            // prompt read, the state waits at the reader
-	Full                            // turned away, or no state to fetch
-	Errored                         // the server sent an error
+	Read                            // the prompt has been read and the reader holds the state
+	Full                            // the server rejected it, or had no state to fetch
+	Errored                         // the server returned an error
 	TimedOut                        // no answer in time
 	ConnectFailed                   // no connection
 	Reset                           // the connection broke
-	Cancelled                       // called off by this front
+	Cancelled                       // cancelled by this router
 	Moot                            // never sent
 )
 
-// Outcome is how one attempt of a request ended.
+// Outcome is the end of one attempt of a request.
 type Outcome struct {
 	ID      RequestID
 	Attempt int
 	Server  string
 	Status  Status
 	Took    time.Duration
-	Final   bool // the request is over, nothing more is owed
-	Kept    int  // Read and Served: prompt tokens found kept
-	NoState bool // Full: there was no state to fetch
+	Final   bool // the client has its answer: no more attempts
+	Kept    int  // Read and Served: prompt tokens that the server had cached
+	NoState bool // Rejected: there was no state to fetch
 }
 
-// Started tells that an attempt's answer has begun to stream.
+// Started is the first token of an attempt's answer.
 type Started struct {
 	ID      RequestID
 	Attempt int
@@ -174,15 +176,15 @@
 	Took    time.Duration
 }
 
-// Probed is the load that a server told to a probe; values under zero are not told.
+// Probed is a server's answer to a probe. Negative values are unknown.
 type Probed struct {
 	Server string
-	Queue  float64 // requests that wait
-	Tokens float64 // prompt tokens that wait to be read or fetched
-	Held   float64 // share of its memory that is held; told where Queue is
+	Queue  float64 // requests in its queue
+	Tokens float64 // prompt tokens in its queue, to be read or fetched
+	Held   float64 // share of its memory in use; known whenever QueuedRequests is
 }
 
-// ServerState is what the server list says of a server.
+// ServerState is the state of a server in the server list.
 type ServerState int
 
 // The states of a listed server.
@@ -199,18 +201,18 @@
 	Kind   int
 	Cell   int
 	Zone   int
-	Weight float64       // compares servers of one role
+	Weight float64       // relative to servers of the same role
 	Since  time.Duration // clock time of its last start, 0 = long ago
 }
 
-// ServerList is a change to the server list, or all of it.
+// ServerList is the server list or a change to it.
 type ServerList struct {
-	Whole   bool // servers that are not in it are gone
-	Failed  bool // asking for the list failed; the old one holds
+	Whole   bool // the complete list: servers that are not in it are gone
+	Failed  bool // the request for the list failed; the previous one stays in force
 	Servers []Server
 }
 
-// Reason is why a Router chose what it did, for logs.
+// Reason explains a decision in logs.
 type Reason string
 
 // The reasons.
@@ -229,29 +231,29 @@
 	Ending        Reason = "this front ends"
 )
 
-// Explainer is a Front that is told the reason of a Send, Cancel, Refuse or Fail right before it.
+// Explainer is an optional interface of an Executor: it receives the reason for a Send, Cancel, Refuse or Fail right
+// before the call itself.
 type Explainer interface {
 	Explain(id RequestID, why Reason)
 }
 
-// Front is what a Router acts through. Calls are made while the Router
-// handles an event and take effect in order. An attempt's number is the
-// count of Sends of that request before it.
+// Executor carries out the decisions of a Router. Its methods are called while the Router handles an event and take
+// effect in the order of the calls. The attempts of a request are numbered from 0 in the order of their Sends.
 type Front interface {
-	// Send sends a request to a server; no timeout lasts until the client gives up.
+	// Send sends a request to a server. The timeout always ends before the client gives up.
 	Send(id RequestID, server string, timeout time.Duration)
-	// Cancel stops waiting for an attempt; its Outcome still comes.
+	// Cancel stops waiting for an attempt. Its Outcome still follows.
 	Cancel(id RequestID, attempt int)
-	// Refuse is a final answer: nothing ran, trying again is harmless.
+	// Refuse gives the final answer that nothing has run and that a retry is harmless.
 	Refuse(id RequestID, retryAfter time.Duration)
-	// Fail is a final answer that promises nothing.
+	// Fail gives the final answer that the request failed, without a promise that it has not run.
 	Fail(id RequestID)
-	// Release lets go of every state held for the request.
+	// Release frees every state held for the request that no attempt waits for.
 	Release(id RequestID)
-	// SetTimer asks for Router.Timer(token) at the given clock time.
+	// SetTimer schedules a call of Router.Timer(token) at the given clock time.
 	SetTimer(token uint64, at time.Duration)
-	// Probe asks a server for its load; Router.Probed is the answer, if there is one.
+	// Probe asks a server for its load. The answer, if any, arrives as Router.Probed.
 	Probe(server string)
-	// AskServers asks for the server list and, if watch is set, for its changes.
+	// RequestServerList asks for the server list and, if watch is set, for its changes.
 	AskServers(watch bool)
 }
--- a/decide/coldfleet_test.go
+++ b/decide/coldfleet_test.go
@@ -447,17 +447,17 @@
 		q := ask(id)
 		q.Prefix = uint64(id % 200)
 		r.Request(now, q)
-		if p := r.open[id]; p.looked {
+		if p := r.requests[id]; p.probed {
 			r.Timer(p.retryAt, uint64(id))
 		}
-		for p := r.open[id]; p != nil && len(p.sent) > 0 && !p.answered && p.waits(); {
-			a := p.sent[len(p.sent)-1]
+		for p := r.requests[id]; p != nil && len(p.attempts) > 0 && !p.answered && p.awaitsOutcome(); {
+			a := p.attempts[len(p.attempts)-1]
 			if a.read {
-				r.Outcome(now, Outcome{ID: id, Attempt: len(p.sent) - 1, Server: a.server.ID, Status: Read, Took: 50 * ms, Kept: 2000})
+				r.Outcome(now, Outcome{ID: id, Attempt: len(p.attempts) - 1, Server: a.server.ID, Status: Read, Took: 50 * ms, Kept: 2000})
 				continue
 			}
-			r.Started(now, Started{ID: id, Attempt: len(p.sent) - 1, Server: a.server.ID, Took: 50 * ms})
-			r.Outcome(now, Outcome{ID: id, Attempt: len(p.sent) - 1, Server: a.server.ID, Status: Served, Final: true, Took: 50 * ms})
+			r.Started(now, Started{ID: id, Attempt: len(p.attempts) - 1, Server: a.server.ID, Took: 50 * ms})
+			r.Outcome(now, Outcome{ID: id, Attempt: len(p.attempts) - 1, Server: a.server.ID, Status: Served, Final: true, Took: 50 * ms})
 		}
 		rec.did, rec.sends = nil, nil
 		clear(rec.timers)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,6 +1,6 @@
 package decide
 
-// All decisions of the router. The types of its interface are in api.go, its records in state.go.
+// The decisions of a Router. Its interface is in api.go, its state in state.go.
 
 import (
 	"cmp"
@@ -14,232 +14,229 @@
 	"rowanyard/internal/lazysort"
 )
 
-// Tuned values. Each is a share, a count or a time; times and sizes that depend on a deployment are
-// derived from its settings or learned, see docs/design.md for neighbouring values.
+// Parameters of the policy. They are shares, counts and times; whatever depends on a deployment comes from
+// its settings or is learned at run time. docs/design.md discusses neighbouring values.
 const (
-	// The design's own.
-	readersCap  = 8                // reads in flight at a reader over all fronts, past it is spilled
-	prefixTTL   = 60 * time.Second // a prefix not sent for so long is taken for forgotten
-	prefixTable = 4096             // prefixes remembered per reader
-	keptShare   = 0.9              // a record is wrong where less than this share of it was kept
-	lostAge     = 15 * time.Second // a lost prefix tells nothing of those sent more recently
-	writerFill  = 0.5              // own part of a writer's memory at which it is passed over
-	peersWeight = 4.0              // what all of a kind show counts as so many own requests at one server
-	farSlow     = 2.0              // links are slow where far moves take so many times the near ones
-	valveAim    = 0.1              // or more where waits are less than this share of the aim
-	popular     = 1.25             // a reader takes so many times the mean of its peers
-	fillLeast   = 0.02             // emptier pools count as this full in that
-	alikeMost   = 4                // own counts stand for so many fronts at most, see alike
-	mixedLean   = 2.0              // the mixed servers' share may grow or shrink by this factor
+	// Reader and writer selection.
+	maxReadsPerReader   = 8                // over all routers; further requests spill to other readers
+	prefixTTL           = 60 * time.Second // a prefix that was not sent for this long counts as evicted
+	maxPrefixes         = 4096             // prefixes remembered per reader
+	minCachedShare      = 0.9              // a record is wrong if less than this share of it was cached
+	minLostAge          = 15 * time.Second // a lost prefix says nothing of prefixes sent within this time
+	maxWriterFill       = 0.5              // a writer is passed over above this own share of its memory
+	peerWeight          = 4.0              // weight of the kind's mean, in own requests at one server
+	slowLinkFactor      = 2.0              // links are slow if far transfers take this many times as long
+	negligibleWaitShare = 0.1              // waits below this share of the TTFT target count as this share
+	popularityLimit     = 1.25             // demand that a reader accepts, relative to the mean of its peers
+	minPoolFill         = 0.02             // lower fills count as this in mixedShare
+	maxRouterWeight     = 4                // most routers that own counts stand for, see routerWeight
+	maxMixedFactor      = 2.0              // limit of the change to the share of mixed servers
 
 	// Attempts and final answers.
-	tryShare    = 0.9                    // an attempt may take this share of the time that is left
-	farAim      = 0.5                    // a state may be on its way out of its cell for this part of the aim
-	backLeast   = 50 * time.Millisecond  // a refused client comes back when the wait is gone, or after this
-	answerTicks = 2                      // final answers are given so many ticks before the deadline
-	probeWait   = 10 * time.Millisecond  // a probe's answer is waited for this long ...
-	probeFresh  = 500 * time.Millisecond // ... and taken for true this long
-	probeOld    = time.Second            // a writer's load is, so long
-	probeMute   = 30 * time.Millisecond  // a writer that has not answered by then has no room
-	scoutNear   = 3                      // writers are probed for a request, ...
-	scoutFar    = 1                      // ... so many of them outside the reader's cell
-	writerJam   = 0.9                    // a writer with so much of its memory held has no room
-	pinShare    = 0.7                    // share of the pin limit for which a state may wait for a writer
-	confirmWait = 120 * time.Millisecond // a server without a sign so long after a write is probed ...
-	confirmMute = 60 * time.Millisecond  // ... and silent if it has not answered after this
-	heardFresh  = 500 * time.Millisecond // one that has answered within this is not probed before a write
-	troubleSpan = 10 * time.Second       // so long after one was found silent others may be, too
-	freshNear   = 2                      // writers probed during a read, by a handful of fronts
-	holdStep    = 50 * time.Millisecond  // a request that no server may take is looked at again
-	askAgain    = time.Second            // a failed call for the server list is made again after this
-	askToken    = 1 << 62                // the timer token for that; others are request ids
+	attemptTimeShare   = 0.9                    // longest attempt, as a share of the time that is left
+	farTransferShare   = 0.5                    // longest transfer out of the cell, of the TTFT target
+	minRetryAfter      = 50 * time.Millisecond  // least retry advice to refused clients
+	finalAnswerSteps   = 2                      // clock steps before the deadline at which to answer
+	probeTimeout       = 10 * time.Millisecond  // wait for the answers to probes of readers ...
+	probeValidFor      = 500 * time.Millisecond // ... which count for this long
+	writerLoadValidFor = time.Second            // the reported load of a writer counts for this long
+	writerProbeTimeout = 30 * time.Millisecond  // a writer that has not answered by then counts as full
+	writerProbes       = 3                      // writers probed per request, ...
+	farWriterProbes    = 1                      // ... this many of them outside the reader's cell
+	maxWriterMemoryUse = 0.9                    // a writer with more of its memory in use counts as full
+	pinWaitShare       = 0.7                    // wait for a writer, as a share of the pin limit
+	writeCheckDelay    = 120 * time.Millisecond // a server silent for this long after a write is probed ...
+	writeCheckTimeout  = 60 * time.Millisecond  // ... and counts as silent after this without an answer
+	contactValidFor    = 500 * time.Millisecond // no probe before a write to a server heard within this
+	silenceAlertSpan   = 10 * time.Second       // others may be silent this long after one was found so
+	staleWriterProbes  = 2                      // writers checked during a read where routers are few
+	retryInterval      = 50 * time.Millisecond  // between tries while no server can be used
+	listRetryInterval  = time.Second            // between failed requests for the server list
+	listTimerToken     = 1 << 62                // timer of that retry; other tokens are request IDs
 
 	// Health.
-	silenceAim  = 0.35                   // a server is silent after this share of the aim and ...
-	silenceWait = 5.0                    // ... this many usual waits of its kind without any sign
-	silenceRead = 2.0                    // ... and this many times what the prompt's new tokens take to read
-	tokenLeast  = 1000                   // reads of fewer new tokens count as such of these many
-	slowSpan    = 10 * time.Second       // how fast the length of answers is forgotten
-	slowTimes   = 2.5                    // a server is slow where they take so many times the mean, ...
-	slowDoubt   = 2.0                    // ... after so many answers at the mean
-	badShare    = 0.3                    // share of failed attempts at which a server is suspect ...
-	badLeast    = 1.5                    // ... once so many failed lately, ...
-	badSeldom   = 0.5                    // ... or this and as many as are usually sent there in a while
-	waitWeight  = 0.25                   // weight of the latest wait in a running mean
-	slowWeight  = 0.02                   // weight of a read slower than the unhindered pace in that
-	restMin     = time.Second            // a suspect server rests so long before its first trial
-	restMax     = 8 * time.Second        // doubled after each failed one up to this
-	restSeldom  = 16 * time.Second       // or the usual time between sends to it, up to this
-	missRefused = 0.5                    // a refused connection or a silence tells so much of the whole zone
-	missQuick   = 50 * time.Millisecond  // a connection that failed sooner was refused
-	missSpan    = 4 * time.Second        // a zone is left alone for up to this, see miss
-	fullRestMin = 100 * time.Millisecond // a full server is passed over for so long
-	fullTimes   = 50                     // or so many times as long as the refusal took
-	fullRestMax = 30 * time.Second       // doubled each time it is full again, up to this
+	silenceTTFTShare    = 0.35                   // a server is silent after this share of the TTFT target,
+	silenceWaitFactor   = 5.0                    // plus this many usual waits of its kind,
+	silenceReadFactor   = 2.0                    // plus this many times the time to read the new tokens
+	minReadTokens       = 1000                   // shorter reads count as this long
+	answerTimeSpan      = 10 * time.Second       // averaging time of answer durations
+	slowAnswerFactor    = 2.5                    // a server is slow at this multiple of the mean, ...
+	slowAnswerSmoothing = 2.0                    // ... after adding this many answers at the mean
+	maxFailureRate      = 0.3                    // a server is suspect at this failure rate ...
+	minFailures         = 1.5                    // ... once there are this many recent failures, ...
+	minFailuresSparse   = 0.5                    // ... or this plus the attempts usually sent in rateSpan
+	latestWaitWeight    = 0.25                   // weight of the latest value in a running mean
+	slowReadWeight      = 0.02                   // the same for a read slower than the unhindered pace
+	minBackoff          = time.Second            // before the first trial of a suspect server, ...
+	maxBackoff          = 8 * time.Second        // ... doubled after each failed trial up to this ...
+	maxSparseBackoff    = 16 * time.Second       // ... or to the usual time between sends, at most this
+	partialMiss         = 0.5                    // weight of a refusal or a silence as a sign of a lost zone
+	refusedWithin       = 50 * time.Millisecond  // a connection that failed sooner was refused
+	maxZoneBackoff      = 4 * time.Second        // see recordUnreachable
+	minFullBackoff      = 100 * time.Millisecond // backoff from a full server, ...
+	fullBackoffFactor   = 50                     // ... or this many times the time of its rejection, ...
+	maxFullBackoff      = 30 * time.Second       // ... doubled each time it is full again up to this
 
 	// Cold servers.
-	rateSpan  = 4 * time.Second  // send rates are means over about this time
-	shareSpan = 8 * time.Second  // tenants' shares are counted over about this time
-	forgotten = 0.01             // a cell whose reads have faded to this is dropped
-	usualSpan = 30 * time.Second // how fast what warm servers took is forgotten
-	coldEach  = 0.65             // used share of a cold server's budget where fronts have equal parts of it,
-	coldIdle  = 0.7              // ... of which those that use their turns seldom get up to 1/0.7
-	coldShare = 0.9              // used share where its sessions do, that follow the traffic
-	coldAgain = 0.1              // of that for clients that come again
-	coldWide  = 1.5              // a beginning spreads over so many times its part of the servers
-	kinPart   = 0.7              // a kind without a warm server takes this part of what others take
-	ableDoubt = 4.0              // what was taken of those that came tells little until so many have
-	ableLeast = 0.25             // a flood of more than so many times all capacity is no calm reckoning
+	rateSpan               = 4 * time.Second  // averaging time of send rates
+	tenantSpan             = 8 * time.Second  // averaging time of tenants' request rates
+	negligibleCount        = 0.01             // a decayed count below this is dropped
+	loadSpan               = 30 * time.Second // averaging time of what warm servers accept
+	coldEqualShare         = 0.65             // used share of the budget if routers split it evenly, ...
+	coldIdleLoad           = 0.7              // ... divided by the usual load, 0.7 to 1
+	coldBudgetShare        = 0.9              // used share of the budget if split by session
+	coldRetryFactor        = 0.1              // applied to that for retries by clients
+	coldSpread             = 1.5              // a prefix may use this multiple of its share of the servers
+	coldKindFactor         = 0.7              // acceptance of a kind without warm servers, of its peers'
+	acceptedRatioSmoothing = 4.0              // accepted and sent requests added to the ratio of the two
+	minAcceptedRatio       = 0.25             // lower ratios, as in floods, count as this
 
 	// Overload.
-	shedAim   = 0.5 // refused where the reader's waits need more than this share of the aim
-	shedBase  = 0.4 // of that for the least worth, with nothing kept,
-	shedWorth = 0.3 // more by its worth against the highest
-	shedKept  = 0.3 // and by how much of its prompt is kept: that costs little
-	shedFill  = 2.0 // or where own tokens are this many times the own part of the writers' memory
-	overQuota = 1.3 // a tenant is over its share at this multiple of the own part of its quota
+	shedTTFTShare  = 0.5 // refuse if the reader's wait exceeds this share of the TTFT target, ...
+	shedBase       = 0.4 // ... times this for the least value and nothing cached,
+	shedValue      = 0.3 // plus this times the relative value,
+	shedCached     = 0.3 // plus this times the cached share of the prompt, which costs little;
+	shedFill       = 2.0 // or if own tokens exceed this multiple of the own share of the writers' memory
+	quotaTolerance = 1.3 // a tenant is over its quota at this multiple of the own share of it
 )
 
-// New returns a Router that acts through out. Equal seeds and events give equal actions.
-func New(set Settings, seed uint64, out Front) (*Router, error) {
-	if out == nil {
+// New returns a Router that acts through exec. Equal seeds and events give equal decisions.
+func New(cfg Settings, seed uint64, exec Front) (*Router, error) {
+	if exec == nil {
 		return nil, errors.New("decide: no front")
 	}
-	if err := check(set); err != nil {
+	if err := check(cfg); err != nil {
 		return nil, fmt.Errorf("decide: %w", err)
 	}
-	r := newRouter(set, seed, out)
-	if set.MustAsk {
-		out.AskServers(true)
+	r := newRouter(cfg, seed, exec)
+	if cfg.MustAsk {
+		exec.AskServers(true)
 	}
 	return r, nil
 }
 
-// Servers takes a change to the server list.
-func (r *Router) Servers(now time.Duration, l ServerList) {
+// Servers applies a server list or a change to it.
+func (r *Router) Servers(now time.Duration, list ServerList) {
 	r.now = now
-	if l.Failed {
-		r.out.SetTimer(askToken, now+askAgain)
+	if list.Failed {
+		r.exec.SetTimer(listTimerToken, now+listRetryInterval)
 		return
 	}
 	if len(r.servers) == 0 {
-		r.began = now
+		r.firstListAt = now
 	}
-	if l.Whole {
+	if list.Whole {
 		for _, s := range r.listed {
 			s.State = Gone
 		}
 	}
-	for _, e := range l.Servers {
-		r.list(e)
+	for _, e := range list.Servers {
+		r.updateServer(e)
 	}
 	r.listed = r.listed[:0]
 	for id, s := range r.servers {
 		switch {
 		case s.State != Gone:
 			r.listed = append(r.listed, s)
-		case s.out == 0 && s.tokens == 0:
-			s.prefixes.forget()
+		case s.inFlight == 0 && s.tokens == 0:
+			s.prefixes.reset()
 			delete(r.servers, id)
 		}
 	}
 	slices.SortFunc(r.listed, func(a, b *server) int { return cmp.Compare(a.ID, b.ID) })
-	r.count()
+	r.rebuildIndex()
 }
 
-// Request takes a client's request.
+// Request starts a client's request. An ID that is already open is ignored; an unknown class fails.
 func (r *Router) Request(now time.Duration, q Request) {
 	r.now = now
-	if r.open[q.ID] != nil {
+	if r.requests[q.ID] != nil {
 		return
 	}
-	if q.Class < 0 || q.Class >= len(r.set.Classes) {
-		r.out.Fail(q.ID)
+	if q.Class < 0 || q.Class >= len(r.cfg.Classes) {
+		r.exec.Fail(q.ID)
 		return
 	}
-	p := &request{Request: q, class: &r.set.Classes[q.Class], arrived: now, deadline: now + q.TimeLeft}
-	r.open[q.ID] = p
-	r.out.SetTimer(uint64(q.ID), max(now, p.deadline-answerTicks*r.set.Tick))
-	r.tokens += r.size(p)
+	p := &request{Request: q, class: &r.cfg.Classes[q.Class], arrived: now, deadline: now + q.TimeLeft}
+	r.requests[q.ID] = p
+	r.exec.SetTimer(uint64(q.ID), max(now, p.deadline-finalAnswerSteps*r.cfg.Tick))
+	r.requestTokens += r.expectedTokens(p)
 	if p.PrefixLen == 0 || 2*p.PrefixLen >= p.Prompt {
 		p.home = p.Prefix
 	}
-	p.popular = r.begun.part(p.home, float64(r.size(p)), r.now)
+	p.prefixShare = r.prefixWork.workShare(p.home, float64(r.expectedTokens(p)), r.now)
 	p.value = r.value(p)
-	r.next(p)
+	r.dispatch(p)
 }
 
-// overloaded says that p, read at s, would only be late or make others late; the sooner the less
-// it is worth for the work that it makes. Guards against collapse under bursts, floods and lost
-// capacity, whatever the cause: readers that are behind lose their kept prefixes to the states
-// that wait and then read everything anew. It could hurt for a moment after a short stall.
-func (r *Router) overloaded(p *request, s *server) bool {
-	fill := float64(r.tokens) * r.alike() / (r.room[Writer] + r.room[Mixed])
-	if len(p.sent) == 0 && fill > shedFill*r.eager(p, s) {
+// wouldOverload reports whether p, read at s, would only be late or delay others; the less it is worth for
+// its work, the earlier. It prevents congestion collapse: readers that fall behind lose their cached prefixes
+// to waiting states and then read everything anew. A short stall may cause refusals.
+func (r *Router) wouldOverload(p *request, s *server) bool {
+	fill := float64(r.requestTokens) * r.routerWeight() / (r.answerMemory[Writer] + r.answerMemory[Mixed])
+	if len(p.attempts) == 0 && fill > shedFill*r.shedTolerance(p, s) {
 		return true
 	}
-	return r.behind(p, s)
+	return r.wouldBeLate(p, s)
 }
 
-// behind says that the waits to be expected at s are too long for p. A server with nothing of ours
-// in hand is taken to be idle, so that the measure stays fresh, but only by chance where so few of
-// our requests are out that none could be there anyway.
-func (r *Router) behind(p *request, s *server) bool {
-	aim := r.aim(p)
-	left := min(aim-(r.now-p.arrived), p.deadline-r.now)
+// wouldBeLate reports whether the wait expected at s is too long for p. A server without own requests counts
+// as idle so that the estimate stays fresh, but only at random where few own requests are in flight at all.
+func (r *Router) wouldBeLate(p *request, s *server) bool {
+	ttftTarget := r.ttftTarget(p)
+	remaining := min(ttftTarget-(r.now-p.arrived), p.deadline-r.now)
 	match, _ := s.prefixes.match(&p.Request, r.now)
-	most := min(shedAim*aim.Seconds()*r.eager(p, s), left.Seconds())
-	wait := r.wait(s) + r.reading(p.Prompt-match)
-	p.back = seconds(max(backLeast.Seconds(), wait-most))
-	if s.out > 0 || wait <= most {
-		return wait > most
+	maxWait := min(shedTTFTShare*ttftTarget.Seconds()*r.shedTolerance(p, s), remaining.Seconds())
+	wait := r.wait(s) + r.readTime(p.Prompt-match)
+	p.retryAfter = seconds(max(minRetryAfter.Seconds(), wait-maxWait))
+	if s.inFlight > 0 || wait <= maxWait {
+		return wait > maxWait
 	}
-	mean := float64(r.kinds[s.Kind].out) / float64(max(1, r.kinds[s.Kind].ready))
-	return r.rng.Float64() < math.Exp(-peersWeight*mean)*(1-most/wait)
+	meanInFlight := float64(r.kinds[s.Kind].inFlight) / float64(max(1, r.kinds[s.Kind].ready))
+	return r.rng.Float64() < math.Exp(-peerWeight*meanInFlight)*(1-maxWait/wait)
 }
 
-// wait is the wait to be expected at s: what was seen there, the less of it and the longer ago the
-// more it leans on what was lately seen at all of its kind.
+// wait returns the expected wait at s in seconds. The fewer and the older the observations there, the more it
+// relies on recent waits at all servers of the kind.
 func (r *Router) wait(s *server) float64 {
 	peers := r.kinds[s.Kind].wait
-	if s.toldAt > 0 && r.now-s.toldAt < probeFresh {
-		peers.value = s.told
+	if s.probeAnsweredAt > 0 && r.now-s.probeAnsweredAt < probeValidFor {
+		peers.value = s.probedWait
 	}
-	return s.wait.among(peers, r.now, rateSpan)
+	return s.wait.blend(peers, r.now, rateSpan)
 }
 
-// alike is how many fronts this front's own counts stand for. Guards against a busy front among many that
-// takes its few requests for a full fleet: with a handful of fronts each has its part, among hundreds some
-// see many times the mean, and what they have under way tells little of the others. What the servers show
-// (waits, probes, refusals) tells it all the same.
-func (r *Router) alike() float64 { return float64(min(r.set.Fronts, alikeMost)) }
+// routerWeight returns how many routers this router's own counts stand for. Among hundreds, some see many
+// times the mean: scaled by all of them, their counts would make a nearly idle fleet look full. Waits, probes
+// and rejections still show the true load.
+func (r *Router) routerWeight() float64 { return float64(min(r.cfg.Fronts, maxRouterWeight)) }
 
-// eager is how much p is worth at s: dear classes first, and what is kept there costs little.
-func (r *Router) eager(p *request, s *server) float64 {
+// shedTolerance grows with the value of p and with the share of its prompt that is cached at s.
+func (r *Router) shedTolerance(p *request, s *server) float64 {
 	match, _ := s.prefixes.match(&p.Request, r.now)
-	return shedBase + shedWorth*p.value + shedKept*float64(match)/float64(max(1, p.Prompt))
+	return shedBase + shedValue*p.value + shedCached*float64(match)/float64(max(1, p.Prompt))
 }
 
-// value is p's worth against the highest there is. Where this front's part of a tenant's share is
-// less than a few requests, it takes more than a few to be over it.
+// value returns p's value relative to the highest, reduced if its tenant is over quota. Where this router's
+// share of a quota is less than a few requests, being over it takes more than a few.
 func (r *Router) value(p *request) float64 {
-	v := p.class.Worth / max(r.worth, 1e-9)
-	if p.Tenant < 0 || p.Tenant >= len(r.asked) {
+	v := p.class.Worth / max(r.maxValue, 1e-9)
+	if p.Tenant < 0 || p.Tenant >= len(r.demand) {
 		return v
 	}
-	asked := &r.asked[p.Tenant]
-	part := r.set.Tenants[p.Tenant].Quota / float64(r.set.Fronts) * asked.span.Seconds()
-	asked.add(r.now, 1)
-	if part > 0 && shrunk(asked.value(r.now), part) > overQuota*part {
-		v *= r.set.OverShareWorth
+	demand := &r.demand[p.Tenant]
+	share := r.cfg.Tenants[p.Tenant].Quota / float64(r.cfg.Fronts) * demand.span.Seconds()
+	demand.add(r.now, 1)
+	if share > 0 && shrinkToMean(demand.value(r.now), share) > quotaTolerance*share {
+		v *= r.cfg.OverShareWorth
 	}
 	return v
 }
 
-// next sends p where its state says, or ends it.
-func (r *Router) next(p *request) {
-	if why := r.spent(p); why != "" || p.answered {
-		r.giveUp(p, why)
+// dispatch sends p to a server for its next stage, schedules another try, or gives up.
+func (r *Router) dispatch(p *request) {
+	if reason := r.stopReason(p); reason != "" || p.answered {
+		r.giveUp(p, reason)
 		return
 	}
 	if p.holder != nil {
@@ -247,7 +244,7 @@
 			r.send(p, w, false)
 			return
 		}
-		r.hold(p, p.heldAt+time.Duration(pinShare*float64(cmp.Or(r.set.PinLimit, p.TimeLeft))))
+		r.retryLater(p, p.heldAt+time.Duration(pinWaitShare*float64(cmp.Or(r.cfg.PinLimit, p.TimeLeft))))
 		return
 	}
 	if s := r.pickReader(p); s != nil {
@@ -255,629 +252,642 @@
 			r.giveUp(p, AttemptsSpent)
 			return
 		}
-		if r.look(p, s) {
+		if r.probeCandidates(p, s) {
 			return
 		}
-		if r.overloaded(p, s) {
+		if r.wouldOverload(p, s) {
 			r.giveUp(p, TooMuchLoad)
 			return
 		}
 		r.send(p, s, s.role == Reader)
 		return
 	}
-	r.hold(p, p.arrived+r.aim(p))
+	r.retryLater(p, p.arrived+r.ttftTarget(p))
 }
 
-// spent says why nothing more may be tried for p, "" = something may.
-func (r *Router) spent(p *request) Reason {
+// stopReason returns why no more attempts of p are allowed, "" if they are.
+func (r *Router) stopReason(p *request) Reason {
 	switch {
 	case !r.attemptsLeft(p, 1):
 		return AttemptsSpent
-	case p.holder != nil && r.set.PinLimit > 0 && r.now >= p.heldAt+r.set.PinLimit:
+	case p.holder != nil && r.cfg.PinLimit > 0 && r.now >= p.heldAt+r.cfg.PinLimit:
 		return StateExpired
-	case p.ran != nil && p.class.Effect == Unsafe:
+	case p.mayHaveRun != nil && p.class.Effect == Unsafe:
 		return MayHaveRun
 	}
 	return ""
 }
 
-// explain tells a front that wants to know why the choice that follows is made.
-func (r *Router) explain(p *request, why Reason) {
-	if e, ok := r.out.(Explainer); ok {
-		e.Explain(p.ID, why)
+// explain passes the reason of the next call to an Executor that implements Explainer.
+func (r *Router) explain(p *request, reason Reason) {
+	if e, ok := r.exec.(Explainer); ok {
+		e.Explain(p.ID, reason)
 	}
 }
 
-// sendReason is why p is sent now.
+// sendReason returns why p is being sent.
 func (p *request) sendReason() Reason {
-	last := len(p.sent) - 1
+	last := len(p.attempts) - 1
 	switch {
 	case last < 0:
 		return FirstAttempt
 	case p.holder == nil:
 		return StateGone
-	case p.sent[last].read:
+	case p.attempts[last].read:
 		return NextStage
 	}
 	return AfterFailure
 }
 
-// attemptsLeft says whether p may be sent so many times more.
-func (r *Router) attemptsLeft(p *request, attempts int) bool {
-	return r.set.MaxAttempts == 0 || len(p.sent)+attempts <= r.set.MaxAttempts
+// attemptsLeft reports whether p may be sent count more times.
+func (r *Router) attemptsLeft(p *request, count int) bool {
+	return r.cfg.MaxAttempts == 0 || len(p.attempts)+count <= r.cfg.MaxAttempts
 }
 
-// hold looks at p again a little later, if that is before the limit.
-func (r *Router) hold(p *request, limit time.Duration) {
-	if r.now+holdStep >= min(limit, p.deadline-answerTicks*r.set.Tick) {
+// retryLater schedules another try of p, or gives up if that would be past the limit.
+func (r *Router) retryLater(p *request, limit time.Duration) {
+	if r.now+retryInterval >= min(limit, p.deadline-finalAnswerSteps*r.cfg.Tick) {
 		r.giveUp(p, NoServer)
 		return
 	}
-	p.failed, p.retryAt = nil, r.now+holdStep
-	r.out.SetTimer(uint64(p.ID), p.retryAt)
+	p.failed, p.retryAt = nil, r.now+retryInterval
+	r.exec.SetTimer(uint64(p.ID), p.retryAt)
 }
 
+// send makes the next attempt of p, at s.
 func (r *Router) send(p *request, s *server, read bool) {
 	p.retryAt = 0
 	r.explain(p, p.sendReason())
-	r.goes(s.role)
+	r.countSend(s.role)
 	if !r.warm(s) {
-		s.lately(r.now, r.set.ColdWindow)
-		s.sends = append(s.sends, r.now)
+		s.recentColdSends(r.now, r.cfg.ColdWindow)
+		s.coldSends = append(s.coldSends, r.now)
 	}
-	s.out++
-	r.kinds[s.Kind].out++
-	p.checkAt = r.now + r.silence(p, s)
-	r.out.SetTimer(uint64(p.ID), p.checkAt)
+	s.inFlight++
+	r.kinds[s.Kind].inFlight++
+	p.silenceCheckAt = r.now + r.silenceTimeout(p, s)
+	r.exec.SetTimer(uint64(p.ID), p.silenceCheckAt)
 	match, since := s.prefixes.match(&p.Request, r.now)
-	p.sent = append(p.sent, attempt{server: s, at: r.now, read: read, out: true, match: match, since: since})
+	p.attempts = append(p.attempts, attempt{server: s, sentAt: r.now, read: read, inFlight: true,
+		match: match, since: since})
 	if read || p.holder == nil {
-		s.prefixes.sent(&p.Request, r.now)
+		s.prefixes.record(&p.Request, r.now)
 	}
 	if read {
 		p.reader = s
-		r.scout(p, s)
+		r.probeWriters(p, s)
 	}
 	if !read {
-		r.book(s, r.size(p), 1)
+		r.addInFlight(s, r.expectedTokens(p), 1)
 	}
-	r.watchSign(p, read)
-	patience := seconds(tryShare * (p.deadline - r.now).Seconds())
-	if p.class.Effect != Unsafe && p.holder != nil && p.holder.Cell != s.Cell { // stuck in a jammed link?
-		patience = min(patience, seconds(farAim*r.aim(p).Seconds()))
+	r.scheduleWriteCheck(p, read)
+	timeout := seconds(attemptTimeShare * (p.deadline - r.now).Seconds())
+	if p.class.Effect != Unsafe && p.holder != nil && p.holder.Cell != s.Cell { // the link may be congested
+		timeout = min(timeout, seconds(farTransferShare*r.ttftTarget(p).Seconds()))
 	}
-	r.out.Send(p.ID, s.ID, max(r.set.Tick, patience))
+	r.exec.Send(p.ID, s.ID, max(r.cfg.Tick, timeout))
 }
 
-// size is the tokens that p holds at a writer: prompt and expected answer.
-func (r *Router) size(p *request) int {
+// expectedTokens returns the tokens that p needs at a writer: the prompt and the expected answer.
+func (r *Router) expectedTokens(p *request) int {
 	if p.Hint > 0 && p.class.TokenAim > 0 {
 		return p.Prompt + int(p.Hint/p.class.TokenAim)
 	}
 	return p.Prompt + p.MaxOutput/2
 }
 
-// giveUp answers p if that is still owed, and lets go of its state.
-func (r *Router) giveUp(p *request, why Reason) {
+// giveUp answers p if it has no answer yet, and releases its state.
+func (r *Router) giveUp(p *request, reason Reason) {
 	if !p.answered {
 		p.answered = true
-		r.explain(p, why)
+		r.explain(p, reason)
 		if r.mayRefuse(p) {
-			most := r.set.MaxRetryAfter / 2 // the aim runs on: longer stays cost more than they gain
-			r.out.Refuse(p.ID, min(cmp.Or(p.back, most), most))
+			maxRetryAfter := r.cfg.MaxRetryAfter / 2 // a longer wait uses up the TTFT target
+			r.exec.Refuse(p.ID, min(cmp.Or(p.retryAfter, maxRetryAfter), maxRetryAfter))
 		} else {
-			r.out.Fail(p.ID)
+			r.exec.Fail(p.ID)
 		}
 	}
-	r.letGo(p)
+	r.release(p)
 }
 
-// mayRefuse says whether a client may be told that trying again is harmless. Where repeats are dropped for a
-// while that has to last for as long as a client may come again: the class's whole time, and the way there.
+// mayRefuse reports whether the client may be told that a retry is harmless. Repeats of a keyed request must
+// be dropped for longer than any retry can take: the whole deadline of the class and the connect time.
 func (r *Router) mayRefuse(p *request) bool {
-	if p.class.Effect == Safe || p.ran == nil && !p.waits() {
+	if p.class.Effect == Safe || p.mayHaveRun == nil && !p.awaitsOutcome() {
 		return true
 	}
-	first := p.arrived // of what may have run, at the earliest
-	if p.ran != nil {
-		first = p.ran.at
+	earliest := p.arrived // earliest time of an effect
+	if p.mayHaveRun != nil {
+		earliest = p.mayHaveRun.sentAt
 	}
-	last := p.arrived + max(p.class.Deadline, p.TimeLeft) + r.set.ConnectTimeout
-	return p.class.Effect == Keyed && p.class.Scope == ScopeAll && last < first+p.class.RepeatWindow
+	latest := p.arrived + max(p.class.Deadline, p.TimeLeft) + r.cfg.ConnectTimeout
+	return p.class.Effect == Keyed && p.class.Scope == ScopeAll && latest < earliest+p.class.RepeatWindow
 }
 
-// mayRepeat says whether p may go to s as far as its earlier attempts have had an effect. Its window must
-// still be open when the repeat arrives, not only when it is chosen.
+// mayRepeat reports whether p may go to s given that an earlier attempt may have had an effect. The repeat
+// must arrive, not only leave, within the window in which repeats are dropped.
 func (r *Router) mayRepeat(p *request, s *server) bool {
 	switch {
-	case p.ran == nil || p.class.Effect == Safe:
+	case p.mayHaveRun == nil || p.class.Effect == Safe:
 		return true
-	case p.class.Effect == Unsafe || r.now+r.set.ConnectTimeout >= p.ran.at+p.class.RepeatWindow:
+	case p.class.Effect == Unsafe || r.now+r.cfg.ConnectTimeout >= p.mayHaveRun.sentAt+p.class.RepeatWindow:
 		return false
 	}
-	in := p.ran.server
-	return p.class.Scope == ScopeAll || p.class.Scope == ScopeZone && s.Zone == in.Zone ||
-		p.class.Scope == ScopeCell && s.Cell == in.Cell
+	origin := p.mayHaveRun.server
+	return p.class.Scope == ScopeAll || p.class.Scope == ScopeZone && s.Zone == origin.Zone ||
+		p.class.Scope == ScopeCell && s.Cell == origin.Cell
 }
 
-// letGo releases what an answered request holds and forgets it after its last outcome.
-func (r *Router) letGo(p *request) {
-	r.out.Release(p.ID)
+// release frees the held state of an answered request and forgets the request after its last outcome.
+func (r *Router) release(p *request) {
+	r.exec.Release(p.ID)
 	p.holder = nil
-	if !p.waits() {
-		r.tokens -= r.size(p)
-		delete(r.open, p.ID)
+	if !p.awaitsOutcome() {
+		r.requestTokens -= r.expectedTokens(p)
+		delete(r.requests, p.ID)
 	}
 }
 
-// pickReader ranks the readers, or the mixed servers for their share of the requests. Where no
-// reader can be trusted but servers that read for themselves can, those take all, so that a pool
-// of dead readers does not end the service; it costs their answers some speed.
+// pickReader selects a reader, or a mixed server for that pool's share of the requests. If no reader is
+// trusted but servers that can read for themselves are, those take all: slower, but the service goes on.
 func (r *Router) pickReader(p *request) *server {
-	readers, whole := r.ready(p, Reader), r.ready(p, Mixed)
+	readers, mixed := r.candidates(p, Reader), r.candidates(p, Mixed)
 	share := r.mixedShare()
-	if len(whole) == 0 && r.set.WritersRead {
-		whole, share = r.ready(p, Writer), 0
+	if len(mixed) == 0 && r.cfg.WritersRead {
+		mixed, share = r.candidates(p, Writer), 0
 	}
-	lost := !slices.ContainsFunc(readers, r.trusted) && slices.ContainsFunc(whole, r.trusted)
-	draw := part(mix(cmp.Or(p.Session, r.rng.Uint64()))) // the same for all requests of a session
-	if lost || len(whole) > 0 && draw < share {
-		if s := r.rank(p, whole); lost || !r.behind(p, s) {
+	readersUntrusted := !slices.ContainsFunc(readers, r.trusted) && slices.ContainsFunc(mixed, r.trusted)
+	draw := fraction(mix(cmp.Or(p.Session, r.rng.Uint64()))) // constant within a session
+	if readersUntrusted || len(mixed) > 0 && draw < share {
+		if s := r.rank(p, mixed); readersUntrusted || !r.wouldBeLate(p, s) {
 			return s
 		}
 	}
 	return r.rank(p, readers)
 }
 
-// mixedShare is the share of requests that mixed servers take whole: their part of the memory for
-// answers, more while the writers are the fuller and less while they are. Guards against one of the
-// two pools drowning while the other has room.
+// mixedShare returns the share of requests that mixed servers process whole. It is their share of the memory
+// for answers, shifted towards the emptier pool so that neither saturates while the other has room.
 func (r *Router) mixedShare() float64 {
-	writers, mixed := float64(r.held[Writer])/r.room[Writer], float64(r.held[Mixed])/r.room[Mixed]
-	least := fillLeast / float64(r.set.Fronts)
-	lean := max(writers, least) / max(mixed, least)
-	return r.room[Mixed] / (r.room[Mixed] + r.room[Writer]) * min(max(lean, 1/mixedLean), mixedLean)
-}
-
-// rank applies the design: longest known match, then fewest own in flight, equals in the order
-// hashed from the shared beginning, or else the session, as where the beginning is the smaller part of
-// the prompt: its home would read the rest of them all. In that order all fronts agree, so where
-// it leads a shared beginning is taken for known: the others send it there too. Servers that the
-// valve or slowness closes are passed over while others are not.
-func (r *Router) rank(p *request, of []*server) *server {
-	if len(of) == 0 {
+	writerFill, mixedFill := float64(r.writeTokens[Writer])/r.answerMemory[Writer],
+		float64(r.writeTokens[Mixed])/r.answerMemory[Mixed]
+	minFill := minPoolFill / float64(r.cfg.Fronts)
+	factor := max(writerFill, minFill) / max(mixedFill, minFill)
+	return r.answerMemory[Mixed] / (r.answerMemory[Mixed] + r.answerMemory[Writer]) *
+		min(max(factor, 1/maxMixedFactor), maxMixedFactor)
+}
+
+// rank selects a server by longest known prefix match, then fewest own requests in flight, then rendezvous
+// order for the shared prefix; or for the session if the prefix is the smaller part of the prompt, because
+// one server would otherwise read the rest of all of them. All routers agree on that order, so the first
+// server in it that admits p is assumed to have cached the prefix. Others are passed over while one admits p.
+func (r *Router) rank(p *request, candidates []*server) *server {
+	if len(candidates) == 0 {
 		return nil
 	}
 	key := mix(cmp.Or(p.home, p.Session, r.rng.Uint64()))
-	for _, s := range of {
-		s.match, s.order = 0, mix(s.hash^key) // homeRank
+	for _, s := range candidates {
+		s.match, s.hashOrder = 0, mix(s.hash^key) // as rendezvousHash
 	}
-	r.matches(p)
-	home := lazysort.New(of, func(a, b *server) bool { return a.order > b.order })
+	r.setMatches(p)
+	home := lazysort.New(candidates, func(a, b *server) bool { return a.hashOrder > b.hashOrder })
 	s, more := home.Next()
-	asked := &r.kinds[s.Kind].asked
-	once := 1.0
-	if p.looked { // counted when it came
-		once = 0
+	demand := &r.kinds[s.Kind].demand
+	increment := 1.0
+	if p.probed { // already counted before the probes
+		increment = 0
 	}
-	asked.add(r.now, once)
-	mean := asked.value(r.now) / float64(len(of))
+	demand.add(r.now, increment)
+	mean := demand.value(r.now) / float64(len(candidates))
 	for ; more; s, more = home.Next() {
-		s.asked.add(r.now, once)
+		s.demand.add(r.now, increment)
 		if r.admits(p, s, mean) {
-			s.match = max(s.match, p.beginning(s))
+			s.match = max(s.match, p.homeMatch(s))
 			break
 		}
 	}
-	best := lazysort.New(of, better)
-	first, _ := best.Next()
-	for s, more = first, true; more; s, more = best.Next() {
+	byPreference := lazysort.New(candidates, preferred)
+	first, _ := byPreference.Next()
+	for s, more = first, true; more; s, more = byPreference.Next() {
 		if r.admits(p, s, mean) {
-			p.second = first
-			if next, ok := best.Next(); ok {
-				p.second = next
+			p.runnerUp = first
+			if next, ok := byPreference.Next(); ok {
+				p.runnerUp = next
 			}
 			return s
 		}
 	}
-	return slices.MinFunc(of, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(a.out, b.out), cmp.Compare(b.match, a.match), cmp.Compare(b.order, a.order))
+	return slices.MinFunc(candidates, func(a, b *server) int {
+		return cmp.Or(cmp.Compare(a.inFlight, b.inFlight), cmp.Compare(b.match, a.match),
+			cmp.Compare(b.hashOrder, a.hashOrder))
 	})
 }
 
-// better orders servers by the design's path: longest match, fewest in flight, hashed order.
-func better(a, b *server) bool {
+// preferred orders servers by longest match, then fewest in flight, then rendezvous order.
+func preferred(a, b *server) bool {
 	if a.match != b.match {
 		return a.match > b.match
 	}
-	return a.out < b.out || a.out == b.out && a.order > b.order
+	return a.inFlight < b.inFlight || a.inFlight == b.inFlight && a.hashOrder > b.hashOrder
 }
 
-// admits is the valve. A server that is asked far more often than its peers takes only so many
-// times their mean, more while it is quick and less while it is slower than they. Which sessions it
-// takes is hashed, so that all fronts spill the same ones, to the same next server in their order.
-// Guards against a popular beginning whose home drowns though no front has two requests there, and
-// against slow readers that keep their sessions, whatever slows them; the way on to the writers
-// counts too, for cells with few of them. It could hurt where a few requests look like popularity.
+// admits limits the load on popular servers. A server in higher demand than its peers takes a bounded
+// multiple of their mean, more while it is faster than they and less while it is slower. Its sessions are
+// chosen by hash: all routers spill the same ones, to the same next server. This covers popular prefixes that
+// overload their home though no single router has two requests there, and slow readers that would keep their
+// sessions. Transfer times from the cell count as well, for cells with few writers. A handful of requests may
+// be mistaken for popularity.
 func (r *Router) admits(p *request, s *server, mean float64) bool {
-	mute := s.probedAt > s.toldAt && r.now-s.probedAt < probeFresh && r.toldAt[s.role] >= s.probedAt
-	if mute || float64(s.out)*r.alike() >= readersCap {
+	probeUnanswered := s.probedAt > s.probeAnsweredAt && r.now-s.probedAt < probeValidFor &&
+		r.probeAnsweredAt[s.role] >= s.probedAt
+	if probeUnanswered || float64(s.inFlight)*r.routerWeight() >= maxReadsPerReader {
 		return false
 	}
-	n := s.asked.value(r.now)
-	asked := mean * (1 + n) / (1 + mean)
-	here := r.wait(s) + r.cell(s).moves.among(r.moves, r.now, usualSpan)
-	calm := max(valveAim*r.aim(p).Seconds(), r.kinds[s.Kind].wait.value+r.moves.value) / max(here, 1e-3)
-	return part(homeRank(s, mix(cmp.Or(p.Session, uint64(p.ID)))))*asked < popular*mean*calm
+	n := s.demand.value(r.now)
+	demand := mean * (1 + n) / (1 + mean)
+	localWait := r.wait(s) + r.cell(s).transfers.blend(r.transfers, r.now, loadSpan)
+	allowance := max(negligibleWaitShare*r.ttftTarget(p).Seconds(),
+		r.kinds[s.Kind].wait.value+r.transfers.value) / max(localWait, 1e-3)
+	return fraction(rendezvousHash(s, mix(cmp.Or(p.Session, uint64(p.ID)))))*demand <
+		popularityLimit*mean*allowance
 }
 
-// shrunk is what a count is likely to stand for where peers have the given mean: a count of few
-// leans on the mean, a count of many speaks for itself.
-func shrunk(n, mean float64) float64 { return mean * (peersWeight + n) / (peersWeight + mean) }
+// shrinkToMean estimates the true value behind a count, given the mean of its peers: small counts are drawn
+// towards the mean, large ones are left as they are.
+func shrinkToMean(n, mean float64) float64 { return mean * (peerWeight + n) / (peerWeight + mean) }
 
-// pickWriter draws two writers near the reader and takes the one with fewer own tokens under way.
-// Exception: writers that hold this front's part of their memory, or less while states wait longer
-// for near writers than for far ones, are passed over while any other is not. Guards against one
-// cell's writers drowning, for popular homes or lost capacity; it could hurt on a jammed link.
+// pickWriter selects the less loaded of two random writers as near to the reader as possible. Writers filled
+// by own requests above a limit, which drops while nearby transfers are slower than distant ones, are passed
+// over while another is available. This keeps popular homes or lost capacity from overloading the writers of
+// one cell; it may add load to a congested link.
 func (r *Router) pickWriter(p *request) *server {
-	all := r.ready(p, Writer)
-	if len(all) == 0 {
-		all = r.ready(p, Mixed)
-	}
-	anyFree := slices.ContainsFunc(all, func(s *server) bool { return !r.jammed(s) })
-	free := func(s *server) bool { return !anyFree || !r.jammed(s) }
-	if p.named != nil && !r.warm(p.named) && slices.Contains(all, p.named) && free(p.named) {
-		return p.named
-	}
-	draw, quick := r.rng.Float64(), valveAim*r.aim(p).Seconds()
-	limit := writerFill * min(1, (r.far.value+quick)/(r.near.value+quick))
-	open := func(s *server) bool {
+	writers := r.candidates(p, Writer)
+	if len(writers) == 0 {
+		writers = r.candidates(p, Mixed)
+	}
+	anyHasRoom := slices.ContainsFunc(writers, func(s *server) bool { return !r.saturated(s) })
+	hasRoom := func(s *server) bool { return !anyHasRoom || !r.saturated(s) }
+	if p.coldWriter != nil && !r.warm(p.coldWriter) && slices.Contains(writers, p.coldWriter) &&
+		hasRoom(p.coldWriter) {
+		return p.coldWriter
+	}
+	draw, negligibleWait := r.rng.Float64(), negligibleWaitShare*r.ttftTarget(p).Seconds()
+	maxFill := maxWriterFill *
+		min(1, (r.farTransfers.value+negligibleWait)/(r.nearTransfers.value+negligibleWait))
+	belowLimit := func(s *server) bool {
 		var own float64
 		s.fill, own = r.fill(s)
-		return math.Pow(draw, 1-own)*s.fill < limit ||
+		return math.Pow(draw, 1-own)*s.fill < maxFill ||
 			s.Cell == p.holder.Cell && s.fill < 1 && r.linksSlow()
 	}
-	for far := range distances {
-		near := func(s *server) bool { return distance(s, p.holder) <= far && free(s) && open(s) }
-		if near := r.nearby.filter(all, near); len(near) > 0 {
-			return r.lighter(near)
+	for dist := range distances {
+		near := func(s *server) bool { return distance(s, p.holder) <= dist && hasRoom(s) && belowLimit(s) }
+		if near := r.nearby.filter(writers, near); len(near) > 0 {
+			return r.lessLoadedOfTwo(near)
 		}
 	}
-	if all = r.nearby.filter(all, free); len(all) == 0 {
+	if writers = r.nearby.filter(writers, hasRoom); len(writers) == 0 {
 		return nil
 	}
-	r.shuffle(all)
-	return slices.MinFunc(all, func(a, b *server) int { return cmp.Compare(a.fill, b.fill) })
+	r.shuffle(writers)
+	return slices.MinFunc(writers, func(a, b *server) int { return cmp.Compare(a.fill, b.fill) })
 }
 
-// linksSlow says that states lately took far longer on their way out of their cell than inside.
-// Guards against slow or jammed links: the cell's writers are then filled further before states
-// leave it. A far send now and then, when they are full, tells when the links have healed.
+// linksSlow reports whether transfers out of a cell recently took far longer than those inside. The writers
+// of the cell are then filled further before states leave it. Occasional far transfers, when those writers
+// are full, show when the links have recovered.
 func (r *Router) linksSlow() bool {
-	return r.now-r.far.at < restMax && r.far.n > 2 && r.far.value > farSlow*r.near.value
+	return r.now-r.farTransfers.at < maxBackoff && r.farTransfers.n > 2 &&
+		r.farTransfers.value > slowLinkFactor*r.nearTransfers.value
 }
 
-// fill is own tokens under way against this front's equal part of the writer's memory, and how far
-// it rests on what is under way there. The fewer requests that part holds, the more it leans on
-// what all that this front has under way lets expect: one request among many fronts says little.
+// fill returns the own tokens at s relative to this router's share of its memory, and the weight of the
+// server's own count in that. The fewer requests the share holds, the more the estimate relies on the fill of
+// the whole pool: among many routers a single request says little.
 func (r *Router) fill(s *server) (fill, own float64) {
-	part := r.memory(s) / r.alike()
-	lean := peersWeight * float64(r.held[s.role]) / float64(max(1, r.streams[s.role]))
-	fleet := float64(r.held[s.role]) * r.alike() / r.room[s.role]
-	return (float64(s.tokens) + lean*fleet*r.crowd(s)) / (part + lean), part / (part + lean)
+	share := r.memory(s) / r.routerWeight()
+	prior := peerWeight * float64(r.writeTokens[s.role]) / float64(max(1, r.streams[s.role]))
+	fleetFill := float64(r.writeTokens[s.role]) * r.routerWeight() / r.answerMemory[s.role]
+	return (float64(s.tokens) + prior*fleetFill*r.cellCrowding(s)) / (share + prior), share / (share + prior)
 }
 
-// lighter draws two of the servers and returns the one with fewer own tokens under way.
-func (r *Router) lighter(of []*server) *server {
-	if len(of) == 0 {
+// lessLoadedOfTwo draws two servers and returns the one with less load, or nil if there are none.
+func (r *Router) lessLoadedOfTwo(servers []*server) *server {
+	if len(servers) == 0 {
 		return nil
 	}
-	i := r.rng.IntN(len(of))
-	if len(of) == 1 {
-		return of[i]
+	i := r.rng.IntN(len(servers))
+	if len(servers) == 1 {
+		return servers[i]
 	}
-	a, b := of[i], of[(i+1+r.rng.IntN(len(of)-1))%len(of)]
-	if r.told(a) && r.told(b) && b.load < a.load || !(r.told(a) && r.told(b)) && b.tokens < a.tokens {
+	a, b := servers[i], servers[(i+1+r.rng.IntN(len(servers)-1))%len(servers)]
+	if r.loadKnown(a) && r.loadKnown(b) && b.load < a.load ||
+		!(r.loadKnown(a) && r.loadKnown(b)) && b.tokens < a.tokens {
 		return b
 	}
 	return a
 }
 
-// ready lists the servers of a role that p may be sent to.
-func (r *Router) ready(p *request, role Role) []*server {
+// candidates lists the servers of a role that p may be sent to.
+func (r *Router) candidates(p *request, role Role) []*server {
 	p.coldKey = mix(^cmp.Or(p.Session, uint64(p.ID)))
-	p.coldPart = part(mix(p.coldKey)) * r.begun.weight(float64(r.size(p)))
-	r.name(p, role)
-	fit := append(r.eligible[role][:0], r.index.Warm(int(role), r.now)...)
+	p.coldQuantile = fraction(mix(p.coldKey)) * r.prefixWork.relativeCost(float64(r.expectedTokens(p)))
+	r.assignColdWriter(p, role)
+	usable := append(r.eligible[role][:0], r.index.Warm(int(role), r.now)...)
 	for _, s := range r.coldCandidates(p, role) {
-		if r.mayWarm(p, s) {
-			fit.add(s)
+		if r.mayUseCold(p, s) {
+			usable.add(s)
 		}
 	}
-	who, each, ill := p.party(), r.hints(role), false
-	for _, s := range r.special(role) {
-		if s.isFull(who, r.now) {
-			fit.remove(s)
+	source, meanRatio, anyUnhealthy := p.classTenant(), r.meanAnswerRatio(role), false
+	for _, s := range r.flaggedServers(role) {
+		if s.isFull(source, r.now) {
+			usable.remove(s)
 		}
-		ill = ill || !r.trusted(s) || r.slow(s, each)
+		anyUnhealthy = anyUnhealthy || !r.trusted(s) || r.slow(s, meanRatio)
 	}
-	if len(p.failed) > 0 || p.ran != nil {
-		fit.keep(func(s *server) bool { return !slices.Contains(p.failed, s) && r.mayRepeat(p, s) })
+	if len(p.failed) > 0 || p.mayHaveRun != nil {
+		usable.keep(func(s *server) bool { return !slices.Contains(p.failed, s) && r.mayRepeat(p, s) })
 	}
-	if r.anyZoneRests() {
-		if near := filter(fit, r.reached); len(near) > 0 {
-			fit = near
+	if r.anyZoneBackingOff() {
+		if near := filter(usable, r.zoneReachable); len(near) > 0 {
+			usable = near
 		}
 	}
-	r.eligible[role] = fit
-	if !ill {
-		return fit
+	r.eligible[role] = usable
+	if !anyUnhealthy {
+		return usable
 	}
-	well := r.healthy[role].filter(fit, func(s *server) bool { return r.trusted(s) && !r.slow(s, each) })
-	if 2*len(well) < len(fit) {
-		return fit
+	unsuspected := r.healthy[role].filter(usable,
+		func(s *server) bool { return r.trusted(s) && !r.slow(s, meanRatio) })
+	if 2*len(unsuspected) < len(usable) {
+		return usable
 	}
-	return well
+	return unsuspected
 }
 
-// trusted says whether s may be sent to as far as its health goes. A suspect server gets one
-// attempt at a time after its rest. The caller ignores all suspicion where it meets over half of
-// the servers at hand: then the load or the network is ill, not they.
+// trusted reports whether s may be used as far as its health goes. A suspect server gets one attempt at a
+// time once its backoff is over. Callers ignore suspicion that covers more than half of the servers, because
+// that points to the load or the network.
 func (r *Router) trusted(s *server) bool {
-	return !s.suspect || r.now >= s.rest.till && s.out == 0
+	return !s.suspect || r.now >= s.backoff.until && s.inFlight == 0
 }
 
-// slow says that answers at s take far longer against their hints than the mean of its role. Guards against
-// servers that begin in time but then stream slowly: they are left to what they have, then get one answer at
-// a time. It could hurt where a few answers are longer than hinted, until they are forgotten.
-func (r *Router) slow(s *server, mean float64) bool {
-	if mean <= 0 || s.tokens <= 0 {
+// slow reports whether answers at s take far longer, relative to their hints, than the mean of its role. Such
+// a server starts answers in time but streams slowly; it gets no more until it has finished what it has, and
+// then one at a time. A few answers longer than their hints have the same effect until they are forgotten.
+func (r *Router) slow(s *server, meanRatio float64) bool {
+	if meanRatio <= 0 || s.tokens <= 0 {
 		return false
 	}
 	spent, done := s.streams.sum(r.now)
-	return (spent+slowDoubt*mean)/(done+slowDoubt) > slowTimes*mean
+	return (spent+slowAnswerSmoothing*meanRatio)/(done+slowAnswerSmoothing) > slowAnswerFactor*meanRatio
 }
 
-// well books an attempt that s took after a wait of so many seconds.
-func (r *Router) well(s *server, wait float64) {
-	r.signs(s)
+// recordSuccess records an attempt that s accepted after the given wait in seconds.
+func (r *Router) recordSuccess(s *server, wait float64) {
+	r.noteAlive(s)
 	if r.warm(s) {
-		r.booked++
-		r.kinds[s.Kind].took.add(r.now, 1/float64(max(1, r.warmOnes(s.Kind))))
+		r.loadVersion++
+		r.kinds[s.Kind].accepted.add(r.now, 1/float64(max(1, r.warmCount(s.Kind))))
 	}
-	s.good.add(r.now, 1)
+	s.successes.add(r.now, 1)
 	s.wait.add(max(0, wait), r.now)
 	r.kinds[s.Kind].wait.add(max(0, wait), r.now)
-	if s.suspect && r.now >= s.rest.till && r.failShare(s) < badShare {
-		s.suspect, s.rest = false, rest{}
+	if s.suspect && r.now >= s.backoff.until && r.failureRate(s) < maxFailureRate {
+		s.suspect, s.backoff = false, backoff{}
 	}
 }
 
-// ill books a failed attempt. Guards against servers that answer with errors, refuse
-// connections, break streams or keep silent, whatever the cause; it could hurt where a few
-// unlucky failures meet a server that gets little traffic, for one rest.
-func (r *Router) ill(s *server, weight float64) {
-	s.bad.add(r.now, weight)
-	usual := r.took(s.Kind) / max(r.seen(), 0.1) / usualSpan.Seconds()
-	least := min(badLeast, badSeldom+usual*rateSpan.Seconds())
-	if s.bad.value(r.now) < least || r.failShare(s) < badShare || r.now < s.rest.till {
+// recordFailure records a failed attempt: an error, a refused or broken connection, or silence. A server that
+// fails too often is suspect and not used for a while; with little traffic, a few chance failures suffice.
+func (r *Router) recordFailure(s *server, weight float64) {
+	s.failures.add(r.now, weight)
+	usualRate := r.accepted(s.Kind) / max(r.observedFraction(), 0.1) / loadSpan.Seconds()
+	minimum := min(minFailures, minFailuresSparse+usualRate*rateSpan.Seconds())
+	if s.failures.value(r.now) < minimum || r.failureRate(s) < maxFailureRate || r.now < s.backoff.until {
 		return
 	}
 	s.suspect = true
-	r.mark(s)
-	seldom := seconds(min(1/max(usual, 1e-3), restSeldom.Seconds()))
-	s.rest.extend(r.now, max(restMin, seldom), max(restMax, seldom))
+	r.flag(s)
+	sendInterval := seconds(min(1/max(usualRate, 1e-3), maxSparseBackoff.Seconds()))
+	s.backoff.extend(r.now, max(minBackoff, sendInterval), max(maxBackoff, sendInterval))
 }
 
-// miss books an attempt that met no sign of life, at a server of whose zone nothing has been heard since it
-// was sent: once that says so the zone is left alone for a while, if there are others. Guards against
-// learning worker by worker, a connect timeout each, that a zone is cut off or lost. It could hurt where
-// one dead server is all that a front sees of a zone, for a second.
-func (r *Router) miss(s *server, sent time.Duration, weight float64) {
+// recordUnreachable records an attempt without a sign of life, if nothing has been heard from its zone since.
+// Enough of them put the zone into backoff while there are others, so that a lost zone is not discovered
+// server by server, one connect timeout each. If a router uses only one server of a zone, its failure takes
+// the zone out for a second.
+func (r *Router) recordUnreachable(s *server, sentAt time.Duration, weight float64) {
 	z := r.zone(s.Zone)
-	if z.sign >= sent {
+	if z.aliveAt >= sentAt {
 		return
 	}
-	if r.now-z.missedAt > missSpan {
-		z.missed = 0
+	if r.now-z.lastMissAt > maxZoneBackoff {
+		z.misses = 0
 	}
-	z.missed, z.missedAt = z.missed+weight, r.now
-	if z.missed >= 1 && r.now >= z.rest.till {
-		z.rest.extend(r.now, restMin, missSpan)
+	z.misses, z.lastMissAt = z.misses+weight, r.now
+	if z.misses >= 1 && r.now >= z.backoff.until {
+		z.backoff.extend(r.now, minBackoff, maxZoneBackoff)
 	}
 }
 
-func (r *Router) failShare(s *server) float64 {
-	bad := s.bad.value(r.now)
-	return bad / max(1, bad+s.good.value(r.now))
+// failureRate returns the share of recent attempts at s that failed.
+func (r *Router) failureRate(s *server) float64 {
+	failures := s.failures.value(r.now)
+	return failures / max(1, failures+s.successes.value(r.now))
 }
 
-// turnedAway rests a server that said full: for the class and tenant that it refused, and for all
-// once it refuses two of them in a row. The rest is the longer the more time the refusal took, so
-// that refusals cost a small part of the time however slowly they come. Guards against full queues
-// and against servers that refuse one tenant or class though they have room; it could hurt where a
-// server has room again soon after a slow refusal.
-func (r *Router) turnedAway(s *server, who party, took time.Duration) {
-	if s.full == nil {
-		s.full = make(map[party]*rest)
+// recordRejection starts a backoff from a full server for the class and tenant that it rejected; it may have
+// room for others. The backoff grows with the time that the rejection took, so that rejections cost a small
+// part of the time however slow they are, even if the server has room again sooner.
+func (r *Router) recordRejection(s *server, source classTenant, elapsed time.Duration) {
+	if s.fullBackoffs == nil {
+		s.fullBackoffs = make(map[classTenant]*backoff)
 	}
-	if s.full[who] == nil {
-		s.full[who] = &rest{}
+	if s.fullBackoffs[source] == nil {
+		s.fullBackoffs[source] = &backoff{}
 	}
-	r.mark(s)
-	s.full[who].extend(r.now, max(fullRestMin, fullTimes*took), fullRestMax)
+	r.flag(s)
+	s.fullBackoffs[source].extend(r.now, max(minFullBackoff, fullBackoffFactor*elapsed), maxFullBackoff)
 }
 
-// isFull says that s rests for having said full to who.
-func (s *server) isFull(who party, now time.Duration) bool {
-	f := s.full[who]
-	return f != nil && now < f.till
+// isFull reports whether s is in backoff for requests of the class and tenant.
+func (s *server) isFull(source classTenant, now time.Duration) bool {
+	f := s.fullBackoffs[source]
+	return f != nil && now < f.until
 }
 
-// silence is how long p's attempt at s may go without any sign from s. It grows with what the
-// kind usually needs, so that load alone does not look like silence.
-func (r *Router) silence(p *request, s *server) time.Duration {
-	reading := 0.0
+// silenceTimeout returns how long an attempt of p at s may go without a sign of life. It grows with the usual
+// waits of the kind so that load alone is not taken for silence.
+func (r *Router) silenceTimeout(p *request, s *server) time.Duration {
+	readTime := 0.0
 	if p.holder == nil {
 		match, _ := s.prefixes.match(&p.Request, r.now)
-		reading = r.reading(p.Prompt - match)
+		readTime = r.readTime(p.Prompt - match)
 	}
-	usual := r.kinds[s.Kind].wait.value
-	return seconds(silenceAim*r.aim(p).Seconds() + silenceWait*usual + silenceRead*reading)
+	usualWait := r.kinds[s.Kind].wait.value
+	return seconds(silenceTTFTShare*r.ttftTarget(p).Seconds() + silenceWaitFactor*usualWait +
+		silenceReadFactor*readTime)
 }
 
-// reading is the time that an unhindered read of so many new tokens takes.
-func (r *Router) reading(tokens int) float64 { return r.perToken * float64(max(0, tokens)) }
+// readTime returns the seconds that an unhindered read of that many uncached tokens takes.
+func (r *Router) readTime(tokens int) float64 { return r.secondsPerToken * float64(max(0, tokens)) }
 
-// aim is the time within which p's first token is wanted.
-func (r *Router) aim(p *request) time.Duration {
+// ttftTarget returns the target time to first token of p.
+func (r *Router) ttftTarget(p *request) time.Duration {
 	return p.class.Aim + time.Duration(float64(p.class.AimPer1000)*float64(p.Prompt)/1000)
 }
 
-// checkSilence calls off p's attempt where its server gave no sign since; a server that gave one is only
-// busy, unless what was sent there long after it has been answered. Guards against connections that fall
-// silent to a server that is well; it could hurt where servers answer in another order.
+// checkSilence cancels the attempt of p if its server has given no sign of life since it was sent. A server
+// that has is only busy, unless it has answered an attempt sent long after this one: that points to a dead
+// connection, or to a server that answers out of order.
 func (r *Router) checkSilence(p *request) {
-	n := len(p.sent) - 1
-	a := &p.sent[n]
-	if !a.out || a.begun {
+	n := len(p.attempts) - 1
+	a := &p.attempts[n]
+	if !a.inFlight || a.streaming {
 		return
 	}
-	mustWait := !r.set.CanCancel || !a.read && p.class.Effect == Unsafe
-	overtaken := a.server.passed > a.at+r.silence(p, a.server)/2
-	if a.server.sign >= a.at && !overtaken || mustWait {
-		p.checkAt = r.now + r.silence(p, a.server)
-		r.out.SetTimer(uint64(p.ID), p.checkAt)
+	mustWait := !r.cfg.CanCancel || !a.read && p.class.Effect == Unsafe
+	overtaken := a.server.lastSuccessSentAt > a.sentAt+r.silenceTimeout(p, a.server)/2
+	if a.server.aliveAt >= a.sentAt && !overtaken || mustWait {
+		p.silenceCheckAt = r.now + r.silenceTimeout(p, a.server)
+		r.exec.SetTimer(uint64(p.ID), p.silenceCheckAt)
 		return
 	}
-	p.checkAt = 0
+	p.silenceCheckAt = 0
 	r.explain(p, SilentServer)
-	r.out.Cancel(p.ID, n)
+	r.exec.Cancel(p.ID, n)
 }
 
-// mayWarm paces the sends to a cold server. Guards against pushing over a server that has just started: the
-// rule's budget is for what all fronts send it in any window, and they share nothing. What it can do before
-// the ramp's end is not told beyond what it starts with, so the budget rests on that. A handful of fronts
-// have an equal part each of what warm servers of the kind take, and turns for the rest of a request. Of many
-// none sends it more than its own part of that in a window, or one, and all of them only what is open. Where
-// many fronts die their clients come again all at once: few of those go to a cold server.
-func (r *Router) mayWarm(p *request, s *server) bool {
-	if r.warm(s) || r.set.ColdWindow <= 0 {
+// mayUseCold paces attempts at a cold server, which fails if all routers together send more than its budget
+// in any window. They share no state, and its capacity is known only for its start, so the budget is based on
+// that. Few routers split it evenly and take turns with the fraction of a request left over. With many, each
+// sends at most its own part of what warm servers get in a window, or one request, and only those that the
+// server is open to. Few retries are let through: the clients of many failed routers come back all at once.
+func (r *Router) mayUseCold(p *request, s *server) bool {
+	if r.warm(s) || r.cfg.ColdWindow <= 0 {
 		return true
 	}
-	if r.many() {
-		most := r.set.ColdMultiple * r.set.ColdFrom * coldShare
+	if r.manyRouters() {
+		budgetFactor := r.cfg.ColdMultiple * r.cfg.ColdFrom * coldBudgetShare
 		if p.Repeat {
-			most *= coldAgain
+			budgetFactor *= coldRetryFactor
 		}
-		if !r.opens(p, s, most) || r.jammed(s) || p.tried(s) {
+		if !r.isColdOpen(p, s, budgetFactor) || r.saturated(s) || p.tried(s) {
 			return false
 		}
-		return float64(s.lately(r.now, r.set.ColdWindow)+1) <= max(1, most*r.usual(s.Kind))
-	}
-	usual := r.usual(s.Kind)
-	room := max(1, r.set.ColdMultiple*coldEach) * r.set.ColdFrom * usual / min(1, max(coldIdle, usual))
-	round := 1 + uint64((r.now-s.Since)/r.set.ColdWindow) // the same at all fronts, whatever their clocks
-	return float64(s.lately(r.now, r.set.ColdWindow)+1) <= room+r.turn(s, round)
-}
-
-// opens says that p's session is one of the part that may go to cold servers at all, and that s is open to
-// it, alike at all fronts: any is to what is seldom, but to so few sessions of a popular beginning that they
-// make no more than about an even share of all requests; of the writers the one that p names. So the sum
-// over all fronts follows from that of all requests, however many they are, how uneven, new or not. Guards
-// against cold homes of popular beginnings: many times an even share, and no front can know.
-func (r *Router) opens(p *request, s *server, most float64) bool {
+		return float64(s.recentColdSends(r.now, r.cfg.ColdWindow)+1) <=
+			max(1, budgetFactor*r.warmWindowSends(s.Kind))
+	}
+	warmWindowSends := r.warmWindowSends(s.Kind)
+	budget := max(1, r.cfg.ColdMultiple*coldEqualShare) * r.cfg.ColdFrom * warmWindowSends /
+		min(1, max(coldIdleLoad, warmWindowSends))
+	round := 1 + uint64((r.now-s.Since)/r.cfg.ColdWindow) // the same at all routers
+	return float64(s.recentColdSends(r.now, r.cfg.ColdWindow)+1) <= budget+r.budgetOffset(s, round)
+}
+
+// isColdOpen reports whether p is in the part of the sessions that may use cold servers, and s is open to it;
+// all routers agree on both. A rare prefix may use any cold server, a popular one so few that each gets about
+// an even share of the load, because no router knows the total demand for a cold home. For a write, only
+// coldWriter is open. The load over all routers thus follows from that of all requests, whatever their number
+// and however uneven their traffic.
+func (r *Router) isColdOpen(p *request, s *server, budgetFactor float64) bool {
 	switch {
-	case p.coldPart >= r.able(s)*most:
+	case p.coldQuantile >= r.acceptedRatio(s)*budgetFactor:
 		return false
 	case s.role == Writer && p.reader != nil:
-		return s == p.named
+		return s == p.coldWriter
 	}
-	return part(homeRank(s, p.coldKey))*coldWide*p.popular*float64(r.kinds[s.Kind].peers) < 1
+	return fraction(rendezvousHash(s, p.coldKey))*coldSpread*p.prefixShare*
+		float64(r.kinds[s.Kind].readyInRole) < 1
 }
 
-// name draws the writer that p's state may go to though it is cold: one of the nearest to its reader, of as
-// many as the reader's cell has of all reads, so that none is named by more than about an even share.
-func (r *Router) name(p *request, role Role) {
-	p.named = nil
-	if role == Writer && p.reader != nil && r.many() && len(r.index.Cold(int(role), r.now)) > 0 {
-		all := len(r.index.Ready(int(role)))
-		p.named = pick(r.nearest(p.reader), r.cellPart(p.reader)*float64(all), part(mix(p.coldKey+1)))
+// assignColdWriter selects the one cold writer that p's state may go to. It is drawn from the nearest to the
+// reader, as many as correspond to the share of the reader's cell in all reads, so that no writer is assigned
+// much more than an even share.
+func (r *Router) assignColdWriter(p *request, role Role) {
+	p.coldWriter = nil
+	if role == Writer && p.reader != nil && r.manyRouters() && len(r.index.Cold(int(role), r.now)) > 0 {
+		writerCount := len(r.index.Ready(int(role)))
+		p.coldWriter = pickAt(r.writersByDistance(p.reader),
+			r.cellReadShare(p.reader)*float64(writerCount), fraction(mix(p.coldKey+1)))
 	}
 }
 
-// many says that fronts are too many for each to have its part of a cold server: most see it more seldom than
-// once in a window, and what one of them has seen tells nothing of the others.
-func (r *Router) many() bool { return r.alike() < float64(r.set.Fronts) }
+// manyRouters reports whether there are too many routers to split the budget of a cold server: most of them
+// use it less than once per window, and what one of them sees tells nothing of the others.
+func (r *Router) manyRouters() bool { return r.routerWeight() < float64(r.cfg.Fronts) }
 
-// turn is this front's place among the fronts, evenly spread over 0 to 1, in an order that changes
-// with the server and the round: where each front adds it to a part below one request and rounds
-// down, the whole requests of all come to the sum of the parts.
-func (r *Router) turn(s *server, round uint64) float64 {
-	_, place := math.Modf(part(homeRank(s, round)) + float64(r.set.Front)/float64(r.set.Fronts))
-	return place
+// budgetOffset returns this router's position among all routers, evenly spaced over [0, 1), in an order that
+// changes with server and round. If each router adds it to its fractional part of a budget and rounds down,
+// the results add up to the whole budget.
+func (r *Router) budgetOffset(s *server, round uint64) float64 {
+	_, offset := math.Modf(fraction(rendezvousHash(s, round)) + float64(r.cfg.Front)/float64(r.cfg.Fronts))
+	return offset
 }
 
-// Started takes the beginning of an answer.
+// Started handles the first token of an answer.
 func (r *Router) Started(now time.Duration, e Started) {
 	r.now = now
-	p := r.open[e.ID]
+	p := r.requests[e.ID]
 	if p == nil {
 		return
 	}
 	p.answered = true
-	if e.Attempt >= 0 && e.Attempt < len(p.sent) && !p.sent[e.Attempt].begun {
-		a := &p.sent[e.Attempt]
-		a.begun, a.first = true, now
+	if e.Attempt >= 0 && e.Attempt < len(p.attempts) && !p.attempts[e.Attempt].streaming {
+		a := &p.attempts[e.Attempt]
+		a.streaming, a.firstTokenAt = true, now
 		if p.Hint > 0 {
-			r.answerBegins(a.server, p.Hint)
+			r.recordAnswerStart(a.server, p.Hint)
 		}
-		a.server.out--
-		r.kinds[a.server.Kind].out--
+		a.server.inFlight--
+		r.kinds[a.server.Kind].inFlight--
 		wait := e.Took.Seconds()
 		if p.holder == nil {
-			wait -= r.reading(p.Prompt - a.match)
+			wait -= r.readTime(p.Prompt - a.match)
 		}
-		r.well(a.server, wait)
-		a.server.passed = max(a.server.passed, a.at)
-		r.moved(p.holder, a.server, e.Took)
-		delete(a.server.full, p.party())
+		r.recordSuccess(a.server, wait)
+		a.server.lastSuccessSentAt = max(a.server.lastSuccessSentAt, a.sentAt)
+		r.recordTransfer(p.holder, a.server, e.Took)
+		delete(a.server.fullBackoffs, p.classTenant())
 	}
 	p.holder = nil
 }
 
-// moved books how long a state's way to its writer took, for all cells alike.
-func (r *Router) moved(from, to *server, took time.Duration) {
+// recordTransfer records how long a state took from its reader to the first token at a writer.
+func (r *Router) recordTransfer(from, to *server, elapsed time.Duration) {
 	if from == nil {
 		return
 	}
-	way := &r.far
+	average := &r.farTransfers
 	if from.Cell == to.Cell {
-		way = &r.near
+		average = &r.nearTransfers
 	}
-	way.add(took.Seconds(), r.now)
-	r.cell(from).moves.add(took.Seconds(), r.now)
-	r.moves.weigh(took.Seconds(), r.now, min(1, 1/r.crowd(from)))
+	average.add(elapsed.Seconds(), r.now)
+	r.cell(from).transfers.add(elapsed.Seconds(), r.now)
+	r.transfers.addWeighted(elapsed.Seconds(), r.now, min(1, 1/r.cellCrowding(from)))
 }
 
-// Outcome takes the end of an attempt.
+// Outcome handles the end of an attempt.
 func (r *Router) Outcome(now time.Duration, o Outcome) {
 	r.now = now
-	p := r.open[o.ID]
-	if p == nil || o.Attempt < 0 || o.Attempt >= len(p.sent) || !p.sent[o.Attempt].out {
+	p := r.requests[o.ID]
+	if p == nil || o.Attempt < 0 || o.Attempt >= len(p.attempts) || !p.attempts[o.Attempt].inFlight {
 		return
 	}
-	a := &p.sent[o.Attempt]
-	inReach := a.inReach()
-	r.account(p, a, o)
+	a := &p.attempts[o.Attempt]
+	reachable := a.reachable()
+	r.recordOutcome(p, a, o)
 	if o.Final {
 		p.answered = true
 	}
 	if p.answered {
-		r.letGo(p)
+		r.release(p)
 		return
 	}
-	r.settleState(p, a, o, inReach)
+	r.updateHeldState(p, a, o, reachable)
 	switch o.Status {
 	case Read:
 		p.failed = nil
@@ -888,107 +898,107 @@
 			p.failed = append(p.failed, a.server)
 		}
 	}
-	r.next(p)
+	r.dispatch(p)
 }
 
-// account books the end of attempt a.
-func (r *Router) account(p *request, a *attempt, o Outcome) {
-	a.out = false
+// recordOutcome updates the statistics at the end of attempt a.
+func (r *Router) recordOutcome(p *request, a *attempt, o Outcome) {
+	a.inFlight = false
 	s := a.server
 	if !a.read {
-		r.book(s, -r.size(p), -1)
+		r.addInFlight(s, -r.expectedTokens(p), -1)
 	}
-	if !a.begun {
-		s.out--
-		r.kinds[s.Kind].out--
+	if !a.streaming {
+		s.inFlight--
+		r.kinds[s.Kind].inFlight--
 	} else if p.Hint > 0 {
-		r.answerEnds(s, a.first, p.Hint)
+		r.recordAnswerEnd(s, a.firstTokenAt, p.Hint)
 	}
 	switch o.Status {
 	case Read:
-		r.learnPace(o.Took.Seconds() / float64(max(tokenLeast, p.Prompt-o.Kept)))
-		r.well(s, o.Took.Seconds()-r.reading(p.Prompt-o.Kept))
-		delete(s.full, p.party())
-		s.passed = max(s.passed, a.at)
-		s.prefixes.correct(a, o.Kept, r.now)
+		r.updateReadPace(o.Took.Seconds() / float64(max(minReadTokens, p.Prompt-o.Kept)))
+		r.recordSuccess(s, o.Took.Seconds()-r.readTime(p.Prompt-o.Kept))
+		delete(s.fullBackoffs, p.classTenant())
+		s.lastSuccessSentAt = max(s.lastSuccessSentAt, a.sentAt)
+		s.prefixes.reconcile(a, o.Kept, r.now)
 	case Served:
-		s.good.add(r.now, 1)
+		s.successes.add(r.now, 1)
 	case Full:
-		r.signs(s)
+		r.noteAlive(s)
 		if !o.NoState {
-			r.turnedAway(s, p.party(), o.Took)
+			r.recordRejection(s, p.classTenant(), o.Took)
 		}
 	case Errored, Reset:
-		r.signs(s)
-		r.ill(s, 1)
+		r.noteAlive(s)
+		r.recordFailure(s, 1)
 	case ConnectFailed:
-		r.ill(s, badLeast)
-		if o.Took >= missQuick {
-			r.silentAt = r.now
-			r.miss(s, a.at, 1)
+		r.recordFailure(s, minFailures)
+		if o.Took >= refusedWithin {
+			r.lastSilenceAt = r.now
+			r.recordUnreachable(s, a.sentAt, 1)
 		} else {
-			r.miss(s, a.at, missRefused)
+			r.recordUnreachable(s, a.sentAt, partialMiss)
 		}
 	case TimedOut, Cancelled:
-		if a.begun { // a client that left its stream tells nothing of waits
+		if a.streaming { // a client that left its stream says nothing about waits
 			break
 		}
 		if !a.read {
-			r.moved(p.holder, s, o.Took)
+			r.recordTransfer(p.holder, s, o.Took)
 		}
 		s.wait.add(o.Took.Seconds(), r.now)
 		r.kinds[s.Kind].wait.add(o.Took.Seconds(), r.now)
-		if s.sign < a.at {
-			s.silent, r.silentAt = true, r.now
-			r.ill(s, badLeast)
-			r.miss(s, a.at, missRefused)
+		if s.aliveAt < a.sentAt {
+			s.waitFromSilence, r.lastSilenceAt = true, r.now
+			r.recordFailure(s, minFailures)
+			r.recordUnreachable(s, a.sentAt, partialMiss)
 		}
 	}
-	never := o.Status == Full || o.Status == ConnectFailed || o.Status == Moot || o.Status == Served
-	if !a.read && !never && p.ran == nil {
+	resultKnown := o.Status == Full || o.Status == ConnectFailed || o.Status == Moot || o.Status == Served
+	if !a.read && !resultKnown && p.mayHaveRun == nil {
 		first := *a
-		p.ran = &first
+		p.mayHaveRun = &first
 	}
 }
 
-// Left takes the news that a client is gone.
+// ClientGone handles a client that has disconnected.
 func (r *Router) Left(now time.Duration, id RequestID) {
 	r.now = now
-	if p := r.open[id]; p != nil {
+	if p := r.requests[id]; p != nil {
 		p.answered = true
-		r.letGo(p)
+		r.release(p)
 	}
 }
 
-// End takes the news that this front ends: what has no answer yet gets its final one now.
+// Shutdown gives every unanswered request its final answer, because the router process is ending.
 func (r *Router) End(now time.Duration) {
 	r.now = now
-	for _, id := range slices.Sorted(maps.Keys(r.open)) {
-		if p := r.open[id]; !p.answered {
+	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
+		if p := r.requests[id]; !p.answered {
 			r.giveUp(p, Ending)
 		}
 	}
 }
 
-// Timer takes a timer come due: a request's time is up.
+// Timer handles a timer set through Executor.SetTimer.
 func (r *Router) Timer(now time.Duration, token uint64) {
 	r.now = now
-	if token == askToken {
-		r.out.AskServers(true)
+	if token == listTimerToken {
+		r.exec.AskServers(true)
 		return
 	}
-	p := r.open[RequestID(token)]
+	p := r.requests[RequestID(token)]
 	if p == nil || p.answered {
 		return
 	}
-	r.checkSign(p)
-	r.checkHeld(p)
+	r.checkWrite(p)
+	r.checkHeldState(p)
 	switch {
-	case now >= p.deadline-answerTicks*r.set.Tick:
+	case now >= p.deadline-finalAnswerSteps*r.cfg.Tick:
 		r.giveUp(p, DeadlineNear)
 	case p.retryAt > 0 && now >= p.retryAt:
-		r.next(p)
-	case p.checkAt > 0 && now >= p.checkAt:
+		r.dispatch(p)
+	case p.silenceCheckAt > 0 && now >= p.silenceCheckAt:
 		r.checkSilence(p)
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -123,8 +123,8 @@
 	if h, _ := serve(other, g, ask(99), 0); h != home {
 		t.Errorf("another front's home is %s, not %s", h, home)
 	}
-	if len(r.open) != 0 || r.tokens != 0 {
-		t.Errorf("left over: %d requests, %d tokens", len(r.open), r.tokens)
+	if len(r.requests) != 0 || r.requestTokens != 0 {
+		t.Errorf("left over: %d requests, %d tokens", len(r.requests), r.requestTokens)
 	}
 }
 
@@ -154,7 +154,7 @@
 	q := ask(2)
 	old := q
 	old.Prompt = 2800 // the session's last prompt, longer than the shared beginning
-	other.prefixes.sent(&old, time.Second)
+	other.prefixes.record(&old, time.Second)
 	r.Request(2*time.Second, q)
 	if f.last() != other.ID {
 		t.Errorf("read at %s, want %s where the session is known", f.last(), other.ID)
@@ -226,7 +226,7 @@
 	r.Started(70*ms, Started{ID: 1})
 	r.Left(70*ms, 1)
 	r.Timer(70*ms, 1)
-	if len(r.open) != 0 {
+	if len(r.requests) != 0 {
 		t.Error("an ended request is still kept")
 	}
 }
@@ -414,33 +414,33 @@
 func TestSuspectRestsAndReturns(t *testing.T) {
 	r, _ := start(t, settings(), fleet())
 	s := r.servers["r00"]
-	r.kinds[0].took.add(0, 10*usualSpan.Seconds()) // a server takes one in a tenth of a second
+	r.kinds[0].accepted.add(0, 10*loadSpan.Seconds()) // a server takes one in a tenth of a second
 	for range 3 {
-		r.ill(s, 1)
+		r.recordFailure(s, 1)
 	}
 	if !s.suspect || r.trusted(s) {
 		t.Fatal("three failures in a row leave a server trusted")
 	}
-	r.now += restMin
+	r.now += minBackoff
 	if !r.trusted(s) {
 		t.Fatal("no trial after the rest")
 	}
-	s.out = 1
+	s.inFlight = 1
 	if r.trusted(s) {
 		t.Error("second trial while the first is out")
 	}
-	s.out = 0
+	s.inFlight = 0
 	for range 8 {
-		r.well(s, 0.05)
+		r.recordSuccess(s, 0.05)
 	}
 	if s.suspect {
 		t.Error("a healed server is still suspect")
 	}
 	for _, s := range r.listed {
-		s.suspect, s.rest.till = true, time.Hour
+		s.suspect, s.backoff.until = true, time.Hour
 	}
-	p := &request{Request: ask(1), class: &r.set.Classes[0]}
-	if len(r.ready(p, Reader)) != 4 {
+	p := &request{Request: ask(1), class: &r.cfg.Classes[0]}
+	if len(r.candidates(p, Reader)) != 4 {
 		t.Error("a symptom seen everywhere empties the fleet")
 	}
 }
@@ -450,14 +450,14 @@
 	s := r.servers["r00"]
 	q, old := ask(1), ask(2)
 	old.Prefix = 8
-	s.prefixes.sent(&old, 0)
-	s.prefixes.sent(&q, time.Second)
+	s.prefixes.record(&old, 0)
+	s.prefixes.record(&q, time.Second)
 	a := attempt{match: 3000, since: time.Second}
-	s.prefixes.correct(&a, 2900, 30*time.Second)
+	s.prefixes.reconcile(&a, 2900, 30*time.Second)
 	if n, _ := s.prefixes.match(&old, 30*time.Second); n == 0 {
 		t.Error("a kept prefix voids the record")
 	}
-	s.prefixes.correct(&a, 0, 30*time.Second)
+	s.prefixes.reconcile(&a, 0, 30*time.Second)
 	if n, _ := s.prefixes.match(&old, 30*time.Second); n != 0 {
 		t.Errorf("%d tokens still on record, sent before the lost ones", n)
 	}
@@ -465,14 +465,14 @@
 
 func TestFullWriterPassedOver(t *testing.T) {
 	r, _ := start(t, settings(), fleet())
-	p := &request{Request: ask(1), class: &r.set.Classes[0], holder: r.servers["r00"]}
+	p := &request{Request: ask(1), class: &r.cfg.Classes[0], holder: r.servers["r00"]}
 	r.servers["w00"].tokens = 150000
 	r.servers["w01"].tokens = 150000
 	if w := r.pickWriter(p); w.Cell != 1 {
 		t.Errorf("picked %s in a cell without room", w.ID)
 	}
-	r.near = mean{value: 0.05, n: 9}
-	r.far = mean{value: 1, n: 9}
+	r.nearTransfers = mean{value: 0.05, n: 9}
+	r.farTransfers = mean{value: 1, n: 9}
 	r.servers["w01"].tokens = 60000
 	if w := r.pickWriter(p); w.ID != "w01" {
 		t.Errorf("picked %s over a slow link, the cell has room", w.ID)
@@ -524,7 +524,7 @@
 	set.MustAsk = true
 	r, f := start(t, set, nil)
 	r.Servers(0, ServerList{Failed: true})
-	r.Timer(askAgain, askToken)
+	r.Timer(listRetryInterval, listTimerToken)
 	if f.count("ask true") != 2 {
 		t.Errorf("asked %d times", f.count("ask true"))
 	}
@@ -553,7 +553,7 @@
 		s.wait = mean{value: 0.05, n: 4}
 	}
 	slow := r.servers[home]
-	slow.wait, slow.out = mean{value: 3, n: 4}, 1
+	slow.wait, slow.inFlight = mean{value: 3, n: 4}, 1
 	r.Request(time.Second, ask(2))
 	if f.last() == home || f.count("refuse") > 0 {
 		t.Errorf("its prefix keeps a request at sluggish %s: %v", home, f.did)
@@ -564,7 +564,7 @@
 	set := settings()
 	r, f := start(t, set, append(fleet(), Server{ID: "m0", Kind: 2}))
 	m := r.servers["m0"]
-	m.wait, m.out = mean{value: 5, n: 4}, 1
+	m.wait, m.inFlight = mean{value: 5, n: 4}, 1
 	whole := 0
 	for id := RequestID(1); id < 30; id++ {
 		r.Request(0, ask(id))
@@ -573,7 +573,7 @@
 		}
 		r.Left(0, id)
 		for _, s := range r.listed[1:] {
-			s.out = 0
+			s.inFlight = 0
 		}
 	}
 	if whole > 0 || f.count("refuse") > 0 {
@@ -587,7 +587,7 @@
 	r, f := start(t, set, fleet())
 	for _, s := range r.listed {
 		if s.role == Reader {
-			s.suspect, s.rest.till = true, time.Minute
+			s.suspect, s.backoff.until = true, time.Minute
 		}
 	}
 	r.Request(0, ask(1))
@@ -606,7 +606,7 @@
 	r, f := start(t, settings(), fleet())
 	home, _ := serve(r, f, ask(1), 0)
 	s := r.servers[home]
-	s.suspect, s.rest.till, s.tokens = true, time.Hour, 30
+	s.suspect, s.backoff.until, s.tokens = true, time.Hour, 30
 	r.Servers(time.Second, ServerList{Servers: []Server{{ID: home, Kind: 0, Since: time.Second}}})
 	q := ask(2)
 	if n, _ := s.prefixes.match(&q, time.Second); n != 0 || s.suspect || s.tokens != 30 {
@@ -616,25 +616,25 @@
 
 func TestLongPromptIsNotSilence(t *testing.T) {
 	r, _ := start(t, settings(), fleet())
-	r.perToken = 0.0001
-	s, p := r.servers["r00"], &request{Request: ask(1), class: &r.set.Classes[0]}
-	short := r.silence(p, s)
+	r.secondsPerToken = 0.0001
+	s, p := r.servers["r00"], &request{Request: ask(1), class: &r.cfg.Classes[0]}
+	short := r.silenceTimeout(p, s)
 	p.Prompt = 20000
-	long := r.silence(p, s)
+	long := r.silenceTimeout(p, s)
 	if long < short+2*time.Second {
 		t.Errorf("20,000 new tokens at 0.1 ms each: silent after %v, 3,000: after %v", long, short)
 	}
 	kept := p.Request
-	s.prefixes.sent(&kept, 0)
-	if again := r.silence(p, s); again > short {
+	s.prefixes.record(&kept, 0)
+	if again := r.silenceTimeout(p, s); again > short {
 		t.Errorf("a kept prompt counts as new: silent after %v", again)
 	}
 }
 
 func TestStateStuckOnALink(t *testing.T) {
 	r, f := start(t, settings(), fleet())
-	p := &request{Request: ask(1), class: &r.set.Classes[0], deadline: 8 * time.Second, holder: r.servers["r00"]}
-	r.open[1] = p
+	p := &request{Request: ask(1), class: &r.cfg.Classes[0], deadline: 8 * time.Second, holder: r.servers["r00"]}
+	r.requests[1] = p
 	r.send(p, r.servers["w10"], false)
 	far := f.timeout
 	r.send(p, r.servers["w00"], false)
@@ -642,7 +642,7 @@
 		t.Errorf("time-outs: %v out of the cell, %v in it", far, f.timeout)
 	}
 	r.Outcome(far, Outcome{ID: 1, Server: "w10", Status: TimedOut, Took: far})
-	if r.far.n == 0 {
+	if r.farTransfers.n == 0 {
 		t.Error("a move that timed out is not counted as a slow one")
 	}
 }
@@ -656,12 +656,12 @@
 	atOnce, inWindow := 0.0, 0.0
 	for set.Front = range set.Fronts {
 		r, _ := start(t, set, fleet())
-		r.kinds[0].took.add(now, 10*usualSpan.Seconds()) // warm servers took 10 a second from this front
+		r.kinds[0].accepted.add(now, 10*loadSpan.Seconds()) // warm servers took 10 a second from this front
 		r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now}}})
 		s, n, p := r.servers["r00"], 0.0, &request{}
 		burst := func() {
-			for ; r.mayWarm(p, s) && n < 100; n++ {
-				s.sends = append(s.sends, r.now)
+			for ; r.mayUseCold(p, s) && n < 100; n++ {
+				s.coldSends = append(s.coldSends, r.now)
 			}
 		}
 		burst()
@@ -673,7 +673,7 @@
 			burst()
 		}
 		inWindow += n
-		if r.now += 20 * ms; !r.mayWarm(p, s) {
+		if r.now += 20 * ms; !r.mayUseCold(p, s) {
 			t.Error("nothing may be sent once the window has passed")
 		}
 	}
@@ -693,22 +693,24 @@
 	for _, id := range []string{"r00", "r01", "r10"} {
 		r.Servers(now, ServerList{Servers: []Server{{ID: id, Kind: 0, Since: now}}})
 	}
-	r.began = 0
+	r.firstListAt = 0
 	for id := RequestID(1); now < 206*time.Second; id++ {
 		q := ask(id)
 		q.Prefix = uint64(id)
 		r.Request(now, q)
-		r.well(r.servers["r11"], 0) // the warm one takes ten a second
+		r.recordSuccess(r.servers["r11"], 0) // the warm one takes ten a second
 		now += 100 * ms
 	}
 	taken := 10 * (1 - math.Exp(-6.0/30))
-	if got := r.took(0) / usualSpan.Seconds() / r.seen(); got < 0.9*taken {
+	if got := r.accepted(0) / loadSpan.Seconds() / r.observedFraction(); got < 0.9*taken {
 		t.Errorf("warm ones are taken to take %.2f a second after 6 s of %.2f; %d sends", got, taken, len(f.sends))
 	}
 }
 
 // usual is what a warm server of the kind takes from this front in a second.
-func usual(r *Router, kind int) float64 { return r.took(kind) / r.seen() / usualSpan.Seconds() }
+func usual(r *Router, kind int) float64 {
+	return r.accepted(kind) / r.observedFraction() / loadSpan.Seconds()
+}
 
 // A kind of which no server is warm goes by the others of its role, and a process that takes over by what the
 // older one had learned: else cold servers would get one request a window while the rest drown.
@@ -718,7 +720,7 @@
 	old, _ := start(t, set, fleet())
 	now := 200 * time.Second
 	old.now = now
-	old.kinds[0].took.add(now, 5*usualSpan.Seconds())
+	old.kinds[0].accepted.add(now, 5*loadSpan.Seconds())
 	r, _ := start(t, set, fleet())
 	if err := r.Learn(now, old.Learned(now)); err != nil {
 		t.Fatal(err)
@@ -780,18 +782,18 @@
 	}
 	next.now = now
 	next.servers["w00"].tokens = 1
-	if mean := next.hints(Writer); !next.slow(next.servers["w00"], mean) || next.slow(next.servers["w01"], mean) {
+	if mean := next.meanAnswerRatio(Writer); !next.slow(next.servers["w00"], mean) || next.slow(next.servers["w01"], mean) {
 		t.Error("the next process does not know the slow writer")
 	}
 	run(40*time.Second, 2*time.Second)
 	if got := run(50*time.Second, 2*time.Second); got["w00"] < got["w01"]/2 {
 		t.Errorf("a writer that is quick again is left out: %v", got)
 	}
-	for id := range r.open {
-		r.Outcome(now, Outcome{ID: id, Attempt: 1, Server: r.open[id].sent[1].server.ID, Status: Reset, Final: true})
+	for id := range r.requests {
+		r.Outcome(now, Outcome{ID: id, Attempt: 1, Server: r.requests[id].attempts[1].server.ID, Status: Reset, Final: true})
 	}
-	if s := r.servers["w01"]; math.Abs(s.streams.each) > 1e-6 {
-		t.Errorf("%v streams left after the last", s.streams.each)
+	if s := r.servers["w01"]; math.Abs(s.streams.inverse) > 1e-6 {
+		t.Errorf("%v streams left after the last", s.streams.inverse)
 	}
 }
 
@@ -804,11 +806,11 @@
 		sum := 0.0
 		for set.Front = range fronts {
 			r, _ := start(t, set, fleet())
-			r.kinds[0].took.add(now, 10/float64(fronts)*usualSpan.Seconds()) // 10 a second from all fronts
+			r.kinds[0].accepted.add(now, 10/float64(fronts)*loadSpan.Seconds()) // 10 a second from all fronts
 			r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now}}})
 			s := r.servers["r00"]
-			for n := 0; r.mayWarm(&request{}, s) && n < 100; n++ {
-				s.sends = append(s.sends, now)
+			for n := 0; r.mayUseCold(&request{}, s) && n < 100; n++ {
+				s.coldSends = append(s.coldSends, now)
 				sum++
 			}
 		}
@@ -1022,8 +1024,8 @@
 	r, _ := start(t, set, many(14, 3, 3))
 	s := r.servers["r0.0"]
 	r.now = time.Minute
-	r.kinds[0].took.add(r.now, usualSpan.Seconds()/40) // one in forty seconds
-	r.ill(s, badLeast)
+	r.kinds[0].accepted.add(r.now, loadSpan.Seconds()/40) // one in forty seconds
+	r.recordFailure(s, minFailures)
 	if r.now += 10 * time.Second; r.trusted(s) {
 		t.Error("tried again before the usual time between sends")
 	}
@@ -1038,10 +1040,10 @@
 	r, f := start(t, settings(), fleet())
 	r.Request(0, ask(1))
 	reader := r.servers[f.last()]
-	p := r.open[1]
-	before := r.silence(p, reader)
+	p := r.requests[1]
+	before := r.silenceTimeout(p, reader)
 	r.Outcome(2*time.Second, Outcome{ID: 1, Server: reader.ID, Status: TimedOut, Took: 2 * time.Second})
-	if r.silence(p, reader) <= before {
+	if r.silenceTimeout(p, reader) <= before {
 		t.Error("silence takes no longer after a time-out")
 	}
 }
@@ -1055,10 +1057,10 @@
 	}{
 		{"idle", 0, true}, {"drowning", 1e6, false}, {"not told", -1, true}, {"out of range", math.Inf(1), true},
 	} {
-		set := settings()
-		set.Fronts, set.CanProbe = 220, true
-		r, f := start(t, set, many(4, 2, 2))
-		r.perToken = 5e-5
+		cfg := settings()
+		cfg.Fronts, cfg.CanProbe = 220, true
+		r, f := start(t, cfg, many(4, 2, 2))
+		r.secondsPerToken = 5e-5
 		r.Request(0, ask(1))
 		if len(f.sends) > 0 || f.count("probe") != 2 {
 			t.Fatalf("%s: want two probes first: %v", c.name, f.did)
@@ -1066,17 +1068,17 @@
 		home := f.did[0][len("probe "):]
 		r.Probed(ms, Probed{Server: home, Tokens: c.tokens, Queue: -1})
 		r.Probed(ms, Probed{Server: "unknown", Tokens: 5, Queue: 5})
-		r.Timer(r.open[1].retryAt, 1)
+		r.Timer(r.requests[1].retryAt, 1)
 		if (f.last() == home) != c.stays || f.count("probe") != 2 {
 			t.Errorf("%s: %v", c.name, f.did)
 		}
 	}
 	r, f := start(t, settings(), fleet())
-	r.set.CanProbe = true
+	r.cfg.CanProbe = true
 	for id := RequestID(1); id < 20; id++ {
 		q := ask(id)
 		r.Request(time.Duration(id)*50*ms, q)
-		if p := r.open[id]; p.retryAt > 0 {
+		if p := r.requests[id]; p.retryAt > 0 {
 			r.Timer(p.retryAt, uint64(id))
 		}
 		r.Outcome(r.now+50*ms, Outcome{ID: id, Server: f.last(), Status: Read, Took: 50 * ms, Kept: 2000})
@@ -1097,7 +1099,7 @@
 		if answered {
 			r.Probed(time.Second+ms, Probed{Server: second, Tokens: 0, Queue: -1})
 		}
-		r.Timer(r.open[1].retryAt, 1)
+		r.Timer(r.requests[1].retryAt, 1)
 		if (f.last() == home) == answered {
 			t.Errorf("home %s silent, second answered %v: sent to %s", home, answered, f.last())
 		}
@@ -1111,12 +1113,12 @@
 	for _, c := range []struct {
 		wait        float64
 		least, most time.Duration
-	}{{0.8, backLeast, 200 * time.Millisecond}, {9, 250 * time.Millisecond, 250 * time.Millisecond}} {
+	}{{0.8, minRetryAfter, 200 * time.Millisecond}, {9, 250 * time.Millisecond, 250 * time.Millisecond}} {
 		r, f := start(t, set, fleet())
 		for _, s := range r.listed {
 			s.wait.add(c.wait, time.Second)
 			s.wait.n = 1000
-			s.out = 1
+			s.inFlight = 1
 		}
 		r.Request(time.Second, ask(1))
 		if !f.has("refuse 1") || f.after < c.least || f.after > c.most {
@@ -1150,7 +1152,7 @@
 		r, f := start(t, set, servers)
 		r.Request(0, ask(1))
 		r.Outcome(50*ms, Outcome{ID: 1, Server: f.last(), Status: Read, Took: 50 * ms, Kept: 3000})
-		if far := r.aim(&request{class: &set.Classes[0], Request: ask(1)}) / 2; effect == Safe && f.timeout > far || f.timeout < least {
+		if far := r.ttftTarget(&request{class: &set.Classes[0], Request: ask(1)}) / 2; effect == Safe && f.timeout > far || f.timeout < least {
 			t.Errorf("effect %d: waited for %v", effect, f.timeout)
 		}
 	}
@@ -1185,7 +1187,7 @@
 func TestRecordsHoldNoForgottenPrefixes(t *testing.T) {
 	p := newPrefixes("r")
 	for i := range uint64(1000) {
-		p.sent(&Request{Session: i + 1, Prompt: 100}, time.Duration(i)*time.Second)
+		p.record(&Request{Session: i + 1, Prompt: 100}, time.Duration(i)*time.Second)
 	}
 	if most := int(prefixTTL/time.Second) + 1; p.order.Len() > most || len(p.entries) != p.order.Len() {
 		t.Errorf("%d and %d entries kept, want %d at most", p.order.Len(), len(p.entries), most)
@@ -1195,14 +1197,14 @@
 // A front that sees many times the mean among hundreds must not take what it has under way for a full fleet:
 // it would refuse nearly all that it gets, pass its writers over and shut each reader after one send.
 func TestABusyFrontAmongManyServes(t *testing.T) {
-	set := settings()
-	set.Fronts = 300
-	set.Classes[0].TokenAim = 0
+	cfg := settings()
+	cfg.Fronts = 300
+	cfg.Classes[0].TokenAim = 0
 	var all []Server
 	for i := range 30 {
 		all = append(all, Server{ID: fmt.Sprintf("r%d", i), Kind: 0}, Server{ID: fmt.Sprintf("w%d", i), Kind: 1})
 	}
-	r, f := start(t, set, all)
+	r, f := start(t, cfg, all)
 	for id := RequestID(1); id <= 100; id++ {
 		q := ask(id)
 		q.Prefix = uint64(id % 10)
@@ -1214,8 +1216,8 @@
 		r.Started(80*ms, Started{ID: id, Attempt: 1, Server: f.last(), Took: 30 * ms})
 	}
 	home := r.servers["r3"]
-	home.out = 1
-	p := &request{Request: ask(1000), class: &r.set.Classes[0]}
+	home.inFlight = 1
+	p := &request{Request: ask(1000), class: &r.cfg.Classes[0]}
 	if !r.admits(p, home, 1) {
 		t.Error("one read in flight shuts a reader")
 	}
@@ -1237,10 +1239,10 @@
 		r, _ := start(t, set, many(14, 3, 3))
 		r.now = time.Minute
 		if often {
-			r.kinds[0].took.add(r.now, 10*usualSpan.Seconds())
+			r.kinds[0].accepted.add(r.now, 10*loadSpan.Seconds())
 		}
 		s := r.servers["r0.0"]
-		if r.ill(s, 1); s.suspect == often {
+		if r.recordFailure(s, 1); s.suspect == often {
 			t.Errorf("sent often: %v, suspect: %v", often, s.suspect)
 		}
 	}
@@ -1251,8 +1253,8 @@
 // must not shut it; and where no zone answers all are tried.
 func TestAZoneThatIsCutOffIsLeftAlone(t *testing.T) {
 	readers := func(r *Router) (zones []int) {
-		p := &request{Request: ask(99), class: &r.set.Classes[0]}
-		for _, s := range r.ready(p, Reader) {
+		p := &request{Request: ask(99), class: &r.cfg.Classes[0]}
+		for _, s := range r.candidates(p, Reader) {
 			zones = append(zones, s.Zone)
 		}
 		slices.Sort(zones)
@@ -1265,7 +1267,7 @@
 		r, f := start(t, settings(), fleet())
 		fail := func(id RequestID, zone int, began time.Duration) {
 			r.Request(began, ask(id))
-			r.open[id].sent[0].server = r.servers[fmt.Sprintf("r%d0", zone)]
+			r.requests[id].attempts[0].server = r.servers[fmt.Sprintf("r%d0", zone)]
 			r.Outcome(began+c.took, Outcome{ID: id, Status: ConnectFailed, Took: c.took})
 		}
 		for i := range c.times {
@@ -1283,15 +1285,15 @@
 		if got := readers(r); !slices.Equal(got, []int{0, 1}) {
 			t.Errorf("%v: zones %v are asked where none answers", c.took, got)
 		}
-		if r.now += restMin; !slices.Equal(readers(r), []int{0, 1}) {
+		if r.now += minBackoff; !slices.Equal(readers(r), []int{0, 1}) {
 			t.Errorf("%v: not asked again after the rest", c.took)
 		}
 		_ = f
 	}
 	r, _ := start(t, settings(), fleet())
 	r.now = 3 * time.Second
-	r.signs(r.servers["r10"])
-	r.miss(r.servers["r11"], 2*time.Second, 1)
+	r.noteAlive(r.servers["r10"])
+	r.recordUnreachable(r.servers["r11"], 2*time.Second, 1)
 	if got := readers(r); !slices.Equal(got, []int{0, 1}) {
 		t.Error("one dead server shuts a zone that answers")
 	}
@@ -1310,11 +1312,11 @@
 		{"memory", Probed{Held: 0.97, Tokens: -1}, false, false}, {"mute", Probed{}, true, false},
 		{"no load", Probed{Queue: -1, Tokens: -1}, false, true},
 	} {
-		set := settings()
-		set.Fronts, set.CanProbe = 300, true
-		r, f := start(t, set, fleet())
+		cfg := settings()
+		cfg.Fronts, cfg.CanProbe = 300, true
+		r, f := start(t, cfg, fleet())
 		r.Request(time.Second, ask(1))
-		r.Timer(r.open[1].retryAt, 1)
+		r.Timer(r.requests[1].retryAt, 1)
 		reader := r.servers[f.last()]
 		probed := 0
 		for _, s := range r.listed {
@@ -1329,7 +1331,7 @@
 				r.Probed(r.now+ms, load)
 			}
 		}
-		if probed != scoutNear {
+		if probed != writerProbes {
 			t.Fatalf("%s: %d writers probed: %v", c.name, probed, f.did)
 		}
 		r.Outcome(r.now+100*ms, Outcome{ID: 1, Server: reader.ID, Status: Read, Took: 100 * ms, Kept: 3000})
@@ -1342,19 +1344,19 @@
 		want           int
 	}{
 		{true, true, 0},
-		{false, true, freshNear}, // a machine may be cut off: its load is known, that it is in reach is not
+		{false, true, staleWriterProbes}, // a machine may be cut off: its load is known, that it is in reach is not
 		{false, false, 0},
 	} {
 		r, f := start(t, settings(), fleet())
-		r.set.CanProbe = true
+		r.cfg.CanProbe = true
 		r.now = time.Second
 		if c.trouble {
-			r.silentAt = r.now
+			r.lastSilenceAt = r.now
 		}
 		for _, s := range r.listed {
 			s.wait.add(0.01, r.now)
 			if c.heard {
-				s.heard = r.now - heardFresh
+				s.heardAt = r.now - contactValidFor
 			}
 		}
 		if r.Request(time.Second, ask(1)); f.count("probe w") != c.want {
@@ -1365,7 +1367,7 @@
 
 // first is the home of a beginning.
 func first(of []*server, key uint64) *server {
-	return slices.MaxFunc(of, func(a, b *server) int { return cmp.Compare(homeRank(a, key), homeRank(b, key)) })
+	return slices.MaxFunc(of, func(a, b *server) int { return cmp.Compare(rendezvousHash(a, key), rendezvousHash(b, key)) })
 }
 
 // A connection that never comes up takes nothing, so the time in which a state must be taken or let go runs on meanwhile: a
@@ -1407,7 +1409,7 @@
 		}
 		for id := range RequestID(40) {
 			q.ID, q.Session = id, uint64(set.Front)<<8|uint64(id)
-			p := &request{Request: q, class: &set.Classes[0], home: q.Prefix, popular: r.begun.part(q.Prefix, float64(q.Prompt+q.MaxOutput/2), now)}
+			p := &request{Request: q, class: &set.Classes[0], home: q.Prefix, prefixShare: r.prefixWork.workShare(q.Prefix, float64(q.Prompt+q.MaxOutput/2), now)}
 			sessions++
 			if r.pickReader(p) != s {
 				continue
@@ -1417,12 +1419,12 @@
 				t.Fatal("asked though its queue is told")
 			}
 			s.queue, s.loadAt = 0, 0
-			if p.sent = []attempt{{server: s}}; r.pickReader(p) == s {
+			if p.attempts = []attempt{{server: s}}; r.pickReader(p) == s {
 				t.Fatal("asked twice for one request")
 			}
 		}
 	}
-	even, safe := 1./4, coldShare*set.ColdMultiple*set.ColdFrom
+	even, safe := 1./4, coldBudgetShare*set.ColdMultiple*set.ColdFrom
 	if share := float64(used) / float64(sessions) / even; share > 1.4*safe || share < 0.4*safe {
 		t.Errorf("%.2f of its even share goes to a cold server, %.2f is safe", share, safe)
 	}
@@ -1436,17 +1438,17 @@
 		for _, seen := range []int{0, 1, 3, 10, 100} {
 			sum := 0.0
 			for range 4000 {
-				var seenBefore tally
+				var seenBefore workByPrefix
 				for range seen {
 					key := rng.Uint64() | 2
 					if rng.Float64() < share {
 						key = 1
 					}
-					seenBefore.part(key, 1, 0)
+					seenBefore.workShare(key, 1, 0)
 				}
-				sum += share / min(1, coldWide*seenBefore.part(1, 1, 0))
+				sum += share / min(1, coldSpread*seenBefore.workShare(1, 1, 0))
 			}
-			most := math.Max(1.1*share*4/coldWide, 1.2)
+			most := math.Max(1.1*share*4/coldSpread, 1.2)
 			if got := sum / 4000; got > most || seen > 0 && got < 0.01 {
 				t.Errorf("share %.2f, %d seen: named %.2f times as often as evenly", share, seen, got)
 			}
@@ -1456,34 +1458,34 @@
 
 // A front keeps no more beginnings than it has room for, whatever comes, and forgets those that faded.
 func TestTheTallyOfBeginningsIsBounded(t *testing.T) {
-	var seen tally
-	for i := range uint64(3 * prefixTable) {
-		seen.part(i+1, 1, 0)
+	var seen workByPrefix
+	for i := range uint64(3 * maxPrefixes) {
+		seen.workShare(i+1, 1, 0)
 	}
-	if len(seen.of) != prefixTable {
-		t.Errorf("%d beginnings kept", len(seen.of))
+	if len(seen.byPrefix) != maxPrefixes {
+		t.Errorf("%d beginnings kept", len(seen.byPrefix))
 	}
-	if seen.part(9, 1, 10*usualSpan); len(seen.of) != prefixTable {
-		t.Errorf("%d kept: one that is known is no reason to forget", len(seen.of))
+	if seen.workShare(9, 1, 10*loadSpan); len(seen.byPrefix) != maxPrefixes {
+		t.Errorf("%d kept: one that is known is no reason to forget", len(seen.byPrefix))
 	}
-	if seen.part(1<<40, 1, 10*usualSpan); len(seen.of) > 2 {
-		t.Errorf("%d kept though nearly all have faded", len(seen.of))
+	if seen.workShare(1<<40, 1, 10*loadSpan); len(seen.byPrefix) > 2 {
+		t.Errorf("%d kept though nearly all have faded", len(seen.byPrefix))
 	}
 }
 
 // What cold servers get follows from what the warm ones take where that is less than what comes: in a flood they would
 // be sent a multiple of what they bear.
 func TestAbleInAFlood(t *testing.T) {
-	part := func(took float64) float64 {
+	part := func(accepted float64) float64 {
 		set := settings()
 		set.Fronts = 300
 		now := 100 * time.Second
 		r, _ := start(t, set, fleet())
 		r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now - set.ColdFor*9/10}}})
 		r.now = now
-		r.came[Reader].add(now, 100)
-		r.kinds[0].took.add(now, took*100/4)
-		return r.able(r.servers["r00"])
+		r.sends[Reader].add(now, 100)
+		r.kinds[0].accepted.add(now, accepted*100/4)
+		return r.acceptedRatio(r.servers["r00"])
 	}
 	if calm, flood := part(1), part(0.2); flood > 0.3*calm || flood < 0.1*calm {
 		t.Errorf("a part of %.2f where all is taken, %.2f where a fifth is", calm, flood)
@@ -1524,7 +1526,7 @@
 	readers := make([]prefixes, 100)
 	for i := range readers {
 		readers[i] = newPrefixes(fmt.Sprint("r", i))
-		for k := range prefixTable {
+		for k := range maxPrefixes {
 			readers[i].put(prefixKey{k%2 == 0, uint64(k + 1)}, k, 0)
 		}
 	}
@@ -1555,7 +1557,7 @@
 				q := ask(id)
 				q.Session, q.Prefix, q.PrefixLen, q.Prompt = uint64(set.Front/2*10)+uint64(id), 7, prefixLen, prompt
 				r.Request(0, q)
-				if p := r.open[id]; p.looked {
+				if p := r.requests[id]; p.probed {
 					r.Timer(p.retryAt, uint64(id))
 				}
 				reads[f.last()]++
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -170,7 +170,7 @@
 func (f *front) Send(id RequestID, server string, timeout time.Duration) {
 	t, n := f.t, f.sent[id]
 	if t.did != nil {
-		t.did("%v %d sends %d to %s within %v\n", t.Now, f.set.Front, id, server, timeout)
+		t.did("%v %d sends %d to %s within %v\n", t.Now, f.cfg.Front, id, server, timeout)
 	}
 	f.sent[id]++
 	b := t.boxes[server]
@@ -239,7 +239,7 @@
 	}
 	delete(f.open, id)
 	if f.t.did != nil {
-		f.t.did("%v %d %s %d\n", f.t.Now, f.set.Front, how, id)
+		f.t.did("%v %d %s %d\n", f.t.Now, f.cfg.Front, how, id)
 	}
 	f.t.ends[how]++
 	if f.t.again != nil && (how == "refused" || how == "failed") {
@@ -249,9 +249,9 @@
 
 // Cancel ends an attempt at a server that says nothing. Others are seen to their end.
 func (f *front) Cancel(id RequestID, n int) {
-	p := f.Router.open[id]
-	if b := f.t.boxes[p.sent[n].server.ID]; b != nil && b.mute {
-		o := Outcome{ID: id, Attempt: n, Server: b.ID, Status: Cancelled, Took: f.t.Now - p.sent[n].at}
+	p := f.Router.requests[id]
+	if b := f.t.boxes[p.attempts[n].server.ID]; b != nil && b.mute {
+		o := Outcome{ID: id, Attempt: n, Server: b.ID, Status: Cancelled, Took: f.t.Now - p.attempts[n].sentAt}
 		f.t.After(0, func() { f.over(f.t.Now, o) })
 	}
 }
--- a/decide/heldstate_test.go
+++ b/decide/heldstate_test.go
@@ -112,7 +112,7 @@
 func TestABusyWriterKeepsItsWrite(t *testing.T) {
 	r, f := pinned(t, Safe, nil)
 	busy := f.last()
-	f.follow(r, 1, 100*ms+confirmWait)
+	f.follow(r, 1, 100*ms+writeCheckDelay)
 	r.Probed(r.now, Probed{Server: busy, Queue: -1, Tokens: -1})
 	if f.follow(r, 1, 390*ms); f.has("cancel 1 1") {
 		t.Fatalf("called off: %v", f.did)
@@ -131,7 +131,7 @@
 func TestALikelyArrivalHasTheNetworksSlack(t *testing.T) {
 	for _, heard := range []bool{true, false} {
 		r, f := pinned(t, Unsafe, func(set *Settings, _ *Request) { set.PinSlack = 200 * ms })
-		f.follow(r, 1, 100*ms+confirmWait)
+		f.follow(r, 1, 100*ms+writeCheckDelay)
 		if heard {
 			r.Probed(r.now, Probed{Server: f.last(), Queue: -1, Tokens: -1})
 		}
@@ -147,7 +147,7 @@
 // A verified write keeps its state only where its server has answered for some time after it was sent: the silence may have
 // begun between an earlier answer and the write.
 func TestAnEarlyAnswerDoesNotKeepAState(t *testing.T) {
-	for at, kept := range map[time.Duration]bool{10 * ms: false, confirmWait: true} {
+	for at, kept := range map[time.Duration]bool{10 * ms: false, writeCheckDelay: true} {
 		r, f := pinned(t, Unsafe, nil)
 		r.Verified(101*ms, 1, 1)
 		f.follow(r, 1, 100*ms+at)
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -22,8 +22,8 @@
 	Answers map[string][3]float64 `json:"answers"`
 }
 
-// oldest is the highest age that can be told.
-const oldest = 100 * 365 * 24 * time.Hour
+// maxEstimateAge is the highest age that can be told.
+const maxEstimateAge = 100 * 365 * 24 * time.Hour
 
 // LearnedKind is what is known of the servers of one kind.
 type LearnedKind struct {
@@ -32,69 +32,69 @@
 	Wait  [3]float64 `json:"wait"`
 }
 
-func (m mean) learned(now time.Duration) [3]float64 {
+func (m mean) snapshot(now time.Duration) [3]float64 {
 	return [3]float64{m.value, m.n, (now - m.at).Seconds()}
 }
 
-func (c rate) learned(now time.Duration) [3]float64 {
+func (c rate) snapshot(now time.Duration) [3]float64 {
 	return [3]float64{c.count, 0, (now - c.at).Seconds()}
 }
 
-func (m *mean) learn(v [3]float64, now time.Duration) {
-	m.value, m.n, m.at = v[0], min(v[1], 1/waitWeight), now-seconds(v[2])
+func (m *mean) restore(v [3]float64, now time.Duration) {
+	m.value, m.n, m.at = v[0], min(v[1], 1/latestWaitWeight), now-seconds(v[2])
 }
 
-func (c *rate) learn(v [3]float64, now time.Duration) { c.count, c.at = v[0], now-seconds(v[2]) }
+func (c *rate) restore(v [3]float64, now time.Duration) { c.count, c.at = v[0], now-seconds(v[2]) }
 
 // Learned tells what this Router knows.
 func (r *Router) Learned(now time.Duration) Learned {
-	l := Learned{Seen: (now - r.began).Seconds(), PerToken: r.perToken,
-		Near: r.near.learned(now), Far: r.far.learned(now), Moves: r.moves.learned(now)}
+	estimates := Learned{Seen: (now - r.firstListAt).Seconds(), PerToken: r.secondsPerToken,
+		Near: r.nearTransfers.snapshot(now), Far: r.farTransfers.snapshot(now), Moves: r.transfers.snapshot(now)}
 	for _, k := range r.kinds {
-		l.Kinds = append(l.Kinds, LearnedKind{k.took.learned(now), k.asked.learned(now), k.wait.learned(now)})
+		estimates.Kinds = append(estimates.Kinds, LearnedKind{k.accepted.snapshot(now), k.demand.snapshot(now), k.wait.snapshot(now)})
 	}
-	l.Answers = make(map[string][3]float64)
+	estimates.Answers = make(map[string][3]float64)
 	for _, s := range r.listed {
 		if spent, done := s.streams.sum(now); spent > 0 {
-			l.Answers[s.ID] = [3]float64{spent, done, 0}
+			estimates.Answers[s.ID] = [3]float64{spent, done, 0}
 		}
 	}
-	return l
+	return estimates
 }
 
 // Learn takes what an older Router of this front knew. What makes no sense is refused whole.
-func (r *Router) Learn(now time.Duration, l Learned) error {
-	all := [][3]float64{{l.PerToken, 0, l.Seen}, l.Near, l.Far, l.Moves}
-	for _, k := range l.Kinds {
-		all = append(all, k.Took, k.Asked, k.Wait)
+func (r *Router) Learn(now time.Duration, estimates Learned) error {
+	values := [][3]float64{{estimates.PerToken, 0, estimates.Seen}, estimates.Near, estimates.Far, estimates.Moves}
+	for _, k := range estimates.Kinds {
+		values = append(values, k.Took, k.Asked, k.Wait)
 	}
-	for _, v := range l.Answers {
-		all = append(all, v)
+	for _, v := range estimates.Answers {
+		values = append(values, v)
 	}
-	for _, v := range all {
-		if !(v[0] >= 0 && v[1] >= 0 && v[2] >= 0) || math.IsInf(v[0]+v[1], 1) || v[2] > oldest.Seconds() {
+	for _, v := range values {
+		if !(v[0] >= 0 && v[1] >= 0 && v[2] >= 0) || math.IsInf(v[0]+v[1], 1) || v[2] > maxEstimateAge.Seconds() {
 			return errors.New("decide: what was learned makes no sense")
 		}
 	}
-	if len(l.Kinds) != len(r.kinds) {
+	if len(estimates.Kinds) != len(r.kinds) {
 		return errors.New("decide: learned of other kinds")
 	}
-	r.began, r.perToken = now-seconds(l.Seen), l.PerToken
-	r.near.learn(l.Near, now)
-	r.far.learn(l.Far, now)
-	r.moves.learn(l.Moves, now)
-	for i, k := range l.Kinds {
-		r.kinds[i].took.learn(k.Took, now)
-		r.kinds[i].asked.learn(k.Asked, now)
-		r.kinds[i].wait.learn(k.Wait, now)
+	r.firstListAt, r.secondsPerToken = now-seconds(estimates.Seen), estimates.PerToken
+	r.nearTransfers.restore(estimates.Near, now)
+	r.farTransfers.restore(estimates.Far, now)
+	r.transfers.restore(estimates.Moves, now)
+	for i, k := range estimates.Kinds {
+		r.kinds[i].accepted.restore(k.Took, now)
+		r.kinds[i].demand.restore(k.Asked, now)
+		r.kinds[i].wait.restore(k.Wait, now)
 	}
-	for id, v := range l.Answers {
+	for id, v := range estimates.Answers {
 		if s := r.servers[id]; s != nil {
-			s.streams.spent.learn([3]float64{v[0], 0, v[2]}, now)
-			s.streams.done.learn([3]float64{v[1], 0, v[2]}, now)
+			s.streams.spent.restore([3]float64{v[0], 0, v[2]}, now)
+			s.streams.done.restore([3]float64{v[1], 0, v[2]}, now)
 		}
 	}
-	r.booked++
-	r.sumAnswers()
+	r.loadVersion++
+	r.sumAnswerTimes()
 	return nil
 }
--- a/decide/lookup.go
+++ b/decide/lookup.go
@@ -7,18 +7,18 @@
 
 // What a choice looks up in place of going through the whole list. Nothing is decided here: see decide.go.
 
-// place is where a server is.
-type place struct{ cell, zone int }
+// location is where a server is.
+type location struct{ cell, zone int }
 
 // scratch is a list whose memory serves again.
 type scratch []*server
 
 // keep drops the others.
-func (l *scratch) keep(which func(*server) bool) { l.filter(*l, which) }
+func (l *scratch) keep(pred func(*server) bool) { l.filter(*l, pred) }
 
-// at is the place of a server in a list that is in the index's order.
-func (l *scratch) at(s *server) (place int, found bool) {
-	return slices.BinarySearchFunc(*l, s, func(a, b *server) int { return a.place - b.place })
+// find is the place of a server in a list that is in the index's order.
+func (l *scratch) find(s *server) (position int, found bool) {
+	return slices.BinarySearchFunc(*l, s, func(a, b *server) int { return a.position - b.position })
 }
 
 // add puts a server in its place. The order of readers is of no account: they are ranked.
@@ -27,16 +27,16 @@
 		*l = append(*l, s)
 		return
 	}
-	place, _ := l.at(s)
-	*l = slices.Insert(*l, place, s)
+	position, _ := l.find(s)
+	*l = slices.Insert(*l, position, s)
 }
 
 // remove takes a server out, if it is there.
 func (l *scratch) remove(s *server) {
 	if s.role == Reader {
 		*l = slices.DeleteFunc(*l, func(o *server) bool { return o == s })
-	} else if place, found := l.at(s); found {
-		*l = slices.Delete(*l, place, place+1)
+	} else if position, found := l.find(s); found {
+		*l = slices.Delete(*l, position, position+1)
 	}
 }
 
@@ -51,8 +51,8 @@
 	return *l
 }
 
-// sumAnswers sums up how long answers take, by the role of the ready servers.
-func (r *Router) sumAnswers() {
+// sumAnswerTimes sums up how long answers take, by the role of the ready servers.
+func (r *Router) sumAnswerTimes() {
 	for role := range r.answers {
 		r.answers[role] = newStreams()
 		for _, s := range r.index.Ready(role) {
@@ -61,64 +61,64 @@
 	}
 }
 
-// answerBegins and answerEnds book an answer of the given hint at s.
-func (r *Router) answerBegins(s *server, hint time.Duration) {
+// recordAnswerStart and answerEnds book an answer of the given hint at s.
+func (r *Router) recordAnswerStart(s *server, hint time.Duration) {
 	s.streams.begin(r.now, hint)
 	if s.State == Ready {
 		r.answers[s.role].begin(r.now, hint)
 	}
 }
 
-func (r *Router) answerEnds(s *server, first, hint time.Duration) {
+func (r *Router) recordAnswerEnd(s *server, first, hint time.Duration) {
 	s.streams.end(first, hint, r.now)
 	if s.State == Ready {
 		r.answers[s.role].end(first, hint, r.now)
 	}
 }
 
-// special lists the ready servers of a role that are not like most: each choice has to look at them.
-func (r *Router) special(role Role) []*server {
-	r.specials[role] = slices.DeleteFunc(r.specials[role], func(s *server) bool {
-		s.marked = s.isSpecial()
-		return !s.marked
+// flaggedServers lists the ready servers of a role that are not like most: each choice has to look at them.
+func (r *Router) flaggedServers(role Role) []*server {
+	r.flagged[role] = slices.DeleteFunc(r.flagged[role], func(s *server) bool {
+		s.isFlagged = s.needsFlag()
+		return !s.isFlagged
 	})
-	return r.specials[role]
+	return r.flagged[role]
 }
 
-func (s *server) isSpecial() bool { return s.suspect || s.tokens > 0 || len(s.full) > 0 }
+func (s *server) needsFlag() bool { return s.suspect || s.tokens > 0 || len(s.fullBackoffs) > 0 }
 
-// mark has each choice look at s for as long as it is special.
-func (r *Router) mark(s *server) {
-	if s.State == Ready && !s.marked && s.isSpecial() {
-		s.marked = true
-		r.specials[s.role] = append(r.specials[s.role], s)
+// flag has each choice look at s for as long as it is special.
+func (r *Router) flag(s *server) {
+	if s.State == Ready && !s.isFlagged && s.needsFlag() {
+		s.isFlagged = true
+		r.flagged[s.role] = append(r.flagged[s.role], s)
 	}
 }
 
 // coldCandidates lists the cold servers of a role that could be open to p: of the writers near its reader only the one that it
 // names, where fronts are many.
 func (r *Router) coldCandidates(p *request, role Role) []*server {
-	if role != Writer || p.reader == nil || !r.many() {
+	if role != Writer || p.reader == nil || !r.manyRouters() {
 		return r.index.Cold(int(role), r.now)
 	}
-	if p.named == nil || r.warm(p.named) {
+	if p.coldWriter == nil || r.warm(p.coldWriter) {
 		return nil
 	}
-	return []*server{p.named}
+	return []*server{p.coldWriter}
 }
 
-// reached says that the zone of s is not left alone just now.
-func (r *Router) reached(s *server) bool { return r.now >= r.zone(s.Zone).rest.till }
+// zoneReachable says that the zone of s is not left alone just now.
+func (r *Router) zoneReachable(s *server) bool { return r.now >= r.zone(s.Zone).backoff.until }
 
-// anyZoneRests says that some zone is left alone just now.
-func (r *Router) anyZoneRests() bool {
+// anyZoneBackingOff says that some zone is left alone just now.
+func (r *Router) anyZoneBackingOff() bool {
 	for _, z := range r.zones {
-		if r.now < z.rest.till {
+		if r.now < z.backoff.until {
 			return true
 		}
 	}
 	return false
 }
 
-// warmOnes is how many ready servers of a kind are warm.
-func (r *Router) warmOnes(kind int) int { return r.index.WarmOfKind(kind, r.now) }
+// warmCount is how many ready servers of a kind are warm.
+func (r *Router) warmCount(kind int) int { return r.index.WarmOfKind(kind, r.now) }
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -4,53 +4,54 @@
 	"slices"
 )
 
-// Decisions on which servers are asked for their load, and what their answers or silence say.
+// Selection of the servers to probe for their load, and evaluation of their answers or silence.
 
-// look probes the server that p would go to, and the one next in its order, once, and looks at p
-// again when the answers should be there. Acts where servers tell probes how much waits there and
-// this front has not lately seen for itself. Guards against drowning homes that many fronts feed,
-// each too seldom to notice, and against hung ones: a server that leaves a probe unanswered while
-// another answers is passed over (admits). It costs two probes and some milliseconds, which hurts
-// where aims are short.
-func (r *Router) look(p *request, s *server) bool {
-	if !r.set.CanProbe || p.looked || !s.silent && s.wait.known(r.now, rateSpan) >= 1 {
+// probeCandidates probes the selected reader and the runner-up, once per request, and schedules another look
+// at p for when the answers are due. It reports whether it did so, which depends on servers reporting their
+// queues to probes and on this router having no recent observations of its own. It detects home servers that
+// many routers overload, each sending too rarely to notice, and servers that hang: one that leaves a probe
+// unanswered while another answers is passed over by admits. The price is two probes and some milliseconds,
+// which matters where TTFT targets are short.
+func (r *Router) probeCandidates(p *request, s *server) bool {
+	if !r.cfg.CanProbe || p.probed || !s.waitFromSilence && s.wait.weight(r.now, rateSpan) >= 1 {
 		return false
 	}
-	p.looked = true
-	for i, o := range []*server{s, p.second} {
+	p.probed = true
+	for i, o := range []*server{s, p.runnerUp} {
 		if o != nil && (i == 0 || o != s) {
 			o.probedAt = r.now
-			r.out.Probe(o.ID)
+			r.exec.Probe(o.ID)
 		}
 	}
-	p.retryAt = r.now + max(probeWait, 2*r.set.Tick)
-	r.out.SetTimer(uint64(p.ID), p.retryAt)
+	p.retryAt = r.now + max(probeTimeout, 2*r.cfg.Tick)
+	r.exec.SetTimer(uint64(p.ID), p.retryAt)
 	return true
 }
 
-// scout probes some writers near the reader that p goes to, so that their load is known when it has been
-// read. Acts where so many fronts feed the writers that own counts tell nothing of them. Guards against the
-// few writers of a cell that drown while each front sends one answer a minute there; it costs three probes.
-func (r *Router) scout(p *request, reader *server) {
-	if !r.set.CanProbe {
+// probeWriters probes some writers near the selected reader, so that their load is known when the prompt has
+// been read. It does so where there are too many routers for own counts to mean anything: the few writers of
+// a cell can be overloaded although each router sends only one answer per minute there. The price is three
+// probes.
+func (r *Router) probeWriters(p *request, reader *server) {
+	if !r.cfg.CanProbe {
 		return
 	}
-	if !r.many() {
-		r.refresh(p, reader)
+	if !r.manyRouters() {
+		r.probeStaleWriters(p, reader)
 		return
 	}
-	near, way := scoutNear, r.ready(p, Writer)
-	r.shuffle(way)
-	if w := p.named; w != nil && !r.warm(w) && slices.Contains(way, w) {
-		near--
+	remaining, writers := writerProbes, r.candidates(p, Writer)
+	r.shuffle(writers)
+	if w := p.coldWriter; w != nil && !r.warm(w) && slices.Contains(writers, w) {
+		remaining--
 		r.probe(w)
 	}
-	for far := range distances {
-		for _, w := range way {
-			if distance(w, reader) != far || w.Cell == reader.Cell && near <= scoutFar {
+	for dist := range distances {
+		for _, w := range writers {
+			if distance(w, reader) != dist || w.Cell == reader.Cell && remaining <= farWriterProbes {
 				continue
 			}
-			if near--; near < 0 {
+			if remaining--; remaining < 0 {
 				return
 			}
 			r.probe(w)
@@ -58,42 +59,44 @@
 	}
 }
 
-// probe probes a writer, unless that was done lately.
+// probe probes a writer unless that was done recently.
 func (r *Router) probe(w *server) {
-	if r.now-w.probedAt > probeFresh/2 {
+	if r.now-w.probedAt > probeValidFor/2 {
 		w.probedAt = r.now
-		r.out.Probe(w.ID)
+		r.exec.Probe(w.ID)
 	}
 }
 
-// jammed says that a probe has lately told that s has no room, or is not answered where others are.
-func (r *Router) jammed(s *server) bool {
-	mute := s.probedAt > s.loadAt && r.now-s.probedAt > probeMute && r.now-s.probedAt < probeOld
-	if mute && r.toldAt[s.role] >= s.probedAt {
+// saturated reports whether a recent probe showed that s has no room, or remains unanswered while other
+// servers answer.
+func (r *Router) saturated(s *server) bool {
+	unanswered := s.probedAt > s.loadAt && r.now-s.probedAt > writerProbeTimeout &&
+		r.now-s.probedAt < writerLoadValidFor
+	if unanswered && r.probeAnsweredAt[s.role] >= s.probedAt {
 		return true
 	}
-	return r.told(s) && (s.queue >= 1 || s.load > writerJam)
+	return r.loadKnown(s) && (s.queue >= 1 || s.load > maxWriterMemoryUse)
 }
 
-// refresh probes the nearest writers of which nothing was heard lately, while p is read. Acts for a
-// handful of fronts, whose writers' load is known without that. Guards against writes into connections
-// that have fallen silent: a writer that leaves its probe unanswered is passed over (jammed), and one that
-// answers has a connection that was alive just now.
-func (r *Router) refresh(p *request, reader *server) {
-	if r.silentAt == 0 || r.now-r.silentAt > troubleSpan {
+// probeStaleWriters probes the nearest writers that have not been heard recently, while p is being read. It
+// is for few routers, which know the load of writers without probes. It prevents writes into connections that
+// have gone silent: a writer that leaves the probe unanswered counts as saturated, and one that answers has a
+// connection that was alive just now.
+func (r *Router) probeStaleWriters(p *request, reader *server) {
+	if r.lastSilenceAt == 0 || r.now-r.lastSilenceAt > silenceAlertSpan {
 		return
 	}
-	left := freshNear
-	for far := range distances {
-		for _, w := range r.ready(p, Writer) {
-			if left == 0 {
+	remaining := staleWriterProbes
+	for dist := range distances {
+		for _, w := range r.candidates(p, Writer) {
+			if remaining == 0 {
 				return
 			}
-			if distance(w, reader) != far {
+			if distance(w, reader) != dist {
 				continue
 			}
-			left--
-			if w.heard == 0 || r.now-w.heard > heardFresh {
+			remaining--
+			if w.heardAt == 0 || r.now-w.heardAt > contactValidFor {
 				r.probe(w)
 			}
 		}
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -19,19 +19,19 @@
 // Apply puts other settings in force, unless they make no sense or need a restart: then the old ones hold, all of them.
 // Requests under way keep the class that they came with, their deadline, and what was learned stays; what holds for servers
 // and for all requests together changes at once.
-func (r *Router) Apply(now time.Duration, set Settings) error {
-	if err := check(set); err != nil {
+func (r *Router) Apply(now time.Duration, cfg Settings) error {
+	if err := check(cfg); err != nil {
 		return fmt.Errorf("decide: %w", err)
 	}
-	if err := r.set.needsRestart(set); err != nil {
+	if err := r.cfg.needsRestart(cfg); err != nil {
 		return err
 	}
-	r.now, r.set = now, set
-	r.worth = highestWorth(set.Classes)
+	r.now, r.cfg = now, cfg
+	r.maxValue = highestValue(cfg.Classes)
 	for _, s := range r.servers {
-		s.warmAt = set.warmAt(s.Since)
+		s.warmAt = cfg.warmAt(s.Since)
 	}
-	r.count()
+	r.rebuildIndex()
 	return nil
 }
 
@@ -40,7 +40,7 @@
 func (s Settings) needsRestart(next Settings) error {
 	sameRole := func(a, b Kind) bool { return a.Role == b.Role }
 	for _, fixed := range []struct {
-		what string
+		name string
 		same bool
 	}{
 		{"the router's number", s.Front == next.Front},
@@ -53,7 +53,7 @@
 		{"kinds and their roles", slices.EqualFunc(s.Kinds, next.Kinds, sameRole)},
 	} {
 		if !fixed.same {
-			return &RestartError{fixed.what}
+			return &RestartError{fixed.name}
 		}
 	}
 	return nil
--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -46,8 +46,8 @@
 	if !r.warm(r.servers["r00"]) || len(r.index.Cold(int(Reader), now)) > 0 {
 		t.Error("a server is cold for longer than the settings say now")
 	}
-	if fresh, _ := start(t, set, append(fleet(), young)); r.room != fresh.room {
-		t.Errorf("there is room for %v tokens by role, for a router that starts with these settings %v", r.room, fresh.room)
+	if fresh, _ := start(t, set, append(fleet(), young)); r.answerMemory != fresh.answerMemory {
+		t.Errorf("there is room for %v tokens by role, for a router that starts with these settings %v", r.answerMemory, fresh.answerMemory)
 	}
 	set.ColdFor = time.Minute
 	if err := r.Apply(now, set); err != nil {
@@ -85,7 +85,7 @@
 		if err == nil || errors.As(err, &restart) != c.restart {
 			t.Errorf("%s: %v", name, err)
 		}
-		if r.set.MaxAttempts != settings().MaxAttempts {
+		if r.cfg.MaxAttempts != settings().MaxAttempts {
 			t.Errorf("%s: a part of the settings was taken", name)
 		}
 	}
@@ -115,8 +115,8 @@
 		now += 600 * ms
 	}
 	r.End(now)
-	if len(r.open) > 0 || r.tokens != 0 || r.held != [Mixed + 1]int{} || r.streams != [Mixed + 1]int{} {
-		t.Errorf("%d requests open, %d tokens, %v held, %v streams", len(r.open), r.tokens, r.held, r.streams)
+	if len(r.requests) > 0 || r.requestTokens != 0 || r.writeTokens != [Mixed + 1]int{} || r.streams != [Mixed + 1]int{} {
+		t.Errorf("%d requests open, %d tokens, %v held, %v streams", len(r.requests), r.requestTokens, r.writeTokens, r.streams)
 	}
 	answered := f.count("refuse ") + f.count("fail ")
 	if served := 400 - answered; served < 300 {
--- a/internal/holders/holders.go
+++ b/internal/holders/holders.go
@@ -5,36 +5,36 @@
 import "slices"
 
 // Index is who holds which keys. The zero value is empty.
-type Index[K, H comparable] struct{ of map[K][]H }
+type Index[K, H comparable] struct{ byKey map[K][]H }
 
 // Add notes that a holder has a key. It must not have it already.
 func (x *Index[K, H]) Add(key K, holder H) {
-	if x.of == nil {
-		x.of = make(map[K][]H)
+	if x.byKey == nil {
+		x.byKey = make(map[K][]H)
 	}
-	x.of[key] = append(x.of[key], holder)
+	x.byKey[key] = append(x.byKey[key], holder)
 }
 
 // Remove notes that a holder has a key no more.
 func (x *Index[K, H]) Remove(key K, holder H) {
-	all := x.of[key]
-	i := slices.Index(all, holder)
+	list := x.byKey[key]
+	i := slices.Index(list, holder)
 	if i < 0 {
 		return
 	}
-	last := len(all) - 1
-	all[i] = all[last]
-	var none H
-	all[last] = none // lets go of the holder
+	last := len(list) - 1
+	list[i] = list[last]
+	var zero H
+	list[last] = zero // lets go of the holder
 	if last == 0 {
-		delete(x.of, key)
+		delete(x.byKey, key)
 		return
 	}
-	x.of[key] = all[:last]
+	x.byKey[key] = list[:last]
 }
 
 // Of lists who holds a key, in no order. The list is good until the next change.
-func (x *Index[K, H]) Of(key K) []H { return x.of[key] }
+func (x *Index[K, H]) Of(key K) []H { return x.byKey[key] }
 
 // Len is how many keys are held.
-func (x *Index[K, H]) Len() int { return len(x.of) }
+func (x *Index[K, H]) Len() int { return len(x.byKey) }
--- a/internal/lazysort/lazysort.go
+++ b/internal/lazysort/lazysort.go
@@ -4,10 +4,10 @@
 
 // Order is a list that is handed out in order. It permutes the slice that it was made of.
 type Order[T any] struct {
-	items  []T // those that are left; as a heap once heaped
-	before func(a, b T) bool
-	handed int
-	heaped bool
+	items    []T // those that are left; as a heap once heaped
+	before   func(a, b T) bool
+	returned int
+	isHeap   bool
 }
 
 // New returns an Order of items, in which an element comes before others as before says.
@@ -21,26 +21,26 @@
 	if last < 0 {
 		return next, false
 	}
-	switch o.handed++; o.handed {
+	switch o.returned++; o.returned {
 	case 1:
-		o.firstTwo()
+		o.moveFirstTwo()
 	case 2: // it is in front already
 	case 3:
-		o.heap()
+		o.buildHeap()
 	}
 	next = o.items[0]
-	if !o.heaped {
+	if !o.isHeap {
 		o.items = o.items[1:]
 		return next, true
 	}
 	o.items[0], o.items[last] = o.items[last], o.items[0]
 	o.items = o.items[:last]
-	o.sink(0)
+	o.siftDown(0)
 	return next, true
 }
 
-// firstTwo puts the two elements that come first in front. Most elements are compared once: with the second.
-func (o *Order[T]) firstTwo() {
+// moveFirstTwo puts the two elements that come first in front. Most elements are compared once: with the second.
+func (o *Order[T]) moveFirstTwo() {
 	items := o.items
 	if len(items) < 2 {
 		return
@@ -59,28 +59,28 @@
 	}
 }
 
-// heap makes a heap of what is left.
-func (o *Order[T]) heap() {
-	o.heaped = true
+// buildHeap makes a buildHeap of what is left.
+func (o *Order[T]) buildHeap() {
+	o.isHeap = true
 	for i := len(o.items)/2 - 1; i >= 0; i-- {
-		o.sink(i)
+		o.siftDown(i)
 	}
 }
 
-// sink moves an element down to its place in the heap.
-func (o *Order[T]) sink(at int) {
+// siftDown moves an element down to its place in the heap.
+func (o *Order[T]) siftDown(parent int) {
 	for {
-		child := 2*at + 1
+		child := 2*parent + 1
 		if child >= len(o.items) {
 			return
 		}
-		if other := child + 1; other < len(o.items) && o.before(o.items[other], o.items[child]) {
-			child = other
+		if sibling := child + 1; sibling < len(o.items) && o.before(o.items[sibling], o.items[child]) {
+			child = sibling
 		}
-		if !o.before(o.items[child], o.items[at]) {
+		if !o.before(o.items[child], o.items[parent]) {
 			return
 		}
-		o.items[at], o.items[child] = o.items[child], o.items[at]
-		at = child
+		o.items[parent], o.items[child] = o.items[child], o.items[parent]
+		parent = child
 	}
 }
--- a/internal/serverindex/serverindex.go
+++ b/internal/serverindex/serverindex.go
@@ -18,23 +18,23 @@
 // Index is the ready servers of one list.
 type Index[S any] struct {
 	roles []role[S]
-	kinds []moments // when the servers of a kind become warm
+	kinds []warmTimes // when the servers of a kind become warm
 }
 
 // role is the servers of one role.
 type role[S any] struct {
 	ready      []S
 	warmAt     []time.Duration // of each of them
-	moments    moments
+	warmTimes  warmTimes
 	warm, cold []S // as they were ...
 	warmCount  int // ... when so many were warm, -1 = not known
 }
 
-// moments is when servers become warm, in the order of time.
-type moments []time.Duration
+// warmTimes is when servers become warm, in the order of time.
+type warmTimes []time.Duration
 
-// past is how many have come by a time.
-func (m moments) past(now time.Duration) int {
+// countUntil is how many have come by a time.
+func (m warmTimes) countUntil(now time.Duration) int {
 	if n := len(m); n == 0 || m[n-1] <= now { // as a rule
 		return n
 	}
@@ -42,11 +42,11 @@
 	return n
 }
 
-const notKnown = -1
+const unknownCount = -1
 
 // New returns an empty Index for roles and kinds numbered from 0.
 func New[S any](roles, kinds int) *Index[S] {
-	return &Index[S]{roles: make([]role[S], roles), kinds: make([]moments, kinds)}
+	return &Index[S]{roles: make([]role[S], roles), kinds: make([]warmTimes, kinds)}
 }
 
 // Replace takes the servers that are ready in place of those before. Their order is kept within each role.
@@ -54,28 +54,28 @@
 	for i := range x.roles {
 		r := &x.roles[i]
 		clear(r.ready) // lets go of servers that have left
-		r.ready, r.warmAt, r.moments, r.warmCount = r.ready[:0], r.warmAt[:0], r.moments[:0], notKnown
+		r.ready, r.warmAt, r.warmTimes, r.warmCount = r.ready[:0], r.warmAt[:0], r.warmTimes[:0], unknownCount
 	}
 	for i := range x.kinds {
 		x.kinds[i] = x.kinds[i][:0]
 	}
 	for _, e := range all {
 		r := &x.roles[e.Role]
-		r.ready, r.warmAt, r.moments = append(r.ready, e.Server), append(r.warmAt, e.WarmAt), append(r.moments, e.WarmAt)
+		r.ready, r.warmAt, r.warmTimes = append(r.ready, e.Server), append(r.warmAt, e.WarmAt), append(r.warmTimes, e.WarmAt)
 		x.kinds[e.Kind] = append(x.kinds[e.Kind], e.WarmAt)
 	}
 	for i := range x.roles {
-		slices.Sort(x.roles[i].moments)
+		slices.Sort(x.roles[i].warmTimes)
 	}
 	for _, m := range x.kinds {
 		slices.Sort(m)
 	}
 }
 
-// split sorts the servers of a role into warm and cold ones, if that has changed.
-func (x *Index[S]) split(number int, now time.Duration) *role[S] {
-	r := &x.roles[number]
-	count := r.moments.past(now)
+// partition sorts the servers of a role into warm and cold ones, if that has changed.
+func (x *Index[S]) partition(roleNumber int, now time.Duration) *role[S] {
+	r := &x.roles[roleNumber]
+	count := r.warmTimes.countUntil(now)
 	if count == r.warmCount {
 		return r
 	}
@@ -96,10 +96,10 @@
 func (x *Index[S]) Ready(role int) []S { return x.roles[role].ready }
 
 // Warm lists the servers of a role that are warm at a time.
-func (x *Index[S]) Warm(role int, now time.Duration) []S { return x.split(role, now).warm }
+func (x *Index[S]) Warm(role int, now time.Duration) []S { return x.partition(role, now).warm }
 
 // Cold lists the others.
-func (x *Index[S]) Cold(role int, now time.Duration) []S { return x.split(role, now).cold }
+func (x *Index[S]) Cold(role int, now time.Duration) []S { return x.partition(role, now).cold }
 
 // WarmOfKind is how many servers of a kind are warm at a time.
-func (x *Index[S]) WarmOfKind(kind int, now time.Duration) int { return x.kinds[kind].past(now) }
+func (x *Index[S]) WarmOfKind(kind int, now time.Duration) int { return x.kinds[kind].countUntil(now) }
--- a/internal/serverindex/serverindex_test.go
+++ b/internal/serverindex/serverindex_test.go
@@ -9,11 +9,11 @@
 
 // The index says what a look through the whole list does, after each change and at any time.
 func TestIndexAgreesWithTheList(t *testing.T) {
-	const roles, kinds, most = 3, 4, 30
+	const roles, kinds, maxServers = 3, 4, 30
 	random := rand.New(rand.NewPCG(1, 1))
 	index := New[int](roles, kinds)
 	for range 200 {
-		list := make([]Entry[int], random.IntN(most))
+		list := make([]Entry[int], random.IntN(maxServers))
 		for i := range list {
 			kind := random.IntN(kinds)
 			list[i] = Entry[int]{Server: i, Kind: kind, Role: kind % roles, WarmAt: time.Duration(random.IntN(9))}
