--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -6,36 +6,40 @@
 	"time"
 )
 
-// Estimates of what servers take, and where they are. Nothing is decided here: see decide.go.
+// Estimates of what servers accept, and distances between servers. The decisions are in decide.go.
 
-// pace is what warm servers of a kind take, as estimated at one time after so many changes.
-type pace struct {
+// warmLoad is an estimate of what warm servers of a kind accept, valid for one time and one Router.loadVersion.
+type warmLoad struct {
 	at              time.Duration
 	loadVersion     int
-	acceptedRatio   float64 // see Router.able
-	warmWindowSends float64 // see Router.usual
+	acceptedRatio   float64 // see Router.acceptedRatio
+	warmWindowSends float64 // see Router.warmWindowSends
 }
 
-// pace estimates what warm servers of a kind take, once for all servers that are looked at in one choice.
-func (r *Router) pace(kind int) *pace {
+// warmLoad returns the estimate for a kind, computed once for all servers that one choice looks at.
+func (r *Router) warmLoad(kind int) *warmLoad {
 	k := &r.kinds[kind]
-	if k.pace.at != r.now || k.pace.loadVersion != r.loadVersion {
+	if k.warmLoad.at != r.now || k.warmLoad.loadVersion != r.loadVersion {
 		sent, accepted := r.sends[r.cfg.Kinds[kind].Role].value(r.now), r.accepted(kind)
-		k.pace = pace{at: r.now, loadVersion: r.loadVersion,
-			acceptedRatio:   max(minAcceptedRatio, (float64(k.readyInRole)*accepted+acceptedRatioSmoothing)/(sent+acceptedRatioSmoothing)),
-			warmWindowSends: accepted / max(r.observedFraction(), 0.1) / loadSpan.Seconds() * r.cfg.ColdWindow.Seconds()}
+		k.warmLoad = warmLoad{at: r.now, loadVersion: r.loadVersion,
+			acceptedRatio: max(minAcceptedRatio,
+				(float64(k.readyInRole)*accepted+acceptedRatioSmoothing)/(sent+acceptedRatioSmoothing)),
+			warmWindowSends: accepted / max(r.observedFraction(), 0.1) / loadSpan.Seconds() *
+				r.cfg.ColdWindow.Seconds()}
 	}
-	return &k.pace
+	return &k.warmLoad
 }
 
-// acceptedRatio is what warm servers of s's kind take against the even share of its role, of what is sent, and so
-// what the settings' multiple is of: less than one in a flood, more where few are warm.
-func (r *Router) acceptedRatio(s *server) float64 { return r.pace(s.Kind).acceptedRatio }
+// acceptedRatio returns what warm servers of s's kind accept relative to an even share of what is sent to the role.
+// It is below 1 in a flood and above 1 where few servers are warm. The cold budget is a multiple of the accepted
+// load.
+func (r *Router) acceptedRatio(s *server) float64 { return r.warmLoad(s.Kind).acceptedRatio }
 
-// warmWindowSends is what a warm server of the kind took from this front in a window that counts for cold ones.
-func (r *Router) warmWindowSends(kind int) float64 { return r.pace(kind).warmWindowSends }
+// warmWindowSends returns how many requests a warm server of the kind accepts from this router in one
+// ColdOverloadWindow.
+func (r *Router) warmWindowSends(kind int) float64 { return r.warmLoad(kind).warmWindowSends }
 
-// pickAt is the server at a place from 0 to under 1 in the first so many of them.
+// pickAt returns the server at a relative position in [0, 1) among the first width servers, nil if there are none.
 func pickAt(servers []*server, width, position float64) *server {
 	if len(servers) == 0 {
 		return nil
@@ -43,8 +47,9 @@
 	return servers[int(position*min(max(1, width), float64(len(servers))))]
 }
 
-// writersByDistance lists the writers by their distance from a reader, those of its zone only: others need not be reached
-// where the state must be taken at once. The equally far are in the order that is the cell's at all fronts.
+// writersByDistance lists the writers in the zone of a reader by their distance from it. Writers of other zones are
+// left out: they may be unreachable when the state must be taken. Writers at the same distance are in the rendezvous
+// order of the cell, which is the same at all routers.
 func (r *Router) writersByDistance(reader *server) []*server {
 	key := location{reader.Cell, reader.Zone}
 	writers, ok := r.nearestWriters[key]
@@ -61,10 +66,10 @@
 	return writers
 }
 
-// distances are so many: in a cell, in a zone, and all others.
+// distances is the number of values of distance: same cell, same zone, elsewhere.
 const distances = 3
 
-// distance orders servers by how far a state goes to them.
+// distance returns how far a state travels between two servers, from 0.
 func distance(to, from *server) int {
 	switch {
 	case to.Cell == from.Cell:
@@ -75,9 +80,9 @@
 	return 2
 }
 
-// accepted is what a warm server of the kind accepted from this front, older requests for less, as a mean over
-// all of the kind: a front among many sees each server seldom. Where none of the kind is warm, the
-// others of its role tell. Guards against cold servers that nobody dares to use after a release.
+// accepted returns how many requests a warm server of the kind accepted from this router, with decay. It is a mean
+// over the kind, because one router among many uses each server rarely. If no server of the kind is warm, other kinds
+// of its role stand in; otherwise the servers of a new release, all of them cold, would get next to nothing.
 func (r *Router) accepted(kind int) float64 {
 	accepted := r.kinds[kind].accepted.value(r.now)
 	for i := range r.kinds {
--- a/decide/lookup.go
+++ b/decide/lookup.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// What a choice looks up in place of going through the whole list. Nothing is decided here: see decide.go.
+// Lookups that spare a choice from scanning the whole server list. The decisions are in decide.go.
 
-// location is where a server is.
+// location is the cell and zone of a server.
 type location struct{ cell, zone int }
 
-// scratch is a list whose memory serves again.
+// scratch is a list of servers whose memory is reused. Except for readers, whose order does not matter because they
+// are ranked, the servers are in the order of the index.
 type scratch []*server
 
-// keep drops the others.
+// keep removes the servers for which pred is false.
 func (l *scratch) keep(pred func(*server) bool) { l.filter(*l, pred) }
 
-// find is the place of a server in a list that is in the index's order.
+// find returns the position of s in a list in the order of the index, or where it would be inserted.
 func (l *scratch) find(s *server) (position int, found bool) {
 	return slices.BinarySearchFunc(*l, s, func(a, b *server) int { return a.position - b.position })
 }
 
-// add puts a server in its place. The order of readers is of no account: they are ranked.
+// add inserts a server that is not in the list.
 func (l *scratch) add(s *server) {
 	if s.role == Reader {
 		*l = append(*l, s)
@@ -31,7 +32,7 @@
 	*l = slices.Insert(*l, position, s)
 }
 
-// remove takes a server out, if it is there.
+// remove removes a server if it is in the list.
 func (l *scratch) remove(s *server) {
 	if s.role == Reader {
 		*l = slices.DeleteFunc(*l, func(o *server) bool { return o == s })
@@ -40,7 +41,7 @@
 	}
 }
 
-// filter lists the servers to keep in place of those before.
+// filter replaces the list by the given servers for which keep is true.
 func (l *scratch) filter(of []*server, keep func(*server) bool) []*server {
 	*l = (*l)[:0]
 	for _, s := range of {
@@ -51,7 +52,7 @@
 	return *l
 }
 
-// sumAnswerTimes sums up how long answers take, by the role of the ready servers.
+// sumAnswerTimes recomputes the answer durations by role from those of the ready servers.
 func (r *Router) sumAnswerTimes() {
 	for role := range r.answers {
 		r.answers[role] = newStreams()
@@ -61,7 +62,7 @@
 	}
 }
 
-// recordAnswerStart and answerEnds book an answer of the given hint at s.
+// recordAnswerStart and recordAnswerEnd record an answer with the given hint at s.
 func (r *Router) recordAnswerStart(s *server, hint time.Duration) {
 	s.streams.begin(r.now, hint)
 	if s.State == Ready {
@@ -76,7 +77,8 @@
 	}
 }
 
-// flaggedServers lists the ready servers of a role that are not like most: each choice has to look at them.
+// flaggedServers lists the ready servers of a role whose health, load or rejections every choice must check. The
+// others are usable without a check.
 func (r *Router) flaggedServers(role Role) []*server {
 	r.flagged[role] = slices.DeleteFunc(r.flagged[role], func(s *server) bool {
 		s.isFlagged = s.needsFlag()
@@ -87,7 +89,7 @@
 
 func (s *server) needsFlag() bool { return s.suspect || s.tokens > 0 || len(s.fullBackoffs) > 0 }
 
-// flag has each choice look at s for as long as it is special.
+// flag adds s to the flagged servers if it needs to be checked.
 func (r *Router) flag(s *server) {
 	if s.State == Ready && !s.isFlagged && s.needsFlag() {
 		s.isFlagged = true
@@ -95,8 +97,8 @@
 	}
 }
 
-// coldCandidates lists the cold servers of a role that could be open to p: of the writers near its reader only the one that it
-// names, where fronts are many.
+// coldCandidates lists the cold servers of a role that could be open to p. If there are many routers and p has a
+// reader, coldWriter is the only cold writer.
 func (r *Router) coldCandidates(p *request, role Role) []*server {
 	if role != Writer || p.reader == nil || !r.manyRouters() {
 		return r.index.Cold(int(role), r.now)
@@ -107,10 +109,10 @@
 	return []*server{p.coldWriter}
 }
 
-// zoneReachable says that the zone of s is not left alone just now.
+// zoneReachable reports whether the zone of s is not in backoff.
 func (r *Router) zoneReachable(s *server) bool { return r.now >= r.zone(s.Zone).backoff.until }
 
-// anyZoneBackingOff says that some zone is left alone just now.
+// anyZoneBackingOff reports whether any zone is in backoff.
 func (r *Router) anyZoneBackingOff() bool {
 	for _, z := range r.zones {
 		if r.now < z.backoff.until {
@@ -120,5 +122,5 @@
 	return false
 }
 
-// warmCount is how many ready servers of a kind are warm.
+// warmCount returns the number of warm servers of a kind.
 func (r *Router) warmCount(kind int) int { return r.index.WarmOfKind(kind, r.now) }
--- a/decide/running.go
+++ b/decide/running.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Running estimates that forget: means, rates, the length of answers, and what part of all work each beginning makes. Nothing
-// is decided here: see decide.go.
+// Running estimates with decay: means, event rates, answer durations, and the share of each prefix in all work. The
+// decisions are in decide.go.
 
-// mean is a running mean that forgets.
+// mean is a running mean in which newer values weigh more.
 type mean struct {
 	value float64
 	n     float64
@@ -18,31 +18,32 @@
 
 func (m *mean) add(v float64, now time.Duration) { m.addWeighted(v, now, 1) }
 
-// addWeighted adds a value that counts for less than a whole one.
+// addWeighted adds a value with a weight of at most 1.
 func (m *mean) addWeighted(v float64, now time.Duration, weight float64) {
 	m.n = min(m.n+weight, 1/latestWaitWeight)
 	m.value += (v - m.value) * weight / m.n
 	m.at = now
 }
 
-// weight is how many values m stands for, older ones for less.
+// weight returns how many values m stands for; it decays with their age.
 func (m *mean) weight(now, span time.Duration) float64 {
 	return m.n * math.Exp(-float64(now-m.at)/float64(span))
 }
 
-// blend leans m on the mean of its peers: the more, the fewer values it has and the older they are.
+// blend averages m with the mean of its peers, which counts as one value. The fewer values m has and the older they
+// are, the more the peers' mean prevails.
 func (m *mean) blend(peers mean, now, span time.Duration) float64 {
 	n := m.weight(now, span)
 	return (n*m.value + peers.value) / (n + 1)
 }
 
-// streams is how long answers take in hints of their length: an answer that runs counts with its time so far.
+// streams tracks the durations of answers relative to their hints. A running answer counts with its duration so far.
 type streams struct {
-	spent, done      rate    // hints that ended answers took, and how many ended
-	inverse, started float64 // of those that run: the sum of 1/hint, and of their beginnings in hints
+	spent, done      rate    // ended answers: sum of duration/hint, and their number
+	inverse, started float64 // running answers: sums of 1/hint and of start/hint
 }
 
-// begin and end book an answer of the given hint that began at a time.
+// begin and end record an answer with the given hint that began at the given time.
 func (t *streams) begin(at, hint time.Duration) {
 	t.inverse += 1 / hint.Seconds()
 	t.started += at.Seconds() / hint.Seconds()
@@ -55,12 +56,12 @@
 	t.done.add(now, 1)
 }
 
-// newStreams is streams of no server yet.
+// newStreams returns streams without any answers.
 func newStreams() streams {
 	return streams{spent: rate{span: answerTimeSpan}, done: rate{span: answerTimeSpan}}
 }
 
-// addAll counts the answers of another.
+// addAll adds the answers of other.
 func (t *streams) addAll(other *streams, now time.Duration) {
 	t.spent.add(now, other.spent.value(now))
 	t.done.add(now, other.done.value(now))
@@ -68,16 +69,16 @@
 	t.started += other.started
 }
 
-// sum is the hints that have been spent, and the answers that have ended.
+// sum returns the sum of duration/hint over ended and running answers, and the number of ended ones.
 func (t *streams) sum(now time.Duration) (spent, done float64) {
 	return t.spent.value(now) + max(0, t.inverse*now.Seconds()-t.started), t.done.value(now)
 }
 
-// rate counts events, older ones for less.
+// rate is an event count that decays exponentially.
 type rate struct {
 	count float64
-	at    time.Duration
-	span  time.Duration // the mean age of what counts
+	at    time.Duration // of the latest event
+	span  time.Duration // time constant of the decay
 }
 
 func (c *rate) add(now time.Duration, n float64) { c.count, c.at = c.value(now)+n, now }
@@ -86,28 +87,30 @@
 	return c.count * math.Exp(-float64(now-c.at)/float64(c.span))
 }
 
-// shareSmoothing is how many requests less than nothing one must have seen of to tell its part.
+// shareSmoothing is the number of requests like the current one that are added to the count of a group when its share
+// of all is estimated.
 const shareSmoothing = 0.4
 
-// workByPrefix counts the work of requests by their beginning, older ones for less. It forgets those that faded, and holds so many
-// at most.
+// workByPrefix counts the work of requests by prefix, in tokens, with decay. It holds at most maxPrefixes prefixes and
+// drops those with negligible counts to make room.
 type workByPrefix struct {
-	work     rate // of all
+	work     rate // of all requests
 	requests rate
-	byPrefix map[uint64]*rate // work by beginning
+	byPrefix map[uint64]*rate // work by prefix
 }
 
-// relativeCost is how much more room a request of so much work needs than one of mean work, where it is the larger. What a server
-// bears is counted in requests of mean work; the root lies between counting requests alike and counting their work alone.
+// relativeCost returns how much more of a server's capacity a request needs than one of mean work, at least 1.
+// Capacity is counted in requests of mean work; the square root lies between counting requests only and counting work
+// only.
 func (t *workByPrefix) relativeCost(work float64) float64 {
 	if t.work.count == 0 {
 		return 1
 	}
-	return max(1, math.Sqrt(work*t.requests.count/t.work.count)) // both fade alike
+	return max(1, math.Sqrt(work*t.requests.count/t.work.count)) // both decay alike
 }
 
-// workShare is how much of all work a beginning makes, leaning to much where little has been seen, 0 for none. What is not
-// known of it is taken to be like the request at hand, which is counted after that.
+// workShare returns the share of a prefix in the work of all requests, 0 for key 0, and then counts the request at
+// hand. Where little has been seen the estimate is high: unseen work is taken to be like that request.
 func (t *workByPrefix) workShare(key uint64, work float64, now time.Duration) float64 {
 	if t.byPrefix == nil {
 		t.work.span, t.requests.span, t.byPrefix = loadSpan, loadSpan, make(map[uint64]*rate)
@@ -123,7 +126,8 @@
 	}
 	prefixWork, ok := t.byPrefix[key]
 	if !ok && len(t.byPrefix) >= maxPrefixes {
-		maps.DeleteFunc(t.byPrefix, func(_ uint64, prefixWork *rate) bool { return prefixWork.value(now) < negligibleCount*meanWork })
+		maps.DeleteFunc(t.byPrefix,
+			func(_ uint64, prefixWork *rate) bool { return prefixWork.value(now) < negligibleCount*meanWork })
 	}
 	if !ok && len(t.byPrefix) < maxPrefixes {
 		prefixWork = &rate{span: loadSpan}
--- a/decide/state.go
+++ b/decide/state.go
@@ -90,7 +90,7 @@
 	accepted    rate // requests accepted per warm server
 	wait        mean // recent waits
 
-	pace pace // last estimate of what a warm server accepts
+	warmLoad warmLoad // last estimate of what a warm server accepts
 }
 
 // cell is this router's view of the servers that share a network link.
