--- a/decide/learned.go
+++ b/decide/learned.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// What a Router has learned of all servers alike, for the process that takes over from this one. Nothing is
-// decided here: see decide.go.
+// Export and import of a Router's estimates, for the process that takes over from this one. The decisions are in
+// decide.go.
 
-// Learned is that, in a form to be kept as text. A number triple is a running mean (value, weight, age) or
-// a rate (count, 0, age), ages in seconds: two processes have no clock in common, as a wall clock may be stepped.
+// Estimates is what a Router has learned about all servers, in a form that can be stored as text. Each triple of
+// numbers is a running mean (value, weight, age) or a rate (count, 0, age). Ages are in seconds and not points in
+// time, because two processes share no clock: a wall clock may be stepped.
 type Learned struct {
-	Seen     float64       `json:"seen_s"` // for how long the Router has had a list
-	PerToken float64       `json:"per_token"`
+	Seen     float64       `json:"seen_s"`    // time since the first server list
+	PerToken float64       `json:"per_token"` // of unhindered reads, per uncached token
 	Kinds    []LearnedKind `json:"kinds"`
 	Near     [3]float64    `json:"near"`
 	Far      [3]float64    `json:"far"`
 	Moves    [3]float64    `json:"moves"`
-	// Answers is how long those of each server took against their hints: hints spent, answers ended, time.
+	// AnswerTimes holds, by server ID, the sum of answer duration/hint, the number of ended answers, and their age.
 	Answers map[string][3]float64 `json:"answers"`
 }
 
-// maxEstimateAge is the highest age that can be told.
+// maxEstimateAge is the highest age that Restore accepts.
 const maxEstimateAge = 100 * 365 * 24 * time.Hour
 
-// LearnedKind is what is known of the servers of one kind.
+// KindEstimates is what is known about the servers of one kind.
 type LearnedKind struct {
-	Took  [3]float64 `json:"took"`
-	Asked [3]float64 `json:"asked"`
-	Wait  [3]float64 `json:"wait"`
+	Took  [3]float64 `json:"took"`  // requests per warm server
+	Asked [3]float64 `json:"asked"` // requests for which its servers were ranked
+	Wait  [3]float64 `json:"wait"`  // in seconds
 }
 
 func (m mean) snapshot(now time.Duration) [3]float64 {
@@ -46,12 +47,13 @@
 
 func (c *rate) restore(v [3]float64, now time.Duration) { c.count, c.at = v[0], now-seconds(v[2]) }
 
-// Learned tells what this Router knows.
+// Estimates returns what this Router has learned.
 func (r *Router) Learned(now time.Duration) Learned {
 	estimates := Learned{Seen: (now - r.firstListAt).Seconds(), PerToken: r.secondsPerToken,
 		Near: r.nearTransfers.snapshot(now), Far: r.farTransfers.snapshot(now), Moves: r.transfers.snapshot(now)}
 	for _, k := range r.kinds {
-		estimates.Kinds = append(estimates.Kinds, LearnedKind{k.accepted.snapshot(now), k.demand.snapshot(now), k.wait.snapshot(now)})
+		estimates.Kinds = append(estimates.Kinds,
+			LearnedKind{k.accepted.snapshot(now), k.demand.snapshot(now), k.wait.snapshot(now)})
 	}
 	estimates.Answers = make(map[string][3]float64)
 	for _, s := range r.listed {
@@ -62,7 +64,7 @@
 	return estimates
 }
 
-// Learn takes what an older Router of this front knew. What makes no sense is refused whole.
+// Restore adopts the estimates of an earlier process of this router. Invalid estimates are rejected as a whole.
 func (r *Router) Learn(now time.Duration, estimates Learned) error {
 	values := [][3]float64{{estimates.PerToken, 0, estimates.Seen}, estimates.Near, estimates.Far, estimates.Moves}
 	for _, k := range estimates.Kinds {
@@ -73,11 +75,11 @@
 	}
 	for _, v := range values {
 		if !(v[0] >= 0 && v[1] >= 0 && v[2] >= 0) || math.IsInf(v[0]+v[1], 1) || v[2] > maxEstimateAge.Seconds() {
-			return errors.New("decide: what was learned makes no sense")
+			return errors.New("decide: estimates are out of range")
 		}
 	}
 	if len(estimates.Kinds) != len(r.kinds) {
-		return errors.New("decide: learned of other kinds")
+		return errors.New("decide: estimates are for other server kinds")
 	}
 	r.firstListAt, r.secondsPerToken = now-seconds(estimates.Seen), estimates.PerToken
 	r.nearTransfers.restore(estimates.Near, now)
--- a/decide/prefixes.go
+++ b/decide/prefixes.go
@@ -7,25 +7,27 @@
 	"rowanyard/internal/holders"
 )
 
-// The record of the prompts that were lately sent to each reader. Nothing is decided here: see decide.go.
+// The record of the prompts that were recently sent to each reader. The decisions are in decide.go.
 
-// prefixes is the record of what was lately sent to one reader.
+// prefixes records what was recently sent to one reader and is therefore probably in its cache.
 type prefixes struct {
-	serverID string // the reader's id
+	serverID string // of the reader
 	entries  map[prefixKey]*list.Element
-	order    *list.List // latest first
-	reader   *server    // the reader, where there is an index
+	order    *list.List // of *prefix, most recently sent first
+	reader   *server    // nil where there is no index
 	index    *prefixIndex
 }
 
-// prefixIndex is which readers have a record of a prefix.
+// prefixIndex maps each prefix to the readers that have a record of it.
 type prefixIndex = holders.Index[prefixKey, *server]
 
+// prefixKey identifies a shared prefix or the history of a session.
 type prefixKey struct {
 	session bool
 	key     uint64
 }
 
+// prefix is one entry of a record: a key, the length of the prompt under it and the time of its last send.
 type prefix struct {
 	key    prefixKey
 	tokens int
@@ -36,7 +38,8 @@
 	return prefixes{serverID: serverID, entries: make(map[prefixKey]*list.Element), order: list.New()}
 }
 
-// match is the longest known beginning of q, and when it was last sent.
+// match returns the length of the longest prefix of q that the reader has probably cached, and when it was last sent.
+// The reader's own report, if there is one, overrides the record.
 func (t *prefixes) match(q *Request, now time.Duration) (tokens int, since time.Duration) {
 	if kept, reported := q.Kept[t.serverID]; reported {
 		return kept, now
@@ -53,8 +56,8 @@
 	return tokens, since
 }
 
-// homeMatch is how much of q the first server in its hashed order is taken to keep, as all fronts send it there: its shared
-// homeMatch, unless the server itself says what it keeps.
+// homeMatch returns how much of q the first server in rendezvous order is taken to have cached: the shared prefix,
+// because all routers send it there, unless the server itself reports what it has.
 func (q *Request) homeMatch(s *server) int {
 	if _, reported := q.Kept[s.ID]; reported {
 		return 0
@@ -62,7 +65,7 @@
 	return q.PrefixLen
 }
 
-// dropOldest forgets the prefix that was sent longest ago.
+// dropOldest removes the prefix that was sent longest ago.
 func (t *prefixes) dropOldest() {
 	key := t.order.Remove(t.order.Back()).(*prefix).key
 	delete(t.entries, key)
@@ -71,19 +74,20 @@
 	}
 }
 
-// reset drops all that is recorded.
+// reset removes all prefixes.
 func (t *prefixes) reset() {
 	for len(t.entries) > 0 {
 		t.dropOldest()
 	}
 }
 
-// record records that q was record.
+// record adds the shared prefix and the session of a request sent to the reader.
 func (t *prefixes) record(q *Request, now time.Duration) {
 	t.put(prefixKey{false, q.Prefix}, q.PrefixLen, now)
 	t.put(prefixKey{true, q.Session}, q.Prompt, now)
 }
 
+// put adds or renews an entry and drops those that are too old or too many.
 func (t *prefixes) put(k prefixKey, tokens int, now time.Duration) {
 	if k.key == 0 {
 		return
@@ -102,7 +106,7 @@
 	}
 }
 
-// setMatches sets how much of p each server is taken to keep; the caller has set it to nothing for all of them.
+// setMatches sets the match of every server that has cached part of p. The caller has set all matches to 0.
 func (r *Router) setMatches(p *request) {
 	for _, key := range []prefixKey{{false, p.Prefix}, {true, p.Session}} {
 		for _, s := range r.prefixes.Of(key) {
@@ -116,10 +120,10 @@
 	}
 }
 
-// reconcile takes in how much of a matched prompt was found kept. Guards against pinning sessions
-// to a reader that has lost their prefixes, by a flush, a restart not yet listed or for want of
-// memory: readers too forget the oldest first, so what was sent before the lost one is lost as
-// well, unless it is younger than lostAge: a single loss may be one prefix's own.
+// reconcile corrects the record after an attempt that found less cached than recorded. Readers evict their oldest
+// prefixes first, so everything sent before the lost one counts as lost too, unless it is younger than minLostAge: a
+// single loss may concern that prefix alone. This keeps sessions from being pinned to a reader that has lost its
+// cache in a flush, in a restart that is not yet listed, or for lack of memory.
 func (t *prefixes) reconcile(a *attempt, kept int, now time.Duration) {
 	threshold := min(a.since, now-minLostAge)
 	for float64(kept) < minCachedShare*float64(a.match) && t.order.Len() > 0 {
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Settings that are replaced while requests are under way. Nothing is decided here: see decide.go.
+// Replacement of the settings of a running Router. The decisions are in decide.go.
 
-// RestartError says that settings differ from those in force in something that holds for as long as the process runs.
+// RestartError reports a change to a setting that is fixed for the lifetime of the process.
 type RestartError struct {
-	What string // the setting
+	What string // name of the setting
 }
 
 // Error implements error.
 func (e *RestartError) Error() string { return e.What + ": a change needs a restart" }
 
-// Apply puts other settings in force, unless they make no sense or need a restart: then the old ones hold, all of them.
-// Requests under way keep the class that they came with, their deadline, and what was learned stays; what holds for servers
-// and for all requests together changes at once.
+// Apply replaces the settings. If they are invalid or need a restart it returns an error, which is a *RestartError in
+// the second case, and the old settings stay in force as a whole. Open requests keep their class and their deadline,
+// and learned estimates are kept; all other changes take effect at once.
 func (r *Router) Apply(now time.Duration, cfg Settings) error {
 	if err := check(cfg); err != nil {
 		return fmt.Errorf("decide: %w", err)
@@ -35,8 +35,9 @@
 	return nil
 }
 
-// needsRestart names the first difference that can't be taken while the process runs: the numbers of classes, tenants and
-// kinds stand for names that fronts have given out, the role of a kind and the clock's step for what is under way.
+// needsRestart returns a RestartError for the first difference that cannot be applied to a running process. Classes,
+// tenants and kinds are known to callers by their indices, and requests in flight depend on the roles of the kinds
+// and on the clock step.
 func (s Settings) needsRestart(next Settings) error {
 	sameRole := func(a, b Kind) bool { return a.Role == b.Role }
 	for _, fixed := range []struct {
