--- a/internal/holders/holders.go
+++ b/internal/holders/holders.go
@@ -1,13 +1,12 @@
-// Package holders knows who holds which keys, for as long as they say so. It is the inverse of tables that each know their
-// own keys.
+// Package holders provides an index from keys to their holders, the inverse of tables that each list their own keys.
 package holders
 
 import "slices"
 
-// Index is who holds which keys. The zero value is empty.
+// Index maps each key to its holders. The zero value is empty.
 type Index[K, H comparable] struct{ byKey map[K][]H }
 
-// Add notes that a holder has a key. It must not have it already.
+// Add records that holder has the key. It must not have it already.
 func (x *Index[K, H]) Add(key K, holder H) {
 	if x.byKey == nil {
 		x.byKey = make(map[K][]H)
@@ -15,7 +14,7 @@
 	x.byKey[key] = append(x.byKey[key], holder)
 }
 
-// Remove notes that a holder has a key no more.
+// Remove records that holder no longer has the key. It does nothing if holder does not have it.
 func (x *Index[K, H]) Remove(key K, holder H) {
 	list := x.byKey[key]
 	i := slices.Index(list, holder)
@@ -25,7 +24,7 @@
 	last := len(list) - 1
 	list[i] = list[last]
 	var zero H
-	list[last] = zero // lets go of the holder
+	list[last] = zero // do not keep the holder reachable
 	if last == 0 {
 		delete(x.byKey, key)
 		return
@@ -33,8 +32,8 @@
 	x.byKey[key] = list[:last]
 }
 
-// Of lists who holds a key, in no order. The list is good until the next change.
+// Holders returns the holders of a key in no particular order. The slice is valid until the next change.
 func (x *Index[K, H]) Of(key K) []H { return x.byKey[key] }
 
-// Len is how many keys are held.
+// Len returns the number of keys that have a holder.
 func (x *Index[K, H]) Len() int { return len(x.byKey) }
--- a/internal/holders/holders_test.go
+++ b/internal/holders/holders_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// After any adding and removing the index says what a plain set of pairs does.
+// After any sequence of additions and removals the index agrees with a plain set of pairs.
 func TestIndexAgreesWithASetOfPairs(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var index Index[int, string]
@@ -41,7 +41,7 @@
 		}
 	}
 	if index.Len() != 0 {
-		t.Errorf("%d keys are held by nobody", index.Len())
+		t.Errorf("%d keys left without a holder", index.Len())
 	}
-	index.Remove(1, "a") // nobody has it
+	index.Remove(1, "a") // without a holder
 }
--- a/internal/lazysort/lazysort.go
+++ b/internal/lazysort/lazysort.go
@@ -1,21 +1,21 @@
-// Package lazysort hands out the elements of a list in order without sorting those that nobody asks for: the first two cost
-// one pass over the list, the others a heap's logarithm.
+// Package lazysort returns the elements of a list in order without sorting those that are never requested. The first
+// two elements cost one pass over the list, each further one O(log n).
 package lazysort
 
-// Order is a list that is handed out in order. It permutes the slice that it was made of.
+// Order is a list whose elements are returned in order, one at a time. It permutes the slice that it was made from.
 type Order[T any] struct {
-	items    []T // those that are left; as a heap once heaped
+	items    []T // remaining elements, a heap once isHeap is set
 	before   func(a, b T) bool
 	returned int
 	isHeap   bool
 }
 
-// New returns an Order of items, in which an element comes before others as before says.
+// New returns an Order of items, sorted by before, which must be a strict weak ordering.
 func New[T any](items []T, before func(a, b T) bool) Order[T] {
 	return Order[T]{items: items, before: before}
 }
 
-// Next is the next element, and whether there is one.
+// Next returns the next element, or ok == false if there are no more.
 func (o *Order[T]) Next() (next T, ok bool) {
 	last := len(o.items) - 1
 	if last < 0 {
@@ -24,7 +24,7 @@
 	switch o.returned++; o.returned {
 	case 1:
 		o.moveFirstTwo()
-	case 2: // it is in front already
+	case 2: // already at the front
 	case 3:
 		o.buildHeap()
 	}
@@ -39,7 +39,8 @@
 	return next, true
 }
 
-// moveFirstTwo puts the two elements that come first in front. Most elements are compared once: with the second.
+// moveFirstTwo moves the first two elements of the order to the front. Most elements are compared only with the
+// second.
 func (o *Order[T]) moveFirstTwo() {
 	items := o.items
 	if len(items) < 2 {
@@ -59,7 +60,7 @@
 	}
 }
 
-// buildHeap makes a buildHeap of what is left.
+// buildHeap turns the remaining elements into a heap.
 func (o *Order[T]) buildHeap() {
 	o.isHeap = true
 	for i := len(o.items)/2 - 1; i >= 0; i-- {
--- a/internal/lazysort/lazysort_test.go
+++ b/internal/lazysort/lazysort_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// All elements come out in order, for every length, and the slice keeps them all.
+// Every element is returned in order, for every length, and the slice still holds all of them.
 func TestOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for length := range 40 {
@@ -14,11 +14,11 @@
 		order := New(items, func(a, b int) bool { return a < b })
 		for want := range length {
 			if got, ok := order.Next(); !ok || got != want {
-				t.Fatalf("length %d: %d %v in place %d", length, got, ok, want)
+				t.Fatalf("length %d: got %d, %v at position %d", length, got, ok, want)
 			}
 		}
 		if got, ok := order.Next(); ok {
-			t.Errorf("length %d: %d behind the end", length, got)
+			t.Errorf("length %d: got %d past the end", length, got)
 		}
 		slices.Sort(items)
 		for i, item := range items {
@@ -29,7 +29,7 @@
 	}
 }
 
-// The first two cost a pass over the list, not a sort.
+// The first two elements cost one pass over the list, not a sort.
 func TestTheFirstTwoCostOnePass(t *testing.T) {
 	const length = 1000
 	compared := 0
@@ -38,6 +38,6 @@
 		order.Next()
 	}
 	if compared > length+length/10 {
-		t.Errorf("%d comparisons for the first two of %d", compared, length)
+		t.Errorf("%d comparisons for the first two of %d elements", compared, length)
 	}
 }
--- a/internal/serverindex/serverindex.go
+++ b/internal/serverindex/serverindex.go
@@ -1,5 +1,5 @@
-// Package serverindex keeps the servers of a list that are ready, by role, and which of them are warm at a time: what a
-// decision would else look through the whole list for. It decides nothing.
+// Package serverindex indexes the ready servers of a list by role and by whether they are warm at a given time, so that
+// decisions need not scan the whole list.
 package serverindex
 
 import (
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// Entry is one server that is ready.
+// Entry is a ready server.
 type Entry[S any] struct {
 	Server S
 	Role   int
 	Kind   int
-	WarmAt time.Duration // it is warm from then on
+	WarmAt time.Duration // warm from this time on
 }
 
-// Index is the ready servers of one list.
+// Index holds the ready servers of a list. It is not safe for concurrent use: queries reuse memory.
 type Index[S any] struct {
 	roles []role[S]
-	kinds []warmTimes // when the servers of a kind become warm
+	kinds []warmTimes // by kind
 }
 
-// role is the servers of one role.
+// role holds the servers of one role.
 type role[S any] struct {
 	ready      []S
-	warmAt     []time.Duration // of each of them
+	warmAt     []time.Duration // of each ready server
 	warmTimes  warmTimes
-	warm, cold []S // as they were ...
-	warmCount  int // ... when so many were warm, -1 = not known
+	warm, cold []S // the ready servers, divided ...
+	warmCount  int // ... when this many were warm, or unknownCount
 }
 
-// warmTimes is when servers become warm, in the order of time.
+// warmTimes is the sorted list of the times at which servers become warm.
 type warmTimes []time.Duration
 
-// countUntil is how many have come by a time.
+// countUntil returns the number of times that are not after now.
 func (m warmTimes) countUntil(now time.Duration) int {
-	if n := len(m); n == 0 || m[n-1] <= now { // as a rule
+	if n := len(m); n == 0 || m[n-1] <= now { // the usual case: all are warm
 		return n
 	}
 	n, _ := slices.BinarySearch(m, now+1)
@@ -49,11 +49,11 @@
 	return &Index[S]{roles: make([]role[S], roles), kinds: make([]warmTimes, kinds)}
 }
 
-// Replace takes the servers that are ready in place of those before. Their order is kept within each role.
+// Replace sets the ready servers. Their order is kept within each role.
 func (x *Index[S]) Replace(all []Entry[S]) {
 	for i := range x.roles {
 		r := &x.roles[i]
-		clear(r.ready) // lets go of servers that have left
+		clear(r.ready) // do not keep removed servers reachable
 		r.ready, r.warmAt, r.warmTimes, r.warmCount = r.ready[:0], r.warmAt[:0], r.warmTimes[:0], unknownCount
 	}
 	for i := range x.kinds {
@@ -72,7 +72,7 @@
 	}
 }
 
-// partition sorts the servers of a role into warm and cold ones, if that has changed.
+// partition divides the servers of a role into warm and cold ones, unless the current division is still valid.
 func (x *Index[S]) partition(roleNumber int, now time.Duration) *role[S] {
 	r := &x.roles[roleNumber]
 	count := r.warmTimes.countUntil(now)
@@ -92,14 +92,15 @@
 	return r
 }
 
-// Ready lists the servers of a role. Like the lists of Warm and Cold it is to be read only, and good until the next call.
+// Ready returns the servers of a role. Like the results of Warm and Cold, the slice must not be modified and is valid
+// until the next call.
 func (x *Index[S]) Ready(role int) []S { return x.roles[role].ready }
 
-// Warm lists the servers of a role that are warm at a time.
+// Warm returns the servers of a role that are warm at the given time.
 func (x *Index[S]) Warm(role int, now time.Duration) []S { return x.partition(role, now).warm }
 
-// Cold lists the others.
+// Cold returns the servers of a role that are not yet warm at the given time.
 func (x *Index[S]) Cold(role int, now time.Duration) []S { return x.partition(role, now).cold }
 
-// WarmOfKind is how many servers of a kind are warm at a time.
+// WarmCount returns the number of servers of a kind that are warm at the given time.
 func (x *Index[S]) WarmOfKind(kind int, now time.Duration) int { return x.kinds[kind].countUntil(now) }
--- a/internal/serverindex/serverindex_test.go
+++ b/internal/serverindex/serverindex_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The index says what a look through the whole list does, after each change and at any time.
+// The index agrees with a scan of the whole list, after each change and at any time.
 func TestIndexAgreesWithTheList(t *testing.T) {
 	const roles, kinds, maxServers = 3, 4, 30
 	random := rand.New(rand.NewPCG(1, 1))
