--- a/decide/api.go
+++ b/decide/api.go
@@ -127,15 +127,15 @@
 	TimeLeft  time.Duration // until the client gives up this try
 	Session   uint64        // 0 = none
 	Prefix    uint64        // identifies the shared prefix of the prompt, 0 = none
-	Prompt    int           // length of the prompt
-	PrefixLen int           // length of the shared prefix
-	MaxOutput int           // upper bound on the length of the answer
+	Prompt    int           // length of the prompt in tokens
+	PrefixLen int           // length of the shared prefix in tokens
+	MaxOutput int           // upper bound on the answer in tokens
 	Hint      time.Duration // estimate of the answer's duration at TPOTTarget, 0 = none
 	Repeat    bool          // known to be a further try of a client
 	Resumed   bool          // sent again after its stream broke
 	// Leased says that the transport releases held states by itself once their router shows no sign of life.
 	Leased bool
-	// Kept is the number of prompt tokens that servers report as cached, by server ID. A report overrides the
+	// CachedTokens is the number of prompt tokens that servers report as cached, by server ID. A report overrides the
 	// Router's own record; for a server without an entry nothing is reported. It is nil where there are no reports.
 	Kept map[string]int
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -495,9 +495,8 @@
 // admits limits the load on popular servers. A server in higher demand than its peers takes a bounded
 // multiple of their mean, more while it is faster than they and less while it is slower. Its sessions are
 // chosen by hash: all routers spill the same ones, to the same next server. This covers popular prefixes that
-// overload their home though no single router has two requests there, and slow readers that would keep their
-// sessions. Transfer times from the cell count as well, for cells with few writers. A handful of requests may
-// be mistaken for popularity.
+// overload their home though no router has two requests there, and slow readers that would keep their
+// sessions. Transfer times count too, for cells with few writers. A few requests may look like popularity.
 func (r *Router) admits(p *request, s *server, mean float64) bool {
 	probeUnanswered := s.probedAt > s.probeAnsweredAt && r.now-s.probedAt < probeValidFor &&
 		r.probeAnsweredAt[s.role] >= s.probedAt
@@ -555,8 +554,7 @@
 }
 
 // linksSlow reports whether transfers out of a cell recently took far longer than those inside. The writers
-// of the cell are then filled further before states leave it. Occasional far transfers, when those writers
-// are full, show when the links have recovered.
+// of the cell are then filled further before states leave it; the far transfers that remain show a recovery.
 func (r *Router) linksSlow() bool {
 	return r.now-r.farTransfers.at < maxBackoff && r.farTransfers.n > 2 &&
 		r.farTransfers.value > slowLinkFactor*r.nearTransfers.value
@@ -677,8 +675,7 @@
 
 // recordUnreachable records an attempt without a sign of life, if nothing has been heard from its zone since.
 // Enough of them put the zone into backoff while there are others, so that a lost zone is not discovered
-// server by server, one connect timeout each. If a router uses only one server of a zone, its failure takes
-// the zone out for a second.
+// server by server, one connect timeout each. One dead server may take a rarely used zone out for a second.
 func (r *Router) recordUnreachable(s *server, sentAt time.Duration, weight float64) {
 	z := r.zone(s.Zone)
 	if z.aliveAt >= sentAt {
@@ -824,7 +821,8 @@
 // changes with server and round. If each router adds it to its fractional part of a budget and rounds down,
 // the results add up to the whole budget.
 func (r *Router) budgetOffset(s *server, round uint64) float64 {
-	_, offset := math.Modf(fraction(rendezvousHash(s, round)) + float64(r.cfg.Front)/float64(r.cfg.Fronts))
+	_, offset := math.Modf(fraction(rendezvousHash(s, round)) +
+		float64(r.cfg.Front)/float64(r.cfg.Fronts))
 	return offset
 }
 
@@ -954,7 +952,8 @@
 			r.recordUnreachable(s, a.sentAt, partialMiss)
 		}
 	}
-	resultKnown := o.Status == Full || o.Status == ConnectFailed || o.Status == Moot || o.Status == Served
+	resultKnown := o.Status == Full || o.Status == ConnectFailed ||
+		o.Status == Moot || o.Status == Served
 	if !a.read && !resultKnown && p.mayHaveRun == nil {
 		first := *a
 		p.mayHaveRun = &first
