--- a/decide/settings.go
+++ b/decide/settings.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// Settings that are replaced while requests are under way. Nothing is decided here: see decide.go.
+// Replacement of the settings of a running Router. The decisions are in decide.go.
 
-// RestartError says that settings differ from those in force in something that holds for as long as the process runs.
+// RestartError reports a change to a setting that is fixed for the lifetime of the process.
 type RestartError struct {
-	What string // the setting
+	What string // name of the setting
 }
 
 // Error implements error.
 func (e *RestartError) Error() string { return e.What + ": a change needs a restart" }
 
-// Apply puts other settings in force, unless they make no sense or need a restart: then the old ones hold, all of them.
-// Requests under way keep the class that they came with, their deadline, and what was learned stays; what holds for servers
-// and for all requests together changes at once.
-func (r *Router) Apply(now time.Duration, set Settings) error {
-	if err := check(set); err != nil {
+// Apply replaces the settings. If they are invalid or need a restart it returns an error, which is a *RestartError in
+// the second case, and the old settings stay in force as a whole. Open requests keep their class and their deadline,
+// and learned estimates are kept; all other changes take effect at once.
+func (r *Router) Apply(now time.Duration, cfg Settings) error {
+	if err := check(cfg); err != nil {
 		return fmt.Errorf("decide: %w", err)
 	}
-	if err := r.set.needsRestart(set); err != nil {
+	if err := r.cfg.needsRestart(cfg); err != nil {
 		return err
 	}
-	r.now, r.set = now, set
-	r.worth = highestWorth(set.Classes)
+	r.now, r.cfg = now, cfg
+	r.maxValue = highestValue(cfg.Classes)
 	for _, s := range r.servers {
-		s.warmAt = set.warmAt(s.Since)
+		s.warmAt = cfg.warmAt(s.Since)
 	}
-	r.count()
+	r.rebuildIndex()
 	return nil
 }
 
-// needsRestart names the first difference that can't be taken while the process runs: the numbers of classes, tenants and
-// kinds stand for names that fronts have given out, the role of a kind and the clock's step for what is under way.
+// needsRestart returns a RestartError for the first difference that cannot be applied to a running process. Classes,
+// tenants and kinds are known to callers by their indices, and requests in flight depend on the roles of the kinds
+// and on the clock step.
 func (s Settings) needsRestart(next Settings) error {
 	sameRole := func(a, b Kind) bool { return a.Role == b.Role }
 	for _, fixed := range []struct {
-		what string
+		name string
 		same bool
 	}{
 		{"the router's number", s.Front == next.Front},
@@ -53,7 +54,7 @@
 		{"kinds and their roles", slices.EqualFunc(s.Kinds, next.Kinds, sameRole)},
 	} {
 		if !fixed.same {
-			return &RestartError{fixed.what}
+			return &RestartError{fixed.name}
 		}
 	}
 	return nil
--- a/internal/lazysort/lazysort.go
+++ b/internal/lazysort/lazysort.go
@@ -1,46 +1,47 @@
-// Package lazysort hands out the elements of a list in order without sorting those that nobody asks for: the first two cost
-// one pass over the list, the others a heap's logarithm.
+// Package lazysort returns the elements of a list in order without sorting those that are never requested. The first
+// two elements cost one pass over the list, each further one O(log n).
 package lazysort
 
-// Order is a list that is handed out in order. It permutes the slice that it was made of.
+// Order is a list whose elements are returned in order, one at a time. It permutes the slice that it was made from.
 type Order[T any] struct {
-	items  []T // those that are left; as a heap once heaped
-	before func(a, b T) bool
-	handed int
-	heaped bool
+	items    []T // remaining elements, a heap once isHeap is set
+	before   func(a, b T) bool
+	returned int
+	isHeap   bool
 }
 
-// New returns an Order of items, in which an element comes before others as before says.
+// New returns an Order of items, sorted by before, which must be a strict weak ordering.
 func New[T any](items []T, before func(a, b T) bool) Order[T] {
 	return Order[T]{items: items, before: before}
 }
 
-// Next is the next element, and whether there is one.
+// Next returns the next element, or ok == false if there are no more.
 func (o *Order[T]) Next() (next T, ok bool) {
 	last := len(o.items) - 1
 	if last < 0 {
 		return next, false
 	}
-	switch o.handed++; o.handed {
+	switch o.returned++; o.returned {
 	case 1:
-		o.firstTwo()
-	case 2: // it is in front already
+		o.moveFirstTwo()
+	case 2: // already at the front
 	case 3:
-		o.heap()
+		o.buildHeap()
 	}
 	next = o.items[0]
-	if !o.heaped {
+	if !o.isHeap {
 		o.items = o.items[1:]
 		return next, true
 	}
 	o.items[0], o.items[last] = o.items[last], o.items[0]
 	o.items = o.items[:last]
-	o.sink(0)
+	o.siftDown(0)
 	return next, true
 }
 
-// firstTwo puts the two elements that come first in front. Most elements are compared once: with the second.
-func (o *Order[T]) firstTwo() {
+// moveFirstTwo moves the first two elements of the order to the front. Most elements are compared only with the
+// second.
+func (o *Order[T]) moveFirstTwo() {
 	items := o.items
 	if len(items) < 2 {
 		return
@@ -59,28 +60,28 @@
 	}
 }
 
-// heap makes a heap of what is left.
-func (o *Order[T]) heap() {
-	o.heaped = true
+// buildHeap turns the remaining elements into a heap.
+func (o *Order[T]) buildHeap() {
+	o.isHeap = true
 	for i := len(o.items)/2 - 1; i >= 0; i-- {
-		o.sink(i)
+		o.siftDown(i)
 	}
 }
 
-// sink moves an element down to its place in the heap.
-func (o *Order[T]) sink(at int) {
+// siftDown moves an element down to its place in the heap.
+func (o *Order[T]) siftDown(parent int) {
 	for {
-		child := 2*at + 1
+		child := 2*parent + 1
 		if child >= len(o.items) {
 			return
 		}
-		if other := child + 1; other < len(o.items) && o.before(o.items[other], o.items[child]) {
-			child = other
+		if sibling := child + 1; sibling < len(o.items) && o.before(o.items[sibling], o.items[child]) {
+			child = sibling
 		}
-		if !o.before(o.items[child], o.items[at]) {
+		if !o.before(o.items[child], o.items[parent]) {
 			return
 		}
-		o.items[at], o.items[child] = o.items[child], o.items[at]
-		at = child
+		o.items[parent], o.items[child] = o.items[child], o.items[parent]
+		parent = child
 	}
 }
