--- a/internal/httpfront/clientconn.go
+++ b/internal/httpfront/clientconn.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	firstBody = 2600 * time.Millisecond // ... and its body after this, both from connecting
-	laterBody = 2500 * time.Millisecond // a later request's body, from its head
-	headStep  = 2 << 10
-	aheadMost = maxHead // kept of what comes behind a request before its answer, past it the connection ends with that
+	firstBodyTimeout = 2600 * time.Millisecond // ... and its body after this, both from connecting
+	laterBodyTimeout = 2500 * time.Millisecond // a later request's body, from its head
+	readBufferStep   = 2 << 10
+	maxReadAhead     = maxHeadBytes // kept of what comes behind a request before its answer, past it the connection ends with that
 )
 
 // epoch is what the times of connections count from.
@@ -27,29 +27,29 @@
 // clientConn is one client's connection.
 type clientConn struct {
 	net.Conn
-	from  *clients
-	since time.Time
-	state atomic.Int32
-	at    atomic.Int64 // when that began, from epoch
-	half  atomic.Bool  // the body at hand has not come; whoever makes it false settles whether the request is served
-	owes  atomic.Bool  // the answer to the request at hand
-	ends  lastRequest
-	came  atomic.Int64 // when the first byte of the head at hand had come at the latest, from epoch
+	from        *clients
+	connectedAt time.Time
+	state       atomic.Int32
+	stateSince  atomic.Int64 // when that began, from epoch
+	bodyPending atomic.Bool  // the body at hand has not come; whoever makes it false settles whether the request is served
+	owes        atomic.Bool  // the answer to the request at hand
+	ends        socketState
+	came        atomic.Int64 // when the first byte of the head at hand had come at the latest, from epoch
 	// Of the requests that were read behind the one at hand, and whether that one's answer is whole.
-	behind   atomic.Int32
-	finished atomic.Bool
+	behind         atomic.Int32
+	answerComplete atomic.Bool
 
 	// Owned by Read, which net/http calls one at a time.
-	buf     []byte       // read and not handed over
-	first   time.Time    // when the first byte of it came
-	ready   int          // so much of it may be
-	body    int64        // of the request's body still to come
-	chunks  *chunkScan   // of a body whose length is not told
-	plain   bool         // all that comes is handed over: the connection ends with this request
-	refused bool         // nothing more is: a head could not be trusted
-	tooMuch bool         // nothing more is taken from the socket: more came behind the request than is kept
-	filler  int          // so many bytes more are handed over in place of the rest of a head that was too long to be kept
-	heads   atomic.Int32 // that were whole
+	buf         []byte       // read and not handed over
+	firstByteAt time.Time    // when the first byte of it came
+	deliverable int          // so much of it may be
+	bodyLeft    int64        // of the request's body still to come
+	chunks      *chunkScan   // of a body whose length is not told
+	passthrough bool         // all that comes is handed over: the connection ends with this request
+	readsEnded  bool         // nothing more is: a head could not be trusted
+	overflowed  bool         // nothing more is taken from the socket: more came behind the request than is kept
+	fillerLeft  int          // so many bytes more are handed over in place of the rest of a head that was too long to be kept
+	headsRead   atomic.Int32 // that were whole
 }
 
 type connKey struct{}
@@ -59,12 +59,12 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// bodyBy is when the body of the request at hand must have come.
-func bodyBy(ctx context.Context) time.Time {
-	if c, ok := ctx.Value(connKey{}).(*clientConn); ok && c.heads.Load() <= 1 {
-		return c.since.Add(firstBody)
+// bodyDeadline is when the body of the request at hand must have come.
+func bodyDeadline(ctx context.Context) time.Time {
+	if c, ok := ctx.Value(connKey{}).(*clientConn); ok && c.headsRead.Load() <= 1 {
+		return c.connectedAt.Add(firstBodyTimeout)
 	}
-	return time.Now().Add(laterBody)
+	return time.Now().Add(laterBodyTimeout)
 }
 
 // onItsWay is how long the request at hand has been on its way in: the time that its client gives it counts from the first
@@ -76,12 +76,12 @@
 	return 0
 }
 
-// is notes what the connection does from now on, unless it has been closed for a newcomer.
-func (c *clientConn) is(state int32) bool {
-	c.at.Store(int64(time.Since(epoch)))
+// setState notes what the connection does from now on, unless it has been closed for a newcomer.
+func (c *clientConn) setState(state int32) bool {
+	c.stateSince.Store(int64(time.Since(epoch)))
 	for {
 		now := c.state.Load()
-		if now == shed {
+		if now == connEvicted {
 			return false
 		}
 		if c.state.CompareAndSwap(now, state) {
@@ -90,18 +90,18 @@
 	}
 }
 
-// connState is told by net/http what it does with a connection.
-func connState(c net.Conn, state http.ConnState) {
+// trackConnState is told by net/http what it does with a connection.
+func trackConnState(c net.Conn, state http.ConnState) {
 	if c, ok := c.(*clientConn); ok {
 		switch state {
 		case http.StateIdle: // nobody reads just now
 			c.owes.Store(false)
-			c.ends.answered(len(c.buf) > 0)
-			if c.is(idle) && c.from.ending.Load() {
-				c.closeIfResting()
+			c.ends.setAnswered(len(c.buf) > 0)
+			if c.setState(connIdle) && c.from.closing.Load() {
+				c.closeIfIdle()
 			}
 		case http.StateActive:
-			c.is(atWork)
+			c.setState(connActive)
 		case http.StateClosed:
 			_ = c.Close()
 		}
@@ -116,58 +116,58 @@
 	return nil
 }
 
-// unreadable takes the place of a head whose framing can't be trusted: net/http answers it with 400 and
+// malformedRequest takes the place of a head whose framing can't be trusted: net/http answers it with 400 and
 // closes, and nothing behind it is looked at.
-const unreadable = "x\r\n\r\n"
+const malformedRequest = "x\r\n\r\n"
 
-// left says that the client has gone, as far as can be told without waiting, or that its connection was closed.
-func (c *clientConn) left() bool { return c.ends.isClosed() || hungUp(c.Conn) }
+// clientGone says that the client has gone, as far as can be told without waiting, or that its connection was closed.
+func (c *clientConn) clientGone() bool { return c.ends.isClosed() || hungUp(c.Conn) }
 
 // Read hands over one head or body after the other, never bytes of both, and no head before the answer to the one before:
 // net/http, which reads on to see whether the client leaves, sees no close behind a byte of another request.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
 		switch {
-		case c.ready > 0:
-			n := copy(p, c.buf[:c.ready])
-			c.buf, c.ready = c.buf[n:], c.ready-n
+		case c.deliverable > 0:
+			n := copy(p, c.buf[:c.deliverable])
+			c.buf, c.deliverable = c.buf[n:], c.deliverable-n
 			if len(c.buf) == 0 {
 				c.buf = nil
 			}
 			return n, nil
-		case c.refused:
+		case c.readsEnded:
 			return 0, io.EOF
-		case c.filler > 0:
-			n := copy(p, fillerHead[:min(len(fillerHead), c.filler)])
-			c.filler -= n
-			c.refused = c.filler == 0
+		case c.fillerLeft > 0:
+			n := copy(p, fillerHead[:min(len(fillerHead), c.fillerLeft)])
+			c.fillerLeft -= n
+			c.readsEnded = c.fillerLeft == 0
 			return n, nil
-		case len(c.buf) > 0 && c.plain:
-			c.ready = len(c.buf)
+		case len(c.buf) > 0 && c.passthrough:
+			c.deliverable = len(c.buf)
 			continue
-		case c.plain:
+		case c.passthrough:
 			return c.Conn.Read(p)
-		case len(c.buf) > 0 && c.body > 0:
-			c.ready = int(min(c.body, int64(len(c.buf))))
-			if !c.took(c.ready) {
+		case len(c.buf) > 0 && c.bodyLeft > 0:
+			c.deliverable = int(min(c.bodyLeft, int64(len(c.buf))))
+			if !c.countBody(c.deliverable) {
 				return 0, net.ErrClosed
 			}
-			if c.body == 0 {
-				c.countBehind()
+			if c.bodyLeft == 0 {
+				c.countPipelined()
 			}
 			continue
-		case c.body > 0:
-			n, err := c.Conn.Read(p[:min(int64(len(p)), c.body)])
-			if !c.took(n) {
+		case c.bodyLeft > 0:
+			n, err := c.Conn.Read(p[:min(int64(len(p)), c.bodyLeft)])
+			if !c.countBody(n) {
 				return 0, net.ErrClosed
 			}
 			return n, err
 		case c.chunks != nil:
 			if len(c.buf) > 0 {
-				if !c.takeChunks() {
+				if !c.deliverChunks() {
 					return 0, net.ErrClosed
 				}
-			} else if err := c.fill(); err != nil {
+			} else if err := c.fillBuffer(); err != nil {
 				return 0, err
 			}
 			continue
@@ -178,82 +178,82 @@
 			continue
 		}
 		if end := headEnd(c.buf); end > 0 {
-			if err := c.readyHead(end); err != nil {
+			if err := c.deliverHead(end); err != nil {
 				return 0, err
 			}
 			continue
 		}
-		if c.tooMuch && c.headIsTooLong() {
-			c.begins()
-			c.ready, c.filler = len(c.buf), 2*maxHead // net/http has had enough before
+		if c.overflowed && c.headTooLong() {
+			c.beginRequest()
+			c.deliverable, c.fillerLeft = len(c.buf), 2*maxHeadBytes // net/http has had enough before
 			continue
 		}
-		if c.tooMuch {
-			return 0, c.endHere()
+		if c.overflowed {
+			return 0, c.refuseRest()
 		}
-		if len(c.buf) > maxHead { // net/http answers it with 431
-			c.begins()
-			c.plain = true
+		if len(c.buf) > maxHeadBytes { // net/http answers it with 431
+			c.beginRequest()
+			c.passthrough = true
 			continue
 		}
-		if err := c.fill(); err != nil {
+		if err := c.fillBuffer(); err != nil {
 			return 0, err
 		}
 	}
 }
 
 // fillerHead stands for the rest of a head that was not kept.
-var fillerHead = bytes.Repeat([]byte("x"), headStep)
+var fillerHead = bytes.Repeat([]byte("x"), readBufferStep)
 
-// headIsTooLong says that what was kept is all one head, without its end. Guards against a refusal, which has its client come
+// headTooLong says that what was kept is all one head, without its end. Guards against a refusal, which has its client come
 // again, where net/http's own answer to such a head is due.
-func (c *clientConn) headIsTooLong() bool {
-	return len(c.buf) >= maxHead && bytes.IndexByte(c.buf, '\n') >= 0 && headEnd(c.buf) == 0
+func (c *clientConn) headTooLong() bool {
+	return len(c.buf) >= maxHeadBytes && bytes.IndexByte(c.buf, '\n') >= 0 && headEnd(c.buf) == 0
 }
 
-// readyHead readies the head at the start of buf, which is whole, to be handed over.
-func (c *clientConn) readyHead(end int) error {
+// deliverHead readies the head at the start of buf, which is whole, to be handed over.
+func (c *clientConn) deliverHead(end int) error {
 	f, ok := requestFraming(c.buf[:end])
-	if c.tooMuch && (f.chunked || int64(len(c.buf)-end) < f.length) {
-		return c.endHere()
+	if c.overflowed && (f.chunked || int64(len(c.buf)-end) < f.length) {
+		return c.refuseRest()
 	}
-	c.heads.Add(1)
-	if !c.is(atWork) {
+	c.headsRead.Add(1)
+	if !c.setState(connActive) {
 		return net.ErrClosed
 	}
-	c.begins()
+	c.beginRequest()
 	if !ok {
-		c.buf, c.ready, c.refused = []byte(unreadable), len(unreadable), true
+		c.buf, c.deliverable, c.readsEnded = []byte(malformedRequest), len(malformedRequest), true
 		return nil
 	}
 	c.owes.Store(true)
-	c.came.Store(int64(c.first.Sub(epoch)))
-	c.ready, c.body = end, f.length
+	c.came.Store(int64(c.firstByteAt.Sub(epoch)))
+	c.deliverable, c.bodyLeft = end, f.length
 	if f.chunked {
 		c.chunks = &chunkScan{}
 	}
-	c.half.Store(c.body > 0 || f.chunked)
-	if !c.half.Load() {
-		c.countBehind()
+	c.bodyPending.Store(c.bodyLeft > 0 || f.chunked)
+	if !c.bodyPending.Load() {
+		c.countPipelined()
 	}
 	return nil
 }
 
-// begins notes that net/http has a request to answer: the answer before is no longer the latest, and what was counted as read
+// beginRequest notes that net/http has a request to answer: the answer before is no longer the latest, and what was counted as read
 // behind it is at hand.
-func (c *clientConn) begins() {
-	c.finished.Store(false)
+func (c *clientConn) beginRequest() {
+	c.answerComplete.Store(false)
 	c.behind.Store(0)
 }
 
-// fill reads more into buf.
-func (c *clientConn) fill() error {
-	if cap(c.buf)-len(c.buf) < headStep/2 {
-		c.buf = append(make([]byte, 0, 2*len(c.buf)+headStep), c.buf...)
+// fillBuffer reads more into buf.
+func (c *clientConn) fillBuffer() error {
+	if cap(c.buf)-len(c.buf) < readBufferStep/2 {
+		c.buf = append(make([]byte, 0, 2*len(c.buf)+readBufferStep), c.buf...)
 	}
-	n, err := c.take(c.buf[len(c.buf):cap(c.buf)])
+	n, err := c.readSocket(c.buf[len(c.buf):cap(c.buf)])
 	if len(c.buf) == 0 {
-		c.first = time.Now()
+		c.firstByteAt = time.Now()
 	}
 	c.buf = c.buf[:len(c.buf)+n]
 	return err
@@ -262,54 +262,54 @@
 // readAhead reads what comes behind the request at hand before its answer, and keeps so much of it. It goes on beyond that:
 // the end of what a client sends is seen only behind all that was sent before.
 func (c *clientConn) readAhead() error {
-	if c.tooMuch {
-		junk := make([]byte, headStep)
+	if c.overflowed {
+		discarded := make([]byte, readBufferStep)
 		for {
-			if _, err := c.take(junk); err != nil {
+			if _, err := c.readSocket(discarded); err != nil {
 				return err
 			}
 		}
 	}
-	err := c.fill()
-	if c.tooMuch = len(c.buf) > aheadMost; c.tooMuch {
-		c.buf = c.buf[:aheadMost]
+	err := c.fillBuffer()
+	if c.overflowed = len(c.buf) > maxReadAhead; c.overflowed {
+		c.buf = c.buf[:maxReadAhead]
 	}
-	c.countBehind()
+	c.countPipelined()
 	return err
 }
 
-// countBehind notes what was read behind the request at hand, once that was handed over or is ready to be.
-func (c *clientConn) countBehind() { c.behind.Store(int32(pendingRequests(c.buf[c.ready:]))) }
+// countPipelined notes what was read behind the request at hand, once that was handed over or is ready to be.
+func (c *clientConn) countPipelined() { c.behind.Store(int32(countRequests(c.buf[c.deliverable:]))) }
 
-// endHere ends what is handed over where the rest of a request was not kept, and refuses that request and those behind it.
-func (c *clientConn) endHere() error {
-	c.refused = true
+// refuseRest ends what is handed over where the rest of a request was not kept, and refuses that request and those behind it.
+func (c *clientConn) refuseRest() error {
+	c.readsEnded = true
 	c.behind.Store(0) // what was counted is among them
-	c.refuse(pendingRequests(c.buf))
+	c.refuse(countRequests(c.buf))
 	return io.EOF
 }
 
-// takeChunks readies what is at hand of a chunked body. One that makes no sense is net/http's to refuse. It says no where
+// deliverChunks readies what is at hand of a chunked body. One that makes no sense is net/http's to refuse. It says no where
 // the connection was closed for a newcomer before the end came.
-func (c *clientConn) takeChunks() bool {
+func (c *clientConn) deliverChunks() bool {
 	n, end, err := c.chunks.feed(c.buf)
-	if c.ready = n; err != nil {
-		c.ready, c.plain = len(c.buf), true
+	if c.deliverable = n; err != nil {
+		c.deliverable, c.passthrough = len(c.buf), true
 	}
 	if end || err != nil {
 		c.chunks = nil
-		if !c.plain {
-			c.countBehind()
+		if !c.passthrough {
+			c.countPipelined()
 		}
-		return c.half.CompareAndSwap(true, false)
+		return c.bodyPending.CompareAndSwap(true, false)
 	}
 	return true
 }
 
-// took counts what has come of the body. It says no where the connection was closed for a newcomer before the end came.
-func (c *clientConn) took(n int) bool {
-	if c.body -= int64(n); c.body > 0 {
+// countBody counts what has come of the body. It says no where the connection was closed for a newcomer before the end came.
+func (c *clientConn) countBody(n int) bool {
+	if c.bodyLeft -= int64(n); c.bodyLeft > 0 {
 		return true
 	}
-	return c.half.CompareAndSwap(true, false)
+	return c.bodyPending.CompareAndSwap(true, false)
 }
--- a/internal/httpfront/clients.go
+++ b/internal/httpfront/clients.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	firstWord  = 2 * time.Second         // a new connection's first head is whole after this
-	idleTime   = 2500 * time.Millisecond // a connection between two requests may stand idle so long
-	silentMin  = 50 * time.Millisecond   // nobody is called silent or idle sooner
-	halfMin    = 300 * time.Millisecond  // and nobody is taken to have stopped in a body
-	turnedMost = 16                      // turned away at once, past them new connections wait
-	turnedTime = 200 * time.Millisecond  // to send what is not read before a reset eats the answer
+	firstHeadTimeout        = 2 * time.Second         // a new connection's first head is whole after this
+	idleTimeout             = 2500 * time.Millisecond // a connection between two requests may stand idle so long
+	minIdleTime             = 50 * time.Millisecond   // nobody is called silent or idle sooner
+	minBodyStall            = 300 * time.Millisecond  // and nobody is taken to have stopped in a body
+	maxConcurrentRejections = 16                      // turned away at once, past them new connections wait
+	rejectionTimeout        = 200 * time.Millisecond  // to send what is not read before a reset eats the answer
 )
 
 // clients is a listener that holds at most so many connections. When they are all taken, a newcomer gets the
@@ -34,24 +34,24 @@
 // to come back. Nobody is left without an answer.
 type clients struct {
 	net.Listener
-	most   int
-	again  string // the Retry-After line for who is turned away, may be empty
-	mu     sync.Mutex
-	conns  map[*clientConn]bool
-	turned chan struct{} // bounds those that are being turned away
-	log    *slog.Logger
-	told   time.Time      // the latest line about a full house, and since then:
-	away   int            // turned away
-	closed int            // closed for newcomers
-	left   chan struct{}  // closed by leave
-	ending atomic.Bool    // connections end with their answer
-	open   inflight.Count // the connections
-	served chan struct{}  // closed when Accept is not called any more
+	maxConns    int
+	retryAfter  string // the Retry-After line for who is turned away, may be empty
+	mu          sync.Mutex
+	conns       map[*clientConn]bool
+	rejecting   chan struct{} // bounds those that are being turned away
+	log         *slog.Logger
+	lastWarning time.Time      // the latest line about a full house, and since then:
+	rejected    int            // turned away
+	evicted     int            // closed for newcomers
+	backlogOnly chan struct{}  // closed by leave
+	closing     atomic.Bool    // connections end with their answer
+	open        inflight.Count // the connections
+	acceptDone  chan struct{}  // closed when Accept is not called any more
 }
 
-func newClients(l net.Listener, most int, again time.Duration, log *slog.Logger) *clients {
-	return &clients{Listener: l, most: max(1, most), again: retryAfterLine(again), conns: make(map[*clientConn]bool), turned: make(chan struct{}, turnedMost), log: log,
-		left: make(chan struct{}), served: make(chan struct{})}
+func newClients(l net.Listener, maxConns int, retryAfter time.Duration, log *slog.Logger) *clients {
+	return &clients{Listener: l, maxConns: max(1, maxConns), retryAfter: retryAfterLine(retryAfter), conns: make(map[*clientConn]bool), rejecting: make(chan struct{}, maxConcurrentRejections), log: log,
+		backlogOnly: make(chan struct{}), acceptDone: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
@@ -64,11 +64,11 @@
 		if x := l.admit(c); x != nil {
 			return x, nil
 		}
-		l.full(&l.away)
-		l.turned <- struct{}{}
+		l.reportFull(&l.rejected)
+		l.rejecting <- struct{}{}
 		go func() {
-			defer func() { <-l.turned }()
-			turnAway(c, l.again)
+			defer func() { <-l.rejecting }()
+			rejectConn(c, l.retryAfter)
 		}()
 	}
 }
@@ -80,7 +80,7 @@
 		return c, nil
 	}
 	select {
-	case <-l.left:
+	case <-l.backlogOnly:
 	default:
 		return nil, err
 	}
@@ -90,7 +90,7 @@
 	}
 	// The deadline ends Accept before it looks: what waits in the socket's queue is taken one by one, with
 	// nothing between the last look and the close.
-	if c := waitingAt(t); c != nil {
+	if c := acceptQueued(t); c != nil {
 		return c, nil
 	}
 	t.Close()
@@ -107,7 +107,7 @@
 			return c, err
 		}
 		if outOfDescriptors(err) {
-			if made, _ := l.makeRoom(); made {
+			if freed, _ := l.makeRoom(); freed {
 				continue
 			}
 		}
@@ -116,11 +116,11 @@
 	}
 }
 
-// waitingTries is how often a failure is passed over while the queue of a socket is emptied.
-const waitingTries = 64
+// maxAcceptTries is how often a failure is passed over while the queue of a socket is emptied.
+const maxAcceptTries = 64
 
-// waitingAt takes a connection that has come already, nil where there is none.
-func waitingAt(t *net.TCPListener) net.Conn {
+// acceptQueued takes a connection that has come already, nil where there is none.
+func acceptQueued(t *net.TCPListener) net.Conn {
 	raw, err := t.SyscallConn()
 	if err != nil {
 		return nil
@@ -128,7 +128,7 @@
 	fd := -1
 	_ = raw.Control(func(l uintptr) {
 		var err error
-		for range waitingTries {
+		for range maxAcceptTries {
 			fd, _, err = syscall.Accept4(int(l), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			if err == nil || errors.Is(err, syscall.EAGAIN) {
 				return
@@ -147,16 +147,16 @@
 	return c
 }
 
-// leave gives the address up to another process that listens there too: what has come is still taken.
+// closeAfterBacklog gives the address up to another process that listens there too: what has come is still taken.
 // Guards against the reset of connections that wait in the queue of a socket that closes.
-func (l *clients) leave() {
+func (l *clients) closeAfterBacklog() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case <-l.left:
+	case <-l.backlogOnly:
 		return
 	default:
-		close(l.left)
+		close(l.backlogOnly)
 	}
 	if t, ok := l.Listener.(*net.TCPListener); ok {
 		_ = t.SetDeadline(time.Now())
@@ -164,55 +164,55 @@
 }
 
 // limit changes how many connections are held.
-func (l *clients) limit(most int) {
+func (l *clients) limit(maxConns int) {
 	l.mu.Lock()
-	l.most = max(1, most)
+	l.maxConns = max(1, maxConns)
 	l.mu.Unlock()
 }
 
-// sweep closes connections at which no request is at work.
-func (l *clients) sweep() {
+// closeInactive closes connections at which no request is at work.
+func (l *clients) closeInactive() {
 	l.mu.Lock()
-	var old []*clientConn
+	var inactive []*clientConn
 	for c := range l.conns {
 		switch kind := int(c.state.Load()); {
-		case kind == atWork && time.Since(epoch)-time.Duration(c.at.Load()) > halfMin:
-			if c.half.CompareAndSwap(true, false) { // a body that has stopped
-				old = append(old, c)
+		case kind == connActive && time.Since(epoch)-time.Duration(c.stateSince.Load()) > minBodyStall:
+			if c.bodyPending.CompareAndSwap(true, false) { // a body that has stopped
+				inactive = append(inactive, c)
 			}
-		case (kind == waiting || kind == idle) && c.state.CompareAndSwap(int32(kind), shed):
-			old = append(old, c)
+		case (kind == connAwaitingHead || kind == connIdle) && c.state.CompareAndSwap(int32(kind), connEvicted):
+			inactive = append(inactive, c)
 		}
 	}
 	l.mu.Unlock()
-	for _, c := range old {
+	for _, c := range inactive {
 		c.evict()
 	}
 }
 
 // Guard returns l such that at most so many connections to server are held and the silent ones make room.
-func Guard(server *http.Server, l net.Listener, most int, log *slog.Logger) net.Listener {
-	server.ConnContext, server.ConnState, server.MaxHeaderBytes = withConn, connState, maxHead
-	return newClients(l, most, 0, log)
+func Guard(server *http.Server, l net.Listener, maxConns int, log *slog.Logger) net.Listener {
+	server.ConnContext, server.ConnState, server.MaxHeaderBytes = withConn, trackConnState, maxHeadBytes
+	return newClients(l, maxConns, 0, log)
 }
 
 // admit takes a connection in, or returns nil where all that there may be are at work.
 func (l *clients) admit(c net.Conn) *clientConn {
 	for {
 		l.mu.Lock()
-		if len(l.conns) < l.most {
-			x := &clientConn{Conn: c, from: l, since: time.Now()}
-			x.is(waiting)
+		if len(l.conns) < l.maxConns {
+			x := &clientConn{Conn: c, from: l, connectedAt: time.Now()}
+			x.setState(connAwaitingHead)
 			l.conns[x] = true
 			l.open.Begin()
 			l.mu.Unlock()
 			return x
 		}
 		l.mu.Unlock()
-		switch made, wait := l.makeRoom(); {
-		case !made && wait == 0:
+		switch freed, wait := l.makeRoom(); {
+		case !freed && wait == 0:
 			return nil
-		case !made:
+		case !freed:
 			time.Sleep(wait)
 		}
 	}
@@ -220,17 +220,17 @@
 
 // makeRoom closes the connection that goes first, never one at work. Where there is none yet it says how long until there
 // may be, 0 = none at all.
-func (l *clients) makeRoom() (made bool, wait time.Duration) {
+func (l *clients) makeRoom() (freed bool, wait time.Duration) {
 	for {
 		l.mu.Lock()
-		old, wait := l.victim()
+		candidate, wait := l.victim()
 		l.mu.Unlock()
-		if old == nil {
+		if candidate == nil {
 			return false, wait
 		}
-		if old.half.CompareAndSwap(true, false) || old.state.CompareAndSwap(waiting, shed) || old.state.CompareAndSwap(idle, shed) {
-			old.evict()
-			l.full(&l.closed)
+		if candidate.bodyPending.CompareAndSwap(true, false) || candidate.state.CompareAndSwap(connAwaitingHead, connEvicted) || candidate.state.CompareAndSwap(connIdle, connEvicted) {
+			candidate.evict()
+			l.reportFull(&l.evicted)
 			return true, 0
 		}
 	}
@@ -239,20 +239,20 @@
 // victim is the connection that goes first for a newcomer. Where those that could are too young yet, it
 // says how long until one is not. The caller holds the lock.
 func (l *clients) victim() (first *clientConn, wait time.Duration) {
-	best, age := len(shedAfter), time.Duration(0)
+	best, age := len(minAgeBeforeEviction), time.Duration(0)
 	for c := range l.conns {
-		kind, since := int(c.state.Load()), time.Since(epoch)-time.Duration(c.at.Load())
-		if kind == atWork {
-			if !c.half.Load() {
+		kind, since := int(c.state.Load()), time.Since(epoch)-time.Duration(c.stateSince.Load())
+		if kind == connActive {
+			if !c.bodyPending.Load() {
 				continue
 			}
-			kind = halfBody
+			kind = connAwaitingBody
 		}
-		if kind >= len(shedAfter) {
+		if kind >= len(minAgeBeforeEviction) {
 			continue
 		}
-		if left := shedAfter[kind] - since; left > 0 {
-			if kind != halfBody && (wait == 0 || left < wait) {
+		if left := minAgeBeforeEviction[kind] - since; left > 0 {
+			if kind != connAwaitingBody && (wait == 0 || left < wait) {
 				wait = left
 			}
 			continue
@@ -264,16 +264,16 @@
 	return first, wait
 }
 
-// full counts what a full house led to, and says so once a second at most.
-func (l *clients) full(what *int) {
+// reportFull counts what a reportFull house led to, and says so once a second at most.
+func (l *clients) reportFull(counter *int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	*what++
-	if time.Since(l.told) < time.Second {
+	*counter++
+	if time.Since(l.lastWarning) < time.Second {
 		return
 	}
-	l.log.Warn("full house", "open", len(l.conns), "turned_away", l.away, "closed", l.closed)
-	l.told, l.away, l.closed = time.Now(), 0, 0
+	l.log.Warn("full house", "open", len(l.conns), "turned_away", l.rejected, "closed", l.evicted)
+	l.lastWarning, l.rejected, l.evicted = time.Now(), 0, 0
 }
 
 // retryAfterLine is the line of a head that says when to come back, empty where none may be told.
@@ -281,40 +281,40 @@
 	if after <= 0 {
 		return ""
 	}
-	return "Retry-After: " + seconds(after) + "\r\n"
+	return "Retry-After: " + formatSeconds(after) + "\r\n"
 }
 
-// refusalText is the answer to a request of which nothing was sent on, such as one that there is no room for. last has it
+// unavailableResponse is the answer to a request of which nothing was sent on, such as one that there is no room for. last has it
 // tell the end of the connection.
-func refusalText(again string, last bool) string {
-	text := "HTTP/1.1 503 Service Unavailable\r\n" + again + "Content-Length: 0\r\n"
+func unavailableResponse(retryAfter string, last bool) string {
+	text := "HTTP/1.1 503 Service Unavailable\r\n" + retryAfter + "Content-Length: 0\r\n"
 	if last {
 		text += "Connection: close\r\n"
 	}
 	return text + "\r\n"
 }
 
-// turnAway refuses whatever a connection brings: nothing of it has been read, let alone sent on.
-func turnAway(c net.Conn, again string) {
+// rejectConn refuses whatever a connection brings: nothing of it has been read, let alone sent on.
+func rejectConn(c net.Conn, retryAfter string) {
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(turnedTime))
-	if _, err := io.WriteString(c, refusalText(again, true)); err != nil {
+	_ = c.SetDeadline(time.Now().Add(rejectionTimeout))
+	if _, err := io.WriteString(c, unavailableResponse(retryAfter, true)); err != nil {
 		return
 	}
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
-	_, _ = io.CopyN(io.Discard, c, maxBody)
+	_, _ = io.CopyN(io.Discard, c, maxBodyBytes)
 }
 
 // What a connection does, in the order in which they make room.
 const (
-	waiting  = iota // for its first whole head
-	idle            // between two requests
-	halfBody        // at work, but its body has not come
-	atWork
-	shed
+	connAwaitingHead = iota // for its first whole head
+	connIdle                // between two requests
+	connAwaitingBody        // at work, but its body has not come
+	connActive
+	connEvicted
 )
 
-// shedAfter is how long it must have done so.
-var shedAfter = [...]time.Duration{waiting: silentMin, idle: silentMin, halfBody: halfMin}
+// minAgeBeforeEviction is how long it must have done so.
+var minAgeBeforeEviction = [...]time.Duration{connAwaitingHead: minIdleTime, connIdle: minIdleTime, connAwaitingBody: minBodyStall}
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -38,14 +38,14 @@
 	t.Helper()
 	s := httptest.NewServer(worker)
 	t.Cleanup(s.Close)
-	f, c := before(t, s.Listener.Addr().String())
+	f, c := newFront(t, s.Listener.Addr().String())
 	front := httptest.NewServer(f)
 	t.Cleanup(front.Close)
 	return front, c
 }
 
-// before is a front before a core whose one reader and one writer are at addr.
-func before(t *testing.T, addr string) (*Front, *core.Core) {
+// newFront is a front newFront a core whose one reader and one writer are at addr.
+func newFront(t *testing.T, addr string) (*Front, *core.Core) {
 	t.Helper()
 	return aimingAt(t, addr, time.Second)
 }
@@ -67,8 +67,8 @@
 	return f, c
 }
 
-// twoStages answers the first call as a reader and leaves the second to write.
-func twoStages(write http.HandlerFunc) http.HandlerFunc {
+// twoStageWorker answers the first call as a reader and leaves the second to write.
+func twoStageWorker(write http.HandlerFunc) http.HandlerFunc {
 	var n atomic.Int64
 	return func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -98,7 +98,7 @@
 
 func TestStreamPassesUnchanged(t *testing.T) {
 	events := "data: {\"a\": 1}\n\n: X-Pressure: queue=1\r\n\ndata: [DONE]\n\n"
-	front, _ := bed(t, twoStages(func(w http.ResponseWriter, r *http.Request) {
+	front, _ := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RequestURI() != "/v1/chat/completions?q=1" || r.Header.Get("X-Txn") != "9b1f03aa5c7e2d41" {
 			t.Errorf("%s, id %q", r.URL, r.Header.Get("X-Txn"))
 		}
@@ -111,8 +111,8 @@
 	}
 }
 
-func TestBrokenStreamBreaksTheClients(t *testing.T) {
-	front, c := bed(t, twoStages(func(w http.ResponseWriter, r *http.Request) {
+func TestBrokenWorkerStreamBreaksClientStream(t *testing.T) {
+	front, c := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, "data: {}\n\n")
 		http.NewResponseController(w).Flush()
@@ -125,9 +125,9 @@
 	waitForCore(t, c)
 }
 
-func TestClientThatStopsReadingIsLetGo(t *testing.T) {
+func TestClientThatStopsReadingIsDisconnected(t *testing.T) {
 	left := make(chan struct{})
-	front, c := bed(t, twoStages(func(w http.ResponseWriter, r *http.Request) {
+	front, c := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
 		defer close(left)
 		for event := bytes.Repeat([]byte("data: {\"a\": 1}\n\n"), 1<<12); ; {
 			if _, err := w.Write(event); err != nil {
@@ -150,7 +150,7 @@
 // may have run: the connection ends after the last byte, on a fresh and on a kept connection.
 func TestResetAfterTheLastByteIsSentOnce(t *testing.T) {
 	var writes atomic.Int64
-	front, _ := bed(t, twoStages(func(w http.ResponseWriter, r *http.Request) {
+	front, _ := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
 		writes.Add(1)
 		panic(http.ErrAbortHandler)
 	}))
@@ -175,7 +175,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 }
 
-func TestOutcomes(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	w := NewWorkers(250*time.Millisecond, 15*time.Second, 100, quiet)
 	refused := closedPort(t)
 	for _, c := range []struct {
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestBadRequestsGetA4xxAndNoAttempt(t *testing.T) {
+func TestBadRequestsGet4xxAndNoAttempt(t *testing.T) {
 	front, _ := bed(t, func(w http.ResponseWriter, r *http.Request) { t.Error("an attempt was made") })
 	for name, bad := range map[string]string{"X-Txn": "a/b", "X-Lane": "none", "X-Entity": "xyz", "X-Remaining-Ms": "1e3",
 		"X-Estimate": "NaN", "X-Resent": "2", "X-Labels": "prompt_len=-1"} {
@@ -242,14 +242,14 @@
 			t.Errorf("%s: %d", none, res.StatusCode)
 		}
 	}
-	if res, _, _ := post(t, front.URL, head(), strings.Repeat(" ", maxBody+1)); res.StatusCode != 413 {
+	if res, _, _ := post(t, front.URL, head(), strings.Repeat(" ", maxBodyBytes+1)); res.StatusCode != 413 {
 		t.Errorf("large body: %d", res.StatusCode)
 	}
 }
 
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	h := http.Header{}
-	if refuse(h, 250*time.Millisecond); h.Get("Retry-After") != "0.250" {
+	if setRetryAfter(h, 250*time.Millisecond); h.Get("Retry-After") != "0.250" {
 		t.Errorf("%v", h)
 	}
 }
@@ -279,8 +279,8 @@
 	}
 }
 
-// cuts seeds a parser's fuzzing with random cuts of a valid message and random garbage.
-func cuts(f *testing.F, valid string) {
+// addDamagedSeeds seeds a parser's fuzzing with random addDamagedSeeds of a valid message and random garbage.
+func addDamagedSeeds(f *testing.F, valid string) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	f.Add(valid)
 	for range 40 {
@@ -296,17 +296,17 @@
 }
 
 func FuzzLabels(f *testing.F) {
-	cuts(f, head().Get("X-Labels"))
+	addDamagedSeeds(f, head().Get("X-Labels"))
 	f.Fuzz(func(t *testing.T, text string) {
 		var q decide.Request
-		if err := labels(&q, text); err == nil && (q.Prompt < 0 || q.PrefixLen < 0 || q.MaxOutput < 0 || q.Prompt > maxTokens) {
+		if err := parseLabels(&q, text); err == nil && (q.Prompt < 0 || q.PrefixLen < 0 || q.MaxOutput < 0 || q.Prompt > maxTokens) {
 			t.Errorf("%q: %+v", text, q)
 		}
 	})
 }
 
 func FuzzList(f *testing.F) {
-	cuts(f, `{"seq":43,"whole":false,"hosts":[{"host":"s","dial":"10.1.0.18:9000","site":"a","class":"m2","block":3,"health":"draining","share":1.0,"born_ms":12}]}`)
+	addDamagedSeeds(f, `{"seq":43,"whole":false,"hosts":[{"host":"s","dial":"10.1.0.18:9000","site":"a","class":"m2","block":3,"health":"draining","share":1.0,"born_ms":12}]}`)
 	names := Names{Kinds: []string{"m2"}, Zones: []string{"a"}}
 	f.Fuzz(func(t *testing.T, text string) {
 		l, err := parseList([]byte(text))
@@ -322,8 +322,8 @@
 }
 
 func FuzzAnswers(f *testing.F) {
-	cuts(f, `{"cached_tokens":4096}`)
-	cuts(f, "util=0.61,queue=2,x0=0.4")
+	addDamagedSeeds(f, `{"cached_tokens":4096}`)
+	addDamagedSeeds(f, "util=0.61,queue=2,x0=0.4")
 	f.Fuzz(func(t *testing.T, text string) {
 		if n, err := parseRead([]byte(text)); err == nil && (n < 0 || n > maxTokens) {
 			t.Errorf("%q: kept %d", text, n)
@@ -337,7 +337,7 @@
 func FuzzHead(f *testing.F) {
 	var b bytes.Buffer
 	head().Write(&b)
-	cuts(f, b.String())
+	addDamagedSeeds(f, b.String())
 	classes := ClassesOf([]string{"chat"})
 	f.Fuzz(func(t *testing.T, text string) {
 		h := http.Header{}
@@ -355,7 +355,7 @@
 // Discovery that has no room must get less to do, from all routers together and each at its own time, and be
 // asked when it says; else many routers that lost it at once keep it down for good. One that is only away is
 // asked again soon. But no wait may be as long as news takes to count as told, however many routers there are.
-func TestDiscoveryWithoutRoomIsLeftAlone(t *testing.T) {
+func TestOverloadedDiscoveryIsBackedOff(t *testing.T) {
 	const each, most = 20 * backoffEach, newsDue - newsSpare
 	busy := fmt.Errorf("watch: %w", notNow{503, 0})
 	for failed := range 40 {
@@ -384,7 +384,7 @@
 
 // A router must ask discovery as soon as it starts, however many others there are: what it has not heard counts
 // as told after some seconds, and it would send to workers that drain or are gone.
-func TestDiscoveryIsAskedAtOnce(t *testing.T) {
+func TestDiscoveryIsQueriedAtOnce(t *testing.T) {
 	got := make(chan bool, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got <- true
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -23,8 +23,8 @@
 	"rowanyard/internal/core"
 )
 
-// holding is a worker that answers nothing. It tells which ids it was sent, and when a connection to it has ended.
-type holding struct {
+// unresponsiveWorker is a worker that answers nothing. It tells which ids it was sent, and when a connection to it has ended.
+type unresponsiveWorker struct {
 	net.Listener
 	mu    sync.Mutex
 	sent  []string
@@ -32,13 +32,13 @@
 	ended chan struct{}
 }
 
-func newHolding(t *testing.T) *holding {
+func newHolding(t *testing.T) *unresponsiveWorker {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	h := &holding{Listener: l, came: make(chan string, 1000), ended: make(chan struct{}, 1000)}
+	h := &unresponsiveWorker{Listener: l, came: make(chan string, 1000), ended: make(chan struct{}, 1000)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -51,7 +51,7 @@
 	return h
 }
 
-func (h *holding) serve(c net.Conn) {
+func (h *unresponsiveWorker) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -94,7 +94,7 @@
 
 // A client that closes has gone, whatever bytes wait behind its request: net/http alone sees no close behind a byte of
 // another request, nor behind bytes that nobody reads.
-func TestACloseIsSeenBehindWhateverWaits(t *testing.T) {
+func TestCloseIsDetectedBehindUnreadData(t *testing.T) {
 	second := message("second", length(bodyText), bodyText)
 	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(bodyText), bodyText)
 	shut := func(c net.Conn) { c.Close() }
@@ -133,7 +133,7 @@
 
 // What comes behind a request is kept for its turn; more than is kept ends the connection after the answer, and is never
 // taken for the client's leaving.
-func TestWhatIsBehindWaitsForItsTurn(t *testing.T) {
+func TestPipelinedRequestWaitsForItsTurn(t *testing.T) {
 	for name, behind := range map[string]string{"a request": message("two", length(bodyText), bodyText), "a flood": strings.Repeat("x", 1<<20)} {
 		answers := []string{"202 X\r\nContent-Length: 2\r\n\r\n{}", "200 X\r\nContent-Length: 10\r\n\r\ndata: {}\n\n"}
 		took := make(chan struct{})
@@ -143,7 +143,7 @@
 			}
 			return "HTTP/1.1 " + answers[n%2]
 		})
-		f, _ := before(t, w)
+		f, _ := newFront(t, w)
 		c := dial(t, listening(t, f, 10), message("one", length(bodyText), bodyText)+behind)
 		close(took)
 		in := bufio.NewReader(c)
@@ -165,15 +165,15 @@
 	}
 }
 
-// tardy is a listener that hands a connection on once its client has closed it, so often; the rest at once.
-type tardy struct {
+// delayingListener is a listener that hands a connection on once its client has closed it, so often; the rest at once.
+type delayingListener struct {
 	net.Listener
-	left int
+	remaining int
 }
 
-func (l *tardy) Accept() (net.Conn, error) {
+func (l *delayingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	if l.left--; err != nil || l.left < 0 {
+	if l.remaining--; err != nil || l.remaining < 0 {
 		return c, err
 	}
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -187,7 +187,7 @@
 }
 
 // A busy router finds a request and its client's close at once, some time after both came: nothing is sent for it.
-func TestNothingIsSentForWhoLeftInTheQueue(t *testing.T) {
+func TestNoAttemptForClientsGoneBeforeAccept(t *testing.T) {
 	h := newHolding(t)
 	f, c := patient(t, h.Addr().String())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -198,7 +198,7 @@
 	for i := range 100 {
 		dial(t, l.Addr().String(), patiently(message(fmt.Sprint("gone", i), length(bodyText), bodyText))).Close()
 	}
-	go f.Serve(&tardy{l, 100}, 1000)
+	go f.Serve(&delayingListener{l, 100}, 1000)
 	stays := dial(t, l.Addr().String(), patiently(message("stays", length(bodyText), bodyText)))
 	for id := ""; id != "stays"; {
 		id = receive(t, h.came, "the attempt of who stays")
@@ -216,16 +216,16 @@
 
 // A connection that is closed in the moment in which a request comes on it: what was read by then is served, or refused
 // where a newcomer takes its place, and what was not is never read. The last byte of a body that comes too late ends nothing.
-func TestARequestThatWasReadIsAnsweredBeforeTheClose(t *testing.T) {
+func TestReadRequestIsAnsweredBeforeClose(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	held := newClients(l, 4, 0, quiet)
+	listener := newClients(l, 4, 0, quiet)
 	accepted := func(text string) (client net.Conn, c *clientConn) {
 		client = dial(t, l.Addr().String(), text)
-		server, err := held.Accept()
+		server, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -241,8 +241,8 @@
 	whole := "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 	client, c := accepted(whole)
 	read(c, whole) // net/http has its head, and still calls the connection idle
-	c.closeIfResting()
-	if c.left() {
+	c.closeIfIdle()
+	if c.clientGone() {
 		t.Error("closed under a request that was read")
 	}
 	const answer = "HTTP/1.1 204 X\r\n\r\n"
@@ -250,12 +250,12 @@
 		t.Error(err)
 	}
 	c.Close()
-	if text, err := io.ReadAll(client); string(text) != answer || err != nil || !c.left() {
-		t.Errorf("%q %v, left: %v", text, err, c.left())
+	if text, err := io.ReadAll(client); string(text) != answer || err != nil || !c.clientGone() {
+		t.Errorf("%q %v, left: %v", text, err, c.clientGone())
 	}
 
 	client, c = accepted(whole)
-	c.closeIfResting()
+	c.closeIfIdle()
 	if n, err := c.Read(make([]byte, 9)); n > 0 || !errors.Is(err, net.ErrClosed) {
 		t.Errorf("%d bytes were read after the close: %v", n, err)
 	}
@@ -264,7 +264,7 @@
 	}
 
 	client, c = accepted(whole[:9])
-	if err := c.fill(); err != nil {
+	if err := c.fillBuffer(); err != nil {
 		t.Fatal(err)
 	}
 	c.evict()
@@ -275,7 +275,7 @@
 	head := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\n"
 	_, c = accepted(head + "body")
 	read(c, head)
-	if !c.half.CompareAndSwap(true, false) { // a newcomer takes its place
+	if !c.bodyPending.CompareAndSwap(true, false) { // a newcomer takes its place
 		t.Fatal("its body has not come")
 	}
 	if n, err := c.Read(make([]byte, 9)); err == nil {
@@ -291,15 +291,15 @@
 
 func (c hookedConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return hookedRaw{raw, c.afterRead}, err
+	return hookedRawConn{raw, c.afterRead}, err
 }
 
-type hookedRaw struct {
+type hookedRawConn struct {
 	syscall.RawConn
 	afterRead func()
 }
 
-func (r hookedRaw) Read(f func(uintptr) bool) error {
+func (r hookedRawConn) Read(f func(uintptr) bool) error {
 	defer r.afterRead()
 	return r.RawConn.Read(f)
 }
@@ -319,7 +319,7 @@
 
 // The end of the process begins right after a request on a resting connection was read, and before net/http has seen it: the
 // request is served to its end, and Shutdown waits for that.
-func TestARequestReadAsTheShutdownBeginsIsServed(t *testing.T) {
+func TestRequestReadAsShutdownBeginsIsServed(t *testing.T) {
 	answers := []string{"202 X\r\nContent-Length: 2\r\n\r\n{}", "200 X\r\nContent-Length: 10\r\n\r\ndata: {}\n\n"}
 	w, _ := rawWorker(t, func(n int) string { return "HTTP/1.1 " + answers[n%2] })
 	f, _ := aimingAt(t, w, time.Hour)
@@ -332,7 +332,7 @@
 	var armed atomic.Bool
 	go f.Serve(hookedListener{l, func() {
 		if armed.CompareAndSwap(true, false) {
-			f.clients.endAfterAnswers(true) // as Shutdown does first
+			f.clients.closeAfterAnswers(true) // as Shutdown does first
 			go func() {
 				f.Shutdown(t.Context(), "")
 				close(ended)
@@ -352,7 +352,7 @@
 			t.Errorf("%d: %v %q %v", n, res, text, err)
 		}
 		if n == 0 {
-			states.waitForRest(t, c)
+			states.waitForIdle(t, c)
 		}
 	}
 	receive(t, ended, "the end of Shutdown")
--- a/internal/httpfront/guard_test.go
+++ b/internal/httpfront/guard_test.go
@@ -22,13 +22,13 @@
 )
 
 // listening serves a front on a real port with room for so many clients.
-func listening(t *testing.T, f *Front, most int) string {
+func listening(t *testing.T, f *Front, maxConns int) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go f.Serve(l, most)
+	go f.Serve(l, maxConns)
 	t.Cleanup(func() { f.server.Close() })
 	return l.Addr().String()
 }
@@ -58,8 +58,8 @@
 
 // A body may hide another request where two readers read its length in two ways. Such a request gets an
 // error, nothing is sent for it, and nothing behind it is taken for a request.
-func TestUnclearFramingIsRefused(t *testing.T) {
-	f, _ := before(t, "127.0.0.1:1")
+func TestAmbiguousFramingIsRejected(t *testing.T) {
+	f, _ := newFront(t, "127.0.0.1:1")
 	addr := listening(t, f, 50)
 	hidden := message("hidden", length(bodyText), bodyText)
 	whole := length(bodyText)
@@ -79,7 +79,7 @@
 		"old version":     strings.Replace(message("a", "Transfer-Encoding: chunked\r\n", hidden), "HTTP/1.1", "HTTP/1.0", 1),
 		"empty line":      "\r\n" + hidden,
 		"two ids":         message("a", "X-Txn: b\r\nConnection: close\r\n"+whole, bodyText),
-		"endless head":    "POST / HTTP/1.1\r\nX: " + strings.Repeat("x", 4*maxHead),
+		"endless head":    "POST / HTTP/1.1\r\nX: " + strings.Repeat("x", 4*maxHeadBytes),
 		"noise":           "\x16\x03\x01\x00\r\n\r\n" + hidden,
 	} {
 		in := bufio.NewReader(dial(t, addr, text))
@@ -99,7 +99,7 @@
 func TestRequestsInOneWriteAreServed(t *testing.T) {
 	answers := []string{"202 X\r\nContent-Length: 2\r\n\r\n{}", "200 X\r\nContent-Length: 10\r\n\r\ndata: {}\n\n"}
 	w, _ := rawWorker(t, func(n int) string { return "HTTP/1.1 " + answers[n%2] })
-	f, _ := before(t, w)
+	f, _ := newFront(t, w)
 	both := message("one", length(bodyText), bodyText) + message("two", length(bodyText), bodyText)
 	in := bufio.NewReader(dial(t, listening(t, f, 50), both))
 	for range 2 {
@@ -114,8 +114,8 @@
 }
 
 // Connections that say nothing, stop halfway or stand idle are closed by themselves, soon.
-func TestWhoSaysNothingIsClosed(t *testing.T) {
-	f, _ := before(t, "127.0.0.1:1")
+func TestSilentConnectionsAreClosed(t *testing.T) {
+	f, _ := newFront(t, "127.0.0.1:1")
 	addr := listening(t, f, 50)
 	begun := map[string]net.Conn{}
 	for name, text := range map[string]string{"silent": "", "half a head": "POST /v1", "half a body": message("a", "Content-Length: 99\r\n", "{"),
@@ -145,7 +145,7 @@
 func followStates(f *Front) *connectionStates {
 	s := &connectionStates{current: make(map[string]http.ConnState), changed: make(chan struct{})}
 	f.server.ConnState = func(c net.Conn, state http.ConnState) {
-		connState(c, state)
+		trackConnState(c, state)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.current[c.RemoteAddr().String()] = state
@@ -155,8 +155,8 @@
 	return s
 }
 
-// waitForRest returns once no request is at work at the client's connection.
-func (s *connectionStates) waitForRest(t *testing.T, client net.Conn) {
+// waitForIdle returns once no request is at work at the client's connection.
+func (s *connectionStates) waitForIdle(t *testing.T, client net.Conn) {
 	t.Helper()
 	limit := time.After(eventLimit)
 	for {
@@ -201,7 +201,7 @@
 
 // When all connections are taken, those that say nothing make room for those that ask; where all are at
 // work, the newcomer is told to come back.
-func TestFullHouse(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	finish, sent := make(chan struct{}), make(chan struct{}, 9)
 	w, _ := rawWorker(t, func(int) string {
 		sent <- struct{}{}
@@ -219,7 +219,7 @@
 	if res, err := http.ReadResponse(bufio.NewReader(kept), nil); err != nil || res.Close {
 		t.Fatal(res, err)
 	}
-	states.waitForRest(t, kept)
+	states.waitForIdle(t, kept)
 	// ask sends a request on a connection of its own and returns its status and that connection.
 	ask := func(text string) (int, net.Conn) {
 		t.Helper()
@@ -237,14 +237,14 @@
 	if status != 200 {
 		t.Errorf("among silent ones: %d", status)
 	}
-	states.waitForRest(t, closing)
+	states.waitForIdle(t, closing)
 	first := dial(t, addr, patiently(message("a", length(bodyText), bodyText)))
 	receive(t, sent, "the first request at the worker")
 	status, conflicting := ask(patiently(message("a", length(bodyText), bodyText)))
 	if status != 409 { // an open id
 		t.Errorf("the id of an open request: %d", status)
 	}
-	states.waitForRest(t, conflicting)
+	states.waitForIdle(t, conflicting)
 	dial(t, addr, patiently(message("b", length(bodyText), bodyText)))
 	receive(t, sent, "the second request at the worker")
 	if status, _ := ask(patiently(message("c", length(bodyText), bodyText))); status != 503 {
@@ -257,8 +257,8 @@
 }
 
 // A client that sends all of a body that is too long before it reads must find the answer there, not a reset.
-func TestLargeBodyIsAnsweredBeforeTheConnectionEnds(t *testing.T) {
-	f, _ := before(t, "127.0.0.1:1")
+func TestLargeBodyIsAnsweredBeforeClose(t *testing.T) {
+	f, _ := newFront(t, "127.0.0.1:1")
 	addr := listening(t, f, 50)
 	long := strings.Repeat("x", 8<<20)
 	for name, text := range map[string]string{"told": message("a", length(long), long),
@@ -271,7 +271,7 @@
 
 // rawWorker answers the n-th request with the bytes of say and then leaves the connection as it is. It
 // also counts the connections.
-func rawWorker(t *testing.T, say func(n int) string) (string, *atomic.Int64) {
+func rawWorker(t *testing.T, answer func(n int) string) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -298,7 +298,7 @@
 						io.WriteString(c, "HTTP/1.1 204 X\r\n\r\n")
 						continue
 					}
-					io.WriteString(c, say(int(asked.Add(1))-1))
+					io.WriteString(c, answer(int(asked.Add(1))-1))
 				}
 			}()
 		}
@@ -317,7 +317,7 @@
 
 // What is spoilt before a whole first event is a failed attempt that has fetched the state; a good stream
 // passes unchanged, whatever comes before or behind it.
-func TestOpenings(t *testing.T) {
+func TestAnswersUpToTheFirstEvent(t *testing.T) {
 	const one, end = "data: {\"a\":1}\n\n", "data: [DONE]\n\n"
 	good := chunk(one) + chunk(": X-Pressure: \x00\xff\n\n") + chunk(end) + "0\r\n\r\n"
 	for name, c := range map[string]struct{ text, want string }{
@@ -364,7 +364,7 @@
 
 // A stream that is spoilt after its first event ends the client's connection without the last chunk, and
 // nothing of the noise passes.
-func TestSpoiltLaterBreaksTheClients(t *testing.T) {
+func TestStreamCorruptedAfterFirstEventBreaksClientStream(t *testing.T) {
 	for name, bad := range map[string]string{"size": "zz\r\n", "claim": "c0000000\r\ndata: xxxx", "misfit": "3\r\ndata: {}\r\n",
 		"noise": chunk("\x01\x02\x03"), "control": chunk("data: \x00\n\n"), "inside a line": chunk("data: {") + "0\r\n\r\n"} {
 		w, _ := rawWorker(t, func(n int) string {
@@ -373,7 +373,7 @@
 			}
 			return chunkedHead + chunk("data: {}\n\n") + bad
 		})
-		f, c := before(t, w)
+		f, c := newFront(t, w)
 		res, err := http.ReadResponse(bufio.NewReader(dial(t, listening(t, f, 9), message("a", length(bodyText), bodyText))), nil)
 		if err != nil || res.StatusCode != 200 && res.StatusCode != 502 {
 			t.Fatal(name, res, err)
@@ -390,7 +390,7 @@
 
 // An answer behind an answer must not be taken for the next request's: its connection serves no further
 // use, while a clean one does.
-func TestOnlyCleanConnectionsServeAgain(t *testing.T) {
+func TestOnlyCleanConnectionsAreReused(t *testing.T) {
 	answer := chunkedHead + chunk("data: {}\n\n") + "0\r\n\r\n"
 	for _, extra := range []string{"", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"} {
 		addr, conns := rawWorker(t, func(int) string { return answer + extra })
@@ -412,7 +412,7 @@
 
 // A second answer that comes some milliseconds behind the first must not be taken for the next request's: what has run
 // would count as turned away, and could be sent again or refused. The next write waits until it would have come.
-func TestALateSecondAnswerIsNobodys(t *testing.T) {
+func TestLateSecondAnswerIsDiscarded(t *testing.T) {
 	const away = "HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -485,7 +485,7 @@
 
 // Past the limit of connections idle ones make room; where none is idle, the attempt was never made and
 // no worker is to blame.
-func TestNoRoomForAnotherConnection(t *testing.T) {
+func TestWorkerConnectionLimit(t *testing.T) {
 	free, at := make(chan struct{}), make(chan struct{}, 1)
 	defer close(free)
 	slow, _ := rawWorker(t, func(int) string { at <- struct{}{}; <-free; return "" })
@@ -515,8 +515,8 @@
 
 // Our reading of a request's framing must agree with net/http's wherever both take it.
 func FuzzRequestFraming(f *testing.F) {
-	cuts(f, message("a", length(bodyText), ""))
-	cuts(f, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n")
+	addDamagedSeeds(f, message("a", length(bodyText), ""))
+	addDamagedSeeds(f, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n")
 	f.Add("POST / HTTP/1.0\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n")
 	f.Add("POST / HTTP/1.1\nHost: x\ncontent-length:\t7\n\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -537,7 +537,7 @@
 
 // However a stream is cut into reads, its chunks and events are seen alike.
 func FuzzStream(f *testing.F) {
-	cuts(f, chunk("data: {\"a\":1}\n\n: note\r\n\r\n")+chunk("data: [DONE]\n\n")+"0\r\nT: x\r\n\r\nbeyond")
+	addDamagedSeeds(f, chunk("data: {\"a\":1}\n\n: note\r\n\r\n")+chunk("data: [DONE]\n\n")+"0\r\nT: x\r\n\r\nbeyond")
 	f.Fuzz(func(t *testing.T, text string) {
 		var once, twice chunkScan
 		n, end, err := once.feed([]byte(text))
@@ -570,7 +570,7 @@
 func TestStreamsAreHandedOver(t *testing.T) {
 	for _, after := range []time.Duration{time.Millisecond, 0} {
 		more := make(chan struct{})
-		front, c := bed(t, twoStages(func(w http.ResponseWriter, r *http.Request) {
+		front, c := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
 			io.WriteString(w, "data: {}\n\n")
 			http.NewResponseController(w).Flush()
 			select {
@@ -604,31 +604,31 @@
 // bytesConn is a connection that brings the given bytes, in pieces of at most so many, and then ends.
 type bytesConn struct {
 	net.Conn
-	in    *strings.Reader
-	piece int
+	in      *strings.Reader
+	maxRead int
 }
 
-func (c bytesConn) Read(p []byte) (int, error)      { return c.in.Read(p[:min(len(p), c.piece)]) }
+func (c bytesConn) Read(p []byte) (int, error)      { return c.in.Read(p[:min(len(p), c.maxRead)]) }
 func (c bytesConn) SetReadDeadline(time.Time) error { return nil }
 
 // Whatever a peer sends, and in whatever pieces, neither side's connection may panic or run on for ever, and
 // what is handed over does not depend on the pieces.
 func FuzzConnections(f *testing.F) {
-	cuts(f, "HTTP/1.1 103 E\r\n\r\n"+chunkedHead+chunk("data: {}\n\n")+"0\r\n\r\nHTTP/1.1 500 X\r\n")
-	cuts(f, message("a", length("{}"), "{}")+message("b", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n"))
+	addDamagedSeeds(f, "HTTP/1.1 103 E\r\n\r\n"+chunkedHead+chunk("data: {}\n\n")+"0\r\n\r\nHTTP/1.1 500 X\r\n")
+	addDamagedSeeds(f, message("a", length("{}"), "{}")+message("b", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n"))
 	f.Add("HTTP/1.1 204 X\r\n\r\n")
 	f.Add("HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\nbeyond")
 	f.Fuzz(func(t *testing.T, text string) {
 		var seen [2]string
-		for i, piece := range []int{1, 1 << 20} {
-			w := &workerConn{Conn: bytesConn{in: strings.NewReader(text), piece: piece}, open: new(atomic.Int64), over: make(chan struct{})}
+		for i, maxRead := range []int{1, 1 << 20} {
+			w := &workerConn{Conn: bytesConn{in: strings.NewReader(text), maxRead: maxRead}, open: new(atomic.Int64), over: make(chan struct{})}
 			w.asked.Store(true)
 			io.Copy(io.Discard, w)
-			c := &clientConn{Conn: bytesConn{in: strings.NewReader(text), piece: piece}, from: newClients(nil, 1, 0, quiet)}
+			c := &clientConn{Conn: bytesConn{in: strings.NewReader(text), maxRead: maxRead}, from: newClients(nil, 1, 0, quiet)}
 			got, _ := io.ReadAll(c)
 			seen[i] = string(got)
 		}
-		if seen[0] != seen[1] && len(text) < maxHead {
+		if seen[0] != seen[1] && len(text) < maxHeadBytes {
 			t.Errorf("%q: %q in single bytes, %q at once", text, seen[0], seen[1])
 		}
 	})
@@ -636,7 +636,7 @@
 
 // Wherever a stream is cut between two reads, what goes on in the next process must be the same text, and
 // nothing that can't be trusted may be taken over.
-func FuzzHandedStreams(f *testing.F) {
+func FuzzHandedOverStreams(f *testing.F) {
 	stream := "5\r\ndata:\r\n1c;x=1\r\n {\"choices\":[{\"delta\":{}}]}\n\r\n1\r\n\n\r\n0\r\n\r\n"
 	for cut := range len(stream) {
 		f.Add(cut, []byte(`{}`))
@@ -644,10 +644,10 @@
 	f.Add(3, []byte(`{"chunk":99}`))
 	f.Add(3, []byte(`{"chunk":3,"left":-1}`))
 	f.Add(3, []byte(`{"chunk":3,"left":300000000,"line":"YQ=="}`))
-	f.Fuzz(func(t *testing.T, cut int, told []byte) {
-		var at handed
-		if json.Unmarshal(told, &at) == nil {
-			if c, e, err := at.scans(); err == nil {
+	f.Fuzz(func(t *testing.T, cut int, data []byte) {
+		var position streamPosition
+		if json.Unmarshal(data, &position) == nil {
+			if c, e, err := position.scanners(); err == nil {
 				_, _, _ = c.feed([]byte(stream))
 				_, _, _ = e.feed([]byte(stream))
 			}
@@ -666,11 +666,11 @@
 			return string(out), chunk, events, end
 		}
 		first, chunk, events, _ := text(chunkScan{}, eventScan{}, stream[:cut])
-		over, _ := json.Marshal(handedOf(chunk, events))
-		if err := json.Unmarshal(over, &at); err != nil {
+		encoded, _ := json.Marshal(handedOf(chunk, events))
+		if err := json.Unmarshal(encoded, &position); err != nil {
 			t.Fatal(err)
 		}
-		chunk, events, err := at.scans()
+		chunk, events, err := position.scanners()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -683,7 +683,7 @@
 
 // A stream that has come regularly and then falls silent must be broken before its answer is too slow to be worth
 // anything, but only where its client asks for the rest, and never for a pause like those before.
-func TestASilentStreamIsBrokenByItsOwnGaps(t *testing.T) {
+func TestStallTimeoutFollowsStreamGaps(t *testing.T) {
 	for _, c := range []struct {
 		resume    bool
 		gap, want time.Duration
--- a/internal/httpfront/handed.go
+++ b/internal/httpfront/handed.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	handTime = 300 * time.Millisecond // the other process takes a stream within this
-	handSize = 4 << 10                // bytes of what is told about one
-	handFds  = 2                      // its client's socket and its worker's
+	handOverTimeout  = 300 * time.Millisecond // the other process takes a stream within this
+	maxPositionBytes = 4 << 10                // bytes of what is told about one
+	handOverSockets  = 2                      // its client's socket and its worker's
 )
 
 var errHanded = errors.New("handed to the process that takes over")
 
-// handed is where a stream stands, between two bytes from its worker.
-type handed struct {
+// streamPosition is where a stream stands, between two bytes from its worker.
+type streamPosition struct {
 	Chunk  chunkState `json:"chunk"`
 	Left   int64      `json:"left"`
 	Count  int        `json:"count"`
@@ -42,14 +42,14 @@
 	Behind int        `json:"behind"` // requests that were read behind the one that is answered
 }
 
-func handedOf(c chunkScan, e eventScan) handed {
-	return handed{Chunk: c.state, Left: c.left, Count: c.count, Line: e.line, Length: e.count, Fine: e.fine, Note: e.note}
+func handedOf(c chunkScan, e eventScan) streamPosition {
+	return streamPosition{Chunk: c.state, Left: c.left, Count: c.count, Line: e.line, Length: e.count, Fine: e.fine, Note: e.note}
 }
 
-// scans are the followers of the stream from there on.
-func (h handed) scans() (chunkScan, eventScan, error) {
+// scanners are the followers of the stream from there on.
+func (h streamPosition) scanners() (chunkScan, eventScan, error) {
 	if h.Chunk < chunkSize || h.Chunk > trailerLF || h.Left < 0 || h.Left > maxChunk || h.Count < 0 || h.Length < 0 || len(h.Line) > h.Length ||
-		h.Behind < 0 || h.Behind > aheadMost {
+		h.Behind < 0 || h.Behind > maxReadAhead {
 		return chunkScan{}, eventScan{}, fmt.Errorf("a stream at %+v", h)
 	}
 	return chunkScan{state: h.Chunk, left: h.Left, count: h.Count},
@@ -57,17 +57,17 @@
 }
 
 // give sends a stream and its sockets to the process that listens at path, and returns when it has them.
-func give(path string, h handed, client, worker int) error {
+func give(path string, h streamPosition, client, worker int) error {
 	text, err := json.Marshal(h)
 	if err != nil {
 		return err
 	}
-	c, err := net.DialTimeout("unixpacket", path, handTime)
+	c, err := net.DialTimeout("unixpacket", path, handOverTimeout)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(handTime))
+	_ = c.SetDeadline(time.Now().Add(handOverTimeout))
 	if _, _, err := c.(*net.UnixConn).WriteMsgUnix(text, syscall.UnixRights(client, worker), nil); err != nil {
 		return err
 	}
@@ -100,11 +100,11 @@
 
 // Handed takes streams from an older process.
 type Handed struct {
-	l     *net.UnixListener
-	log   *slog.Logger
-	again string          // the Retry-After line of refusals, may be empty
-	over  context.Context // when it ends they go on to the next process
-	next  *heir
+	listener   *net.UnixListener
+	log        *slog.Logger
+	retryAfter string          // the Retry-After line of refusals, may be empty
+	over       context.Context // when it ends they go on to the next process
+	next       *heir
 
 	running inflight.Count
 }
@@ -121,49 +121,49 @@
 // TakeFrom listens at path for the streams of an older process; Shutdown ends it.
 func (f *Front) TakeFrom(path string) error {
 	_ = os.Remove(path)
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		return err
 	}
-	h := &Handed{l: l, log: f.log, again: retryAfterLine(f.core.Busy()), over: f.over, next: &f.heirs}
+	h := &Handed{listener: listener, log: f.log, retryAfter: retryAfterLine(f.core.Busy()), over: f.over, next: &f.successorPath}
 	f.mu.Lock()
-	f.handed = h
+	f.receiver = h
 	f.mu.Unlock()
 	go h.serve()
 	return nil
 }
 
-// end takes nothing more and waits for what runs.
-func (h *Handed) end(ctx context.Context) {
-	h.l.Close()
+// stop takes nothing more and waits for what runs.
+func (h *Handed) stop(ctx context.Context) {
+	h.listener.Close()
 	h.running.Wait(ctx)
 }
 
 func (h *Handed) serve() {
 	for {
-		c, err := acceptretry.Do(h.l.AcceptUnix)
+		c, err := acceptretry.Do(h.listener.AcceptUnix)
 		if err != nil {
 			return
 		}
-		if err := h.take(c); err != nil {
+		if err := h.receiveStream(c); err != nil {
 			h.log.Warn("a stream was not taken over", "err", err)
 		}
 		c.Close()
 	}
 }
 
-// take receives one stream.
-func (h *Handed) take(c *net.UnixConn) error {
-	_ = c.SetDeadline(time.Now().Add(handTime))
-	text, rights := make([]byte, handSize), make([]byte, syscall.CmsgSpace(handFds*4))
+// receiveStream receives one stream.
+func (h *Handed) receiveStream(c *net.UnixConn) error {
+	_ = c.SetDeadline(time.Now().Add(handOverTimeout))
+	text, rights := make([]byte, maxPositionBytes), make([]byte, syscall.CmsgSpace(handOverSockets*4))
 	n, m, _, _, err := c.ReadMsgUnix(text, rights)
 	if err != nil {
 		return err
 	}
 	var fds []int
 	if all, err := syscall.ParseSocketControlMessage(rights[:m]); err == nil {
-		for _, one := range all {
-			got, _ := syscall.ParseUnixRights(&one)
+		for _, message := range all {
+			got, _ := syscall.ParseUnixRights(&message)
 			fds = append(fds, got...)
 		}
 	}
@@ -175,13 +175,13 @@
 		}
 		file.Close()
 	}
-	s := &handedStream{from: h}
-	var at handed
-	if err = json.Unmarshal(text[:n], &at); err == nil {
-		s.chunk, s.events, err = at.scans()
+	s := &receivedStream{receiver: h}
+	var position streamPosition
+	if err = json.Unmarshal(text[:n], &position); err == nil {
+		s.chunk, s.events, err = position.scanners()
 	}
-	if len(conns) != handFds && err == nil {
-		err = fmt.Errorf("%d sockets of %d", len(conns), handFds)
+	if len(conns) != handOverSockets && err == nil {
+		err = fmt.Errorf("%d sockets of %d", len(conns), handOverSockets)
 	}
 	if err == nil {
 		_, err = c.Write([]byte("+"))
@@ -193,7 +193,7 @@
 		return err
 	}
 	s.client, s.worker = conns[0], conns[1]
-	s.behind.Store(int32(at.Behind))
+	s.pipelined.Store(int32(position.Behind))
 	h.running.Begin()
 	go func() {
 		defer h.running.End()
@@ -202,17 +202,17 @@
 	return nil
 }
 
-// handedStream is a stream that an older process began.
-type handedStream struct {
-	from           *Handed
+// receivedStream is a stream that an older process began.
+type receivedStream struct {
+	receiver       *Handed
 	client, worker net.Conn
 	chunk          chunkScan
 	events         eventScan
-	behind         atomic.Int32 // requests that were read behind the one that is answered
+	pipelined      atomic.Int32 // requests that were read behind the one that is answered
 }
 
 // run passes the rest of the stream on. Its client's connection ends with it.
-func (s *handedStream) run() {
+func (s *receivedStream) run() {
 	defer s.client.Close()
 	defer s.worker.Close()
 	// Guards against a stream that goes on with nobody to read it.
@@ -220,40 +220,40 @@
 		s.readAhead()
 		s.worker.Close()
 	}()
-	defer context.AfterFunc(s.from.over, func() { _ = s.worker.SetReadDeadline(time.Now()) })()
+	defer context.AfterFunc(s.receiver.over, func() { _ = s.worker.SetReadDeadline(time.Now()) })()
 	buf, out := make([]byte, copyBuffer), []byte(nil)
 	s.chunk.keep = func(p []byte) { out = append(out, p...) }
 	for {
-		if s.from.over.Err() == nil {
+		if s.receiver.over.Err() == nil {
 			_ = s.worker.SetReadDeadline(time.Now().Add(StallLimit))
 		}
-		if s.from.over.Err() != nil { // asked again: the deadline just set may have undone the other one
-			s.pass()
+		if s.receiver.over.Err() != nil { // asked again: the deadline just set may have undone the other one
+			s.handOver()
 			return
 		}
 		n, err := s.worker.Read(buf)
 		out = out[:0]
 		_, end, bad := s.chunk.feed(buf[:n])
 		fit, _, odd := s.events.feed(out)
-		if fit > 0 && s.write(out[:fit]) != nil {
+		if fit > 0 && s.writeChunk(out[:fit]) != nil {
 			return
 		}
 		switch {
 		case bad != nil || odd != nil:
-			s.from.log.Info("stream broke off", "handed", true, "err", errors.Join(bad, odd))
+			s.receiver.log.Info("stream broke off", "handed", true, "err", errors.Join(bad, odd))
 			return
 		case end:
 			if s.events.count == 0 {
 				_ = s.client.SetWriteDeadline(time.Now().Add(writeLimit))
 				_, _ = s.client.Write([]byte("0\r\n\r\n"))
-				writeRefusals(s.client, s.from.again, int(s.behind.Load()))
+				writeRefusals(s.client, s.receiver.retryAfter, int(s.pipelined.Load()))
 			}
 			return
-		case err != nil && s.from.over.Err() != nil:
-			s.pass()
+		case err != nil && s.receiver.over.Err() != nil:
+			s.handOver()
 			return
 		case err != nil:
-			s.from.log.Info("stream broke off", "handed", true, "err", err)
+			s.receiver.log.Info("stream broke off", "handed", true, "err", err)
 			return
 		}
 	}
@@ -261,31 +261,31 @@
 
 // readAhead reads what the client sends until it leaves, and counts the requests in it. What the process before had read may
 // have ended in the middle of a request, so that nothing more is counted then: the first refusal tells the rest.
-func (s *handedStream) readAhead() {
-	counts := s.behind.Load() == 0
+func (s *receivedStream) readAhead() {
+	counts := s.pipelined.Load() == 0
 	var text []byte
-	for part := make([]byte, headStep); ; {
+	for part := make([]byte, readBufferStep); ; {
 		n, err := s.client.Read(part)
 		if err != nil {
 			return
 		}
-		if text = append(text, part[:min(n, aheadMost-len(text))]...); counts {
-			s.behind.Store(int32(pendingRequests(text)))
+		if text = append(text, part[:min(n, maxReadAhead-len(text))]...); counts {
+			s.pipelined.Store(int32(countRequests(text)))
 		}
 	}
 }
 
-// write passes bytes on as one chunk.
-func (s *handedStream) write(p []byte) error {
+// writeChunk passes bytes on as one chunk.
+func (s *receivedStream) writeChunk(p []byte) error {
 	_ = s.client.SetWriteDeadline(time.Now().Add(writeLimit))
 	chunk := fmt.Appendf(make([]byte, 0, len(p)+16), "%x\r\n", len(p))
 	_, err := s.client.Write(append(append(chunk, p...), "\r\n"...))
 	return err
 }
 
-// pass hands the stream on once more.
-func (s *handedStream) pass() {
-	path := s.from.next.get()
+// handOver hands the stream on once more.
+func (s *receivedStream) handOver() {
+	path := s.receiver.next.get()
 	if path == "" {
 		return
 	}
@@ -295,12 +295,12 @@
 		var worker int
 		if worker, err = dup(s.worker); err == nil {
 			defer syscall.Close(worker)
-			at := handedOf(s.chunk, s.events)
-			at.Behind = int(s.behind.Load())
-			err = give(path, at, client, worker)
+			position := handedOf(s.chunk, s.events)
+			position.Behind = int(s.pipelined.Load())
+			err = give(path, position, client, worker)
 		}
 	}
 	if err != nil {
-		s.from.log.Warn("a stream was not handed on", "err", err)
+		s.receiver.log.Warn("a stream was not handed on", "err", err)
 	}
 }
--- a/internal/httpfront/lastrequest.go
+++ b/internal/httpfront/lastrequest.go
@@ -18,64 +18,64 @@
 	"time"
 )
 
-// evictTime is how long refusals before a close may take to write. They fit a socket's buffer.
-const evictTime = 50 * time.Millisecond
+// refusalWriteTimeout is how long refusals before a close may take to write. They fit a socket's buffer.
+const refusalWriteTimeout = 50 * time.Millisecond
 
-// lastRequest is what a connection's end depends on.
-type lastRequest struct {
-	mu      sync.Mutex
-	reading bool // bytes of a request were read and it has not been answered
-	paused  bool // nothing more is read, and the connection is not closed for that
-	closed  bool
+// socketState is what a connection's end depends on.
+type socketState struct {
+	mu             sync.Mutex
+	requestPending bool // bytes of a request were read and it has not been answered
+	paused         bool // nothing more is read, and the connection is not closed for that
+	closed         bool
 }
 
 // pause has nothing more read: another process does.
-func (r *lastRequest) pause() {
+func (r *socketState) pause() {
 	r.mu.Lock()
 	r.paused = true
 	r.mu.Unlock()
 }
 
-func (r *lastRequest) isClosed() bool {
+func (r *socketState) isClosed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.closed
 }
 
-// answered notes that the request at hand has its answer. more says that bytes of the next were read already.
-func (r *lastRequest) answered(more bool) {
+// setAnswered notes that the request at hand has its answer. more says that bytes of the next were read already.
+func (r *socketState) setAnswered(nextBegun bool) {
 	r.mu.Lock()
-	r.reading = more
+	r.requestPending = nextBegun
 	r.mu.Unlock()
 }
 
 // close has nothing more read. It says whether it is the first to, and whether a request is unanswered.
-func (r *lastRequest) close() (first, unanswered bool) {
+func (r *socketState) close() (first, unanswered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	first = !r.closed
 	r.closed = true
-	return first, r.reading
+	return first, r.requestPending
 }
 
-// closeUnread does the same unless a request is unanswered. It says whether it was the one to close.
-func (r *lastRequest) closeUnread() bool {
+// closeIfAnswered does the same unless a request is unanswered. It says whether it was the one to close.
+func (r *socketState) closeIfAnswered() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.reading || r.closed {
+	if r.requestPending || r.closed {
 		return false
 	}
 	r.closed = true
 	return true
 }
 
-// take reads from the socket, unless the connection was closed.
-func (c *clientConn) take(p []byte) (n int, err error) {
-	socket, ok := c.Conn.(syscall.Conn)
+// readSocket reads from the socket, unless the connection was closed.
+func (c *clientConn) readSocket(p []byte) (n int, err error) {
+	sysConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return c.Conn.Read(p)
 	}
-	raw, err := socket.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
@@ -94,7 +94,7 @@
 			n, failed = syscall.Read(int(fd), p)
 		}
 		n = max(0, n)
-		c.ends.reading = c.ends.reading || n > 0
+		c.ends.requestPending = c.ends.requestPending || n > 0
 		return !errors.Is(failed, syscall.EAGAIN)
 	})
 	switch {
@@ -116,16 +116,16 @@
 	if !first {
 		return net.ErrClosed
 	}
-	if c.finished.Load() {
-		c.refuseBehind()
+	if c.answerComplete.Load() {
+		c.refusePipelined()
 	}
 	return c.release()
 }
 
-// closeIfResting closes a connection that was left between two requests. Where a request has been read in that very moment,
+// closeIfIdle closes a connection that was left between two requests. Where a request has been read in that very moment,
 // the connection stays and ends with the answer.
-func (c *clientConn) closeIfResting() {
-	if c.ends.closeUnread() {
+func (c *clientConn) closeIfIdle() {
+	if c.ends.closeIfAnswered() {
 		_ = c.release()
 	}
 }
@@ -152,25 +152,25 @@
 	_ = c.release()
 }
 
-// refuseBehind refuses the requests that were read behind the one at hand: nothing of them has been sent on.
-func (c *clientConn) refuseBehind() {
+// refusePipelined refuses the requests that were read behind the one at hand: nothing of them has been sent on.
+func (c *clientConn) refusePipelined() {
 	c.refuse(int(c.behind.Swap(0)))
 }
 
 // refuse refuses so many requests.
-func (c *clientConn) refuse(requests int) { writeRefusals(c.Conn, c.from.again, requests) }
+func (c *clientConn) refuse(requests int) { writeRefusals(c.Conn, c.from.retryAfter, requests) }
 
 // writeRefusals writes refusals for so many requests to a client whose connection ends then, as the last of them tells.
-func writeRefusals(client net.Conn, again string, requests int) {
+func writeRefusals(client net.Conn, retryAfter string, requests int) {
 	if requests <= 0 {
 		return
 	}
-	_ = client.SetWriteDeadline(time.Now().Add(evictTime))
-	_, _ = io.WriteString(client, strings.Repeat(refusalText(again, false), requests-1)+refusalText(again, true))
+	_ = client.SetWriteDeadline(time.Now().Add(refusalWriteTimeout))
+	_, _ = io.WriteString(client, strings.Repeat(unavailableResponse(retryAfter, false), requests-1)+unavailableResponse(retryAfter, true))
 }
 
-// pendingRequests counts the requests in what was read, of which at least the first line has come.
-func pendingRequests(text []byte) int {
+// countRequests counts the requests in what was read, of which at least the first line has come.
+func countRequests(text []byte) int {
 	for n := 0; ; n++ {
 		end := headEnd(text)
 		if end == 0 {
@@ -187,50 +187,50 @@
 	}
 }
 
-// announceEnd tells the client that its connection ends with this answer, where it does. It does not where more requests have
+// announceClose tells the client that its connection ends with this answer, where it does. It does not where more requests have
 // been read: they are answered first.
-func (c *clientConn) announceEnd(answer http.Header, r *http.Request) {
+func (c *clientConn) announceClose(answer http.Header, r *http.Request) {
 	chunked := len(r.TransferEncoding) > 0 // net/http might see its end elsewhere than chunkScan does
-	if chunked || c.from.ending.Load() && c.behind.Load() == 0 {
+	if chunked || c.from.closing.Load() && c.behind.Load() == 0 {
 		answer.Set("Connection", "close")
 	} else {
 		answer.Del("Connection")
 	}
 }
 
-// announcing serves with next and has each answer tell whether its connection ends. Guards against net/http's own ways to end
+// withConnectionHeader serves with next and has each answer tell whether its connection ends. Guards against net/http's own ways to end
 // connections (Shutdown, SetKeepAlivesEnabled), which serve nothing that was read behind an answer.
-func announcing(next http.Handler) http.Handler {
+func withConnectionHeader(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c, ok := r.Context().Value(connKey{}).(*clientConn)
 		if !ok {
 			next.ServeHTTP(w, r)
 			return
 		}
-		c.announceEnd(w.Header(), r)
+		c.announceClose(w.Header(), r)
 		next.ServeHTTP(w, r)
 		// Not reached by an answer that broke off. Without chunks the close is the end of the answer.
-		c.finished.Store(r.ProtoAtLeast(1, 1))
+		c.answerComplete.Store(r.ProtoAtLeast(1, 1))
 	})
 }
 
-// endAfterAnswers has each connection end with its answer, or with the last one where more requests have been read; those that
+// closeAfterAnswers has each connection end with its answer, or with the last one where more requests have been read; those that
 // stand idle end now. Off has them stay open again.
-func (l *clients) endAfterAnswers(on bool) {
-	l.ending.Store(on)
+func (l *clients) closeAfterAnswers(on bool) {
+	l.closing.Store(on)
 	if !on {
 		return
 	}
 	l.mu.Lock()
-	var resting []*clientConn
+	var idle []*clientConn
 	for c := range l.conns {
-		if c.state.Load() == idle {
-			resting = append(resting, c)
+		if c.state.Load() == connIdle {
+			idle = append(idle, c)
 		}
 	}
 	l.mu.Unlock()
-	for _, c := range resting {
-		c.closeIfResting()
+	for _, c := range idle {
+		c.closeIfIdle()
 	}
 }
 
@@ -238,7 +238,7 @@
 func (l *clients) shutdown(ctx context.Context) bool {
 	_ = l.Close()
 	select {
-	case <-l.served: // what was taken before is counted by now
+	case <-l.acceptDone: // what was taken before is counted by now
 	case <-ctx.Done():
 		return false
 	}
--- a/internal/httpfront/lifecycle.go
+++ b/internal/httpfront/lifecycle.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	closeAfter = 600 * time.Millisecond  // after SIGTERM connections still arrive for so long
-	emptyAfter = 1500 * time.Millisecond // in standby connections without a request end after this ...
-	emptyAgain = 100 * time.Millisecond  // ... and are looked for so often
+	shutdownAcceptTime   = 600 * time.Millisecond  // after SIGTERM connections still arrive for so long
+	standbyCloseDelay    = 1500 * time.Millisecond // in standby connections without a request end after this ...
+	standbyCloseInterval = 100 * time.Millisecond  // ... and are looked for so often
 )
 
 // ready says whether new clients are wanted. A process that ends while another serves in its place says so
@@ -18,7 +18,7 @@
 func (f *Front) ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.clients != nil && !f.standby && (!f.ending || f.heir)
+	return f.clients != nil && !f.standby && (!f.closing || f.heir)
 }
 
 // Standby empties the front: it is not ready any more, each connection ends with its answer, and those at
@@ -26,29 +26,29 @@
 func (f *Front) Standby(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ending || f.standby == on {
+	if f.closing || f.standby == on {
 		return
 	}
 	f.standby = on
 	if f.clients != nil {
-		f.clients.endAfterAnswers(on)
+		f.clients.closeAfterAnswers(on)
 	}
 	if on {
-		time.AfterFunc(emptyAfter, f.empty)
+		time.AfterFunc(standbyCloseDelay, f.closeInactiveInStandby)
 	}
 }
 
-// empty closes again and again what holds no request, for as long as the front is in standby.
-func (f *Front) empty() {
+// closeInactiveInStandby closes again and again what holds no request, for as long as the front is in standby.
+func (f *Front) closeInactiveInStandby() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.standby || f.ending {
+	if !f.standby || f.closing {
 		return
 	}
 	if f.clients != nil {
-		f.clients.sweep()
+		f.clients.closeInactive()
 	}
-	time.AfterFunc(emptyAgain, f.empty)
+	time.AfterFunc(standbyCloseInterval, f.closeInactiveInStandby)
 }
 
 // Shutdown ends the front in good order: it answers what has come and what still comes for a
@@ -57,31 +57,31 @@
 // new; "" where there is none.
 func (f *Front) Shutdown(ctx context.Context, heir string) {
 	f.mu.Lock()
-	f.ending, f.heir = true, heir != ""
+	f.closing, f.heir = true, heir != ""
 	if f.heir && f.clients != nil {
-		f.clients.leave()
+		f.clients.closeAfterBacklog()
 	}
-	taken, held := f.handed, f.clients
+	streamReceiver, current := f.receiver, f.clients
 	f.mu.Unlock()
-	f.heirs.set(heir)
-	if held != nil {
-		held.endAfterAnswers(true)
+	f.successorPath.set(heir)
+	if current != nil {
+		current.closeAfterAnswers(true)
 	}
 	if f.HandOver > 0 {
 		defer time.AfterFunc(f.HandOver, func() {
 			f.log.Info("handing streams over")
-			f.cut()
+			f.beginHandOver()
 		}).Stop()
 	}
 	select {
-	case <-time.After(closeAfter):
+	case <-time.After(shutdownAcceptTime):
 	case <-ctx.Done():
 	}
-	if held != nil && !held.shutdown(ctx) {
+	if current != nil && !current.shutdown(ctx) {
 		f.log.Warn("streams cut at the end", "err", ctx.Err())
 	}
 	f.server.Close()
-	if taken != nil {
-		taken.end(ctx)
+	if streamReceiver != nil {
+		streamReceiver.stop(ctx)
 	}
 }
--- a/internal/httpfront/pipeline_test.go
+++ b/internal/httpfront/pipeline_test.go
@@ -46,8 +46,8 @@
 
 const streamText = "data: {}\n\ndata: [DONE]\n\n"
 
-// servedAt serves f at an address and reports each read of a client's socket.
-func servedAt(t *testing.T, f *Front) (addr string, reads chan struct{}) {
+// serveReportingReads serves f at an address and reports each read of a client's socket.
+func serveReportingReads(t *testing.T, f *Front) (addr string, reads chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,12 +64,12 @@
 		}
 	})
 	first := dial(t, l.Addr().String(), "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-	states.waitForRest(t, first) // Serve has begun
+	states.waitForIdle(t, first) // Serve has begun
 	return l.Addr().String(), reads
 }
 
-// soleConn is the one connection that the front has.
-func soleConn(t *testing.T, f *Front) *clientConn {
+// onlyConn is the one connection that the front has.
+func onlyConn(t *testing.T, f *Front) *clientConn {
 	t.Helper()
 	f.clients.mu.Lock()
 	defer f.clients.mu.Unlock()
@@ -82,16 +82,16 @@
 	return nil
 }
 
-// awaitBehind returns once so many requests were read behind the one at hand.
-func awaitBehind(t *testing.T, c *clientConn, reads <-chan struct{}, requests int32) {
+// waitForPipelined returns once so many requests were read behind the one at hand.
+func waitForPipelined(t *testing.T, c *clientConn, reads <-chan struct{}, requests int32) {
 	t.Helper()
 	for c.behind.Load() < requests {
 		receive(t, reads, "a read of the client's socket")
 	}
 }
 
-// shutDown shuts f down. ended is closed with its end.
-func shutDown(t *testing.T, f *Front) (ended chan struct{}) {
+// startShutdown shuts f down. ended is closed with its end.
+func startShutdown(t *testing.T, f *Front) (ended chan struct{}) {
 	ended = make(chan struct{})
 	go func() {
 		f.Shutdown(t.Context(), "")
@@ -112,7 +112,7 @@
 	return res
 }
 
-func expectEnd(t *testing.T, in *bufio.Reader) {
+func expectEOF(t *testing.T, in *bufio.Reader) {
 	t.Helper()
 	if b, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("%q %v, not the connection's end", b, err)
@@ -121,19 +121,19 @@
 
 // The end of the process begins while the first of three requests in one write is at a worker: all three are served, and only
 // the last answer tells the connection's end.
-func TestRequestsReadBehindAnotherAreServedAtAShutdown(t *testing.T) {
+func TestPipelinedRequestsAreServedAtShutdown(t *testing.T) {
 	addr, begun, goOn := streamingWorker(t)
 	f, _ := aimingAt(t, addr, time.Hour)
-	at, reads := servedAt(t, f)
+	at, reads := serveReportingReads(t, f)
 	var texts []string
 	for _, id := range []string{"one", "two", "three"} {
 		texts = append(texts, patiently(message(id, length(bodyText), bodyText)))
 	}
 	client := dial(t, at, strings.Join(texts, ""))
 	receive(t, begun, "the first stream")
-	awaitBehind(t, soleConn(t, f), reads, 2)
-	f.clients.endAfterAnswers(true) // as Shutdown does first
-	ended := shutDown(t, f)
+	waitForPipelined(t, onlyConn(t, f), reads, 2)
+	f.clients.closeAfterAnswers(true) // as Shutdown does first
+	ended := startShutdown(t, f)
 	in := bufio.NewReader(client)
 	for n := range texts {
 		if n > 0 {
@@ -144,30 +144,30 @@
 			t.Errorf("answer %d tells the end: %v", n+1, res.Close)
 		}
 	}
-	expectEnd(t, in)
+	expectEOF(t, in)
 	receive(t, ended, "the end of Shutdown")
 }
 
 // A request that is read after the answer before it has told the connection's end is refused; whole or not, as its client
 // can't know how much of it was read.
-func TestARequestReadAfterTheEndWasToldIsRefused(t *testing.T) {
+func TestRequestReadAfterAnnouncedCloseIsRefused(t *testing.T) {
 	second := patiently(message("two", length(bodyText), bodyText))
 	for name, behind := range map[string]string{"whole": second, "two": second + second, "half": second[:len(second)-3]} {
 		addr, begun, goOn := streamingWorker(t)
 		f, _ := aimingAt(t, addr, time.Hour)
-		at, reads := servedAt(t, f)
-		f.clients.endAfterAnswers(true) // as Shutdown does first
+		at, reads := serveReportingReads(t, f)
+		f.clients.closeAfterAnswers(true) // as Shutdown does first
 		client := dial(t, at, patiently(message("one", length(bodyText), bodyText)))
 		in := bufio.NewReader(client)
 		receive(t, begun, name)
-		ended := shutDown(t, f)
+		ended := startShutdown(t, f)
 		res, err := http.ReadResponse(in, nil)
 		if err != nil || !res.Close {
 			t.Fatalf("%s: %v %v, its connection ends", name, res, err)
 		}
 		want := strings.Count(behind, "POST ")
 		io.WriteString(client, behind)
-		awaitBehind(t, soleConn(t, f), reads, int32(want))
+		waitForPipelined(t, onlyConn(t, f), reads, int32(want))
 		goOn <- struct{}{}
 		if text, err := io.ReadAll(res.Body); string(text) != streamText || err != nil {
 			t.Errorf("%s: %q %v", name, text, err)
@@ -178,37 +178,37 @@
 				t.Errorf("%s: %v %v, it was read", name, res, err)
 			}
 		}
-		expectEnd(t, in)
+		expectEOF(t, in)
 		receive(t, ended, "the end of Shutdown")
 	}
 }
 
-// recordedConn brings the given bytes, and keeps what is written.
-type recordedConn struct {
+// recordingConn brings the given bytes, and keeps what is written.
+type recordingConn struct {
 	bytesConn
 	written *strings.Builder
 }
 
-func (c recordedConn) Write(p []byte) (int, error)      { return c.written.Write(p) }
-func (c recordedConn) SetWriteDeadline(time.Time) error { return nil }
-func (c recordedConn) Close() error                     { return nil }
+func (c recordingConn) Write(p []byte) (int, error)      { return c.written.Write(p) }
+func (c recordingConn) SetWriteDeadline(time.Time) error { return nil }
+func (c recordingConn) Close() error                     { return nil }
 
 // More requests come behind one than are kept: what is whole among the kept is handed over, the next is refused, and nothing
 // that was left out in between is taken for a part of it.
-func TestWhatIsNotKeptIsRefused(t *testing.T) {
+func TestRequestsBeyondReadAheadAreRefused(t *testing.T) {
 	one := message("one", length(bodyText), bodyText)
 	for name, x := range map[string]struct {
 		behind  string
 		refused bool
 	}{
 		"requests": {strings.Repeat(one, 100), true},
-		"a body":   {message("two", length(strings.Repeat("x", 2*aheadMost)), strings.Repeat("x", 2*aheadMost)), true},
-		"noise":    {strings.Repeat("x", 3*aheadMost), false},
+		"a body":   {message("two", length(strings.Repeat("x", 2*maxReadAhead)), strings.Repeat("x", 2*maxReadAhead)), true},
+		"noise":    {strings.Repeat("x", 3*maxReadAhead), false},
 	} {
 		var written strings.Builder
-		held := newClients(nil, 1, 250*time.Millisecond, quiet)
-		c := &clientConn{Conn: recordedConn{bytesConn{in: strings.NewReader(one + x.behind), piece: 1 << 20}, &written}, from: held}
-		held.conns[c] = true
+		listener := newClients(nil, 1, 250*time.Millisecond, quiet)
+		c := &clientConn{Conn: recordingConn{bytesConn{in: strings.NewReader(one + x.behind), maxRead: 1 << 20}, &written}, from: listener}
+		listener.conns[c] = true
 		if _, err := io.ReadFull(c, make([]byte, len(one))); err != nil {
 			t.Fatal(err)
 		}
@@ -217,7 +217,7 @@
 		}
 		whole := 0
 		for {
-			connState(c, http.StateIdle)
+			trackConnState(c, http.StateIdle)
 			text := make([]byte, len(one))
 			if _, err := io.ReadFull(c, text); err != nil {
 				if !errors.Is(err, io.EOF) {
@@ -229,7 +229,7 @@
 				t.Fatalf("%s: %q", name, text)
 			}
 		}
-		if kept := strings.Count(x.behind[:aheadMost], one); whole != kept {
+		if kept := strings.Count(x.behind[:maxReadAhead], one); whole != kept {
 			t.Errorf("%s: %d requests handed over, %d were kept", name, whole, kept)
 		}
 		in := bufio.NewReader(strings.NewReader(written.String()))
@@ -245,19 +245,19 @@
 
 // A head that is too long may have come before its client's answer before it was over, and not been kept: net/http has to be
 // given enough of it to answer it all the same.
-func TestAHeadTooLongBehindARequestIsHandedOver(t *testing.T) {
+func TestOversizedPipelinedHeadReachesServer(t *testing.T) {
 	one := message("one", length(bodyText), bodyText)
-	long := message("two", "X-Long: "+strings.Repeat("x", 2*maxHead)+"\r\n"+length(bodyText), bodyText)
+	long := message("two", "X-Long: "+strings.Repeat("x", 2*maxHeadBytes)+"\r\n"+length(bodyText), bodyText)
 	var written strings.Builder
-	held := newClients(nil, 1, 250*time.Millisecond, quiet)
-	c := &clientConn{Conn: recordedConn{bytesConn{in: strings.NewReader(one + long), piece: 1 << 20}, &written}, from: held}
-	held.conns[c] = true
+	listener := newClients(nil, 1, 250*time.Millisecond, quiet)
+	c := &clientConn{Conn: recordingConn{bytesConn{in: strings.NewReader(one + long), maxRead: 1 << 20}, &written}, from: listener}
+	listener.conns[c] = true
 	if _, err := io.ReadFull(c, make([]byte, len(one))); err != nil {
 		t.Fatal(err)
 	}
 	_, _ = c.Read(make([]byte, 1)) // net/http looks whether the client leaves
-	connState(c, http.StateIdle)
-	text := make([]byte, maxHead+8<<10) // net/http allows 4 KB more than the limit
+	trackConnState(c, http.StateIdle)
+	text := make([]byte, maxHeadBytes+8<<10) // net/http allows 4 KB more than the limit
 	if _, err := io.ReadFull(c, text); err != nil || !strings.HasPrefix(string(text), long[:40]) {
 		t.Errorf("%.40q, %v", text, err)
 	}
@@ -267,10 +267,10 @@
 }
 
 // Behind a request that was served comes one that net/http answers itself: there is one answer to each.
-func TestAnErrorBehindAnAnswerIsTheOnlyOne(t *testing.T) {
+func TestPipelinedErrorIsAnsweredOnce(t *testing.T) {
 	one := message("one", length(bodyText), bodyText)
 	odd := message("two", length(bodyText)+length(bodyText), bodyText)
-	long := message("two", "X-Long: "+strings.Repeat("x", 2*maxHead)+"\r\n"+length(bodyText), bodyText)
+	long := message("two", "X-Long: "+strings.Repeat("x", 2*maxHeadBytes)+"\r\n"+length(bodyText), bodyText)
 	for name, x := range map[string]struct {
 		ahead, later string // sent with the first request, and after its answer
 		want         int
@@ -281,10 +281,10 @@
 	} {
 		addr, begun, goOn := streamingWorker(t)
 		f, _ := aimingAt(t, addr, time.Hour)
-		at, reads := servedAt(t, f)
+		at, reads := serveReportingReads(t, f)
 		client := dial(t, at, one+x.ahead)
 		receive(t, begun, name)
-		awaitBehind(t, soleConn(t, f), reads, 1)
+		waitForPipelined(t, onlyConn(t, f), reads, 1)
 		goOn <- struct{}{}
 		in := bufio.NewReader(client)
 		readStream(t, in)
@@ -302,11 +302,11 @@
 
 // A stream goes on in the process that takes over, and so does the answer that is owed to a request that the process before
 // had read behind it.
-func TestARequestReadBehindAHandedStreamIsRefused(t *testing.T) {
+func TestRequestPipelinedBehindHandedOverStreamIsRefused(t *testing.T) {
 	addr, begun, goOn := streamingWorker(t)
 	older, _ := aimingAt(t, addr, time.Hour)
 	older.HandOver = time.Millisecond
-	at, reads := servedAt(t, older)
+	at, reads := serveReportingReads(t, older)
 	newer, _ := aimingAt(t, addr, time.Hour)
 	path := filepath.Join(t.TempDir(), "s")
 	if err := newer.TakeFrom(path); err != nil {
@@ -316,7 +316,7 @@
 	client := dial(t, at, first+second)
 	in := bufio.NewReader(client)
 	receive(t, begun, "the stream")
-	awaitBehind(t, soleConn(t, older), reads, 1)
+	waitForPipelined(t, onlyConn(t, older), reads, 1)
 	ended := make(chan struct{})
 	go func() {
 		older.Shutdown(t.Context(), path)
@@ -328,14 +328,14 @@
 	if res, err := http.ReadResponse(in, nil); err != nil || res.StatusCode != http.StatusServiceUnavailable || !res.Close {
 		t.Errorf("%v %v, it was read", res, err)
 	}
-	expectEnd(t, in)
+	expectEOF(t, in)
 }
 
 // What the client of a stream that was taken over sends does not end the stream, and is refused behind it.
-func TestARequestReadDuringAHandedStreamIsRefused(t *testing.T) {
+func TestRequestReadDuringHandedOverStreamIsRefused(t *testing.T) {
 	client, clientSide := net.Pipe()
 	worker, workerSide := net.Pipe()
-	s := &handedStream{from: &Handed{log: quiet, over: t.Context(), next: &heir{}}, client: clientSide, worker: workerSide}
+	s := &receivedStream{receiver: &Handed{log: quiet, over: t.Context(), next: &heir{}}, client: clientSide, worker: workerSide}
 	done := make(chan struct{})
 	go func() {
 		s.run()
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	maxTokens = 1 << 30
-	headTxn   = "X-Txn"
-	headLane  = "X-Lane"
-	headLeft  = "X-Remaining-Ms"
+	maxTokens  = 1 << 30
+	headTxn    = "X-Txn"
+	laneHeader = "X-Lane"
+	headLeft   = "X-Remaining-Ms"
 )
 
 // Classes are the numbers of the classes by their names.
@@ -44,10 +44,10 @@
 		return q, http.StatusBadRequest, err
 	}
 	var b struct {
-		Model    *string  `json:"model"`
-		Stream   *bool    `json:"stream"`
-		Max      *float64 `json:"max_tokens"`
-		Messages some     `json:"messages"`
+		Model    *string      `json:"model"`
+		Stream   *bool        `json:"stream"`
+		Max      *float64     `json:"max_tokens"`
+		Messages nonEmptyList `json:"messages"`
 	}
 	if err := json.Unmarshal(body, &b); err != nil {
 		return q, http.StatusBadRequest, fmt.Errorf("body: %w", err)
@@ -61,20 +61,20 @@
 	return q, 0, nil
 }
 
-// some says that a list is there and holds something. Its text, most of a body, is not copied.
-type some bool
+// nonEmptyList says that a list is there and holds something. Its text, most of a body, is not copied.
+type nonEmptyList bool
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (s *some) UnmarshalJSON(text []byte) error {
+func (s *nonEmptyList) UnmarshalJSON(text []byte) error {
 	inside, ok := bytes.CutPrefix(text, []byte("["))
-	*s = some(ok && len(bytes.TrimLeft(inside, " \t\r\n")) > 1)
+	*s = nonEmptyList(ok && len(bytes.TrimLeft(inside, " \t\r\n")) > 1)
 	return nil
 }
 
 // parseHead reads the values that decisions rest on from a request's head.
 func (c Classes) parseHead(h http.Header) (decide.Request, error) {
 	var q decide.Request
-	for _, name := range []string{headTxn, headLane, "X-Entity", headLeft, "X-Resent", "X-Estimate", "X-Labels"} {
+	for _, name := range []string{headTxn, laneHeader, "X-Entity", headLeft, "X-Resent", "X-Estimate", "X-Labels"} {
 		if len(h.Values(name)) > 1 { // which one counts would be anybody's guess
 			return q, fmt.Errorf("%s: %d times", name, len(h.Values(name)))
 		}
@@ -82,9 +82,9 @@
 	if id := h.Get(headTxn); !ValidID(id) {
 		return q, fmt.Errorf("%s: %q", headTxn, id)
 	}
-	class, ok := c[h.Get(headLane)]
+	class, ok := c[h.Get(laneHeader)]
 	if !ok {
-		return q, fmt.Errorf("%s: unknown class %q", headLane, h.Get(headLane))
+		return q, fmt.Errorf("%s: unknown class %q", laneHeader, h.Get(laneHeader))
 	}
 	q.Class = class
 	left, err := strconv.ParseUint(h.Get(headLeft), 10, 31)
@@ -92,7 +92,7 @@
 		return q, fmt.Errorf("%s: %q", headLeft, h.Get(headLeft))
 	}
 	q.TimeLeft = time.Duration(left) * time.Millisecond
-	if q.Session, err = key(h.Get("X-Entity")); err != nil {
+	if q.Session, err = parseKey(h.Get("X-Entity")); err != nil {
 		return q, fmt.Errorf("X-Entity: %w", err)
 	}
 	switch v := h.Get("X-Resent"); v {
@@ -111,11 +111,11 @@
 		}
 		q.Hint = time.Duration(us * float64(time.Microsecond))
 	}
-	return q, labels(&q, h.Get("X-Labels"))
+	return q, parseLabels(&q, h.Get("X-Labels"))
 }
 
-// labels reads the pairs of X-Labels. Labels that it does not know are passed over.
-func labels(q *decide.Request, text string) error {
+// parseLabels reads the pairs of X-Labels. Labels that it does not know are passed over.
+func parseLabels(q *decide.Request, text string) error {
 	if text == "" {
 		return nil
 	}
@@ -127,13 +127,13 @@
 		var err error
 		switch name {
 		case "prefix":
-			q.Prefix, err = key(value)
+			q.Prefix, err = parseKey(value)
 		case "prompt_len":
-			q.Prompt, err = tokens(value)
+			q.Prompt, err = parseTokens(value)
 		case "prefix_len":
-			q.PrefixLen, err = tokens(value)
+			q.PrefixLen, err = parseTokens(value)
 		case "max_out":
-			q.MaxOutput, err = tokens(value)
+			q.MaxOutput, err = parseTokens(value)
 		}
 		if err != nil {
 			return fmt.Errorf("X-Labels: %s: %w", name, err)
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func tokens(text string) (int, error) {
+func parseTokens(text string) (int, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(n >= 0 && n <= maxTokens) {
 		return 0, fmt.Errorf("not a count of tokens: %q", text)
@@ -150,8 +150,8 @@
 	return int(n), nil
 }
 
-// key reads a key of up to 16 hex digits; none is 0.
-func key(text string) (uint64, error) {
+// parseKey reads a parseKey of up to 16 hex digits; none is 0.
+func parseKey(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
 	}
