--- a/internal/httpfront/clientconn.go
+++ b/internal/httpfront/clientconn.go
@@ -1,9 +1,5 @@
 package httpfront
 
-// This file reads a client's connection before net/http does: where one request's head and body end, and what comes behind
-// them. Heads are handed over whole and only if their framing can be read in one way. It must never change a byte of a
-// request that passes.
-
 import (
 	"bytes"
 	"context"
@@ -15,51 +11,53 @@
 )
 
 const (
-	firstBodyTimeout = 2600 * time.Millisecond // ... and its body after this, both from connecting
-	laterBodyTimeout = 2500 * time.Millisecond // a later request's body, from its head
+	firstBodyTimeout = 2600 * time.Millisecond // from connecting until the first request's body is complete
+	laterBodyTimeout = 2500 * time.Millisecond // from a later request's head until its body is complete
 	readBufferStep   = 2 << 10
-	maxReadAhead     = maxHeadBytes // kept of what comes behind a request before its answer, past it the connection ends with that
+	maxReadAhead     = maxHeadBytes // bytes kept of pipelined requests; if there are more, the connection ends after the answer
 )
 
-// epoch is what the times of connections count from.
+// epoch is the time that the atomic times of connections are relative to.
 var epoch = time.Now()
 
-// clientConn is one client's connection.
+// clientConn is a client's connection. It scans what the client sends before net/http parses it, to find where each
+// request ends. A head is passed to net/http once it is complete and only if its framing is unambiguous; requests that are
+// passed are not changed. Requests that arrive while another one is being answered are kept until it is.
 type clientConn struct {
 	net.Conn
 	from        *clients
 	connectedAt time.Time
 	state       atomic.Int32
-	stateSince  atomic.Int64 // when that began, from epoch
-	bodyPending atomic.Bool  // the body at hand has not come; whoever makes it false settles whether the request is served
-	owes        atomic.Bool  // the answer to the request at hand
+	stateSince  atomic.Int64 // since epoch
+	bodyPending atomic.Bool  // the request's body is incomplete; whoever resets it decides whether the request is served
+	owes        atomic.Bool  // a request has been passed to net/http and its answer is not complete
 	ends        socketState
-	came        atomic.Int64 // when the first byte of the head at hand had come at the latest, from epoch
-	// Of the requests that were read behind the one at hand, and whether that one's answer is whole.
-	behind         atomic.Int32
-	answerComplete atomic.Bool
+	came        atomic.Int64 // when the first byte of the current head was read, since epoch
+
+	behind         atomic.Int32 // pipelined requests read after the current one
+	answerComplete atomic.Bool  // the current request's answer is complete, so that refusals may follow it
 
-	// Owned by Read, which net/http calls one at a time.
-	buf         []byte       // read and not handed over
-	firstByteAt time.Time    // when the first byte of it came
-	deliverable int          // so much of it may be
-	bodyLeft    int64        // of the request's body still to come
-	chunks      *chunkScan   // of a body whose length is not told
-	passthrough bool         // all that comes is handed over: the connection ends with this request
-	readsEnded  bool         // nothing more is: a head could not be trusted
-	overflowed  bool         // nothing more is taken from the socket: more came behind the request than is kept
-	fillerLeft  int          // so many bytes more are handed over in place of the rest of a head that was too long to be kept
-	headsRead   atomic.Int32 // that were whole
+	// Used by Read only, which net/http does not call concurrently.
+	buf         []byte       // read from the socket and not yet returned
+	firstByteAt time.Time    // when the first byte of buf was read
+	deliverable int          // length of the part of buf that may be returned
+	bodyLeft    int64        // bytes of the request's body that are not ready to be returned yet
+	chunks      *chunkScan   // scans a chunked body, nil if there is none
+	passthrough bool         // everything is returned unscanned; the connection ends with this request
+	readsEnded  bool         // Read returns io.EOF
+	overflowed  bool         // pipelined data exceeded maxReadAhead and what followed was discarded
+	fillerLeft  int          // filler bytes to return in place of the discarded rest of an oversized head
+	headsRead   atomic.Int32 // complete heads
 }
 
 type connKey struct{}
 
-// withConn lets the handler find its connection.
+// withConn is a ConnContext for http.Server that makes the connection available to handlers.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// bodyDeadline is when the body of the request at hand must have come.
+// bodyDeadline returns the time by which the current request's body must be complete.
 func bodyDeadline(ctx context.Context) time.Time {
 	if c, ok := ctx.Value(connKey{}).(*clientConn); ok && c.headsRead.Load() <= 1 {
 		return c.connectedAt.Add(firstBodyTimeout)
@@ -67,8 +65,8 @@
 	return time.Now().Add(laterBodyTimeout)
 }
 
-// onItsWay is how long the request at hand has been on its way in: the time that its client gives it counts from the first
-// byte, however slowly the rest came and whatever it had to wait for.
+// onItsWay returns the time since the first byte of the current request was read. The time that a client gives its request
+// counts from there, however slowly the rest arrives and whatever it waits for.
 func onItsWay(ctx context.Context) time.Duration {
 	if c, ok := ctx.Value(connKey{}).(*clientConn); ok {
 		return time.Since(epoch) - time.Duration(c.came.Load())
@@ -76,7 +74,7 @@
 	return 0
 }
 
-// setState notes what the connection does from now on, unless it has been closed for a newcomer.
+// setState changes the connection's state. It returns false if the connection has been evicted.
 func (c *clientConn) setState(state int32) bool {
 	c.stateSince.Store(int64(time.Since(epoch)))
 	for {
@@ -90,11 +88,11 @@
 	}
 }
 
-// trackConnState is told by net/http what it does with a connection.
+// trackConnState is a ConnState hook for http.Server.
 func trackConnState(c net.Conn, state http.ConnState) {
 	if c, ok := c.(*clientConn); ok {
 		switch state {
-		case http.StateIdle: // nobody reads just now
+		case http.StateIdle: // Read is not running
 			c.owes.Store(false)
 			c.ends.setAnswered(len(c.buf) > 0)
 			if c.setState(connIdle) && c.from.closing.Load() {
@@ -108,7 +106,8 @@
 	}
 }
 
-// CloseWrite lets net/http end its side first, so that an answer arrives before a reset.
+// CloseWrite lets net/http shut down the sending side before it closes, so that the client receives an answer rather than
+// a reset.
 func (c *clientConn) CloseWrite() error {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		return t.CloseWrite()
@@ -116,15 +115,16 @@
 	return nil
 }
 
-// malformedRequest takes the place of a head whose framing can't be trusted: net/http answers it with 400 and
-// closes, and nothing behind it is looked at.
+// malformedRequest replaces a head whose framing is ambiguous. net/http answers it with 400 and closes the connection;
+// nothing that follows is parsed.
 const malformedRequest = "x\r\n\r\n"
 
-// clientGone says that the client has gone, as far as can be told without waiting, or that its connection was closed.
+// clientGone reports whether the connection was closed here or by the client, as far as can be told without blocking.
 func (c *clientConn) clientGone() bool { return c.ends.isClosed() || hungUp(c.Conn) }
 
-// Read hands over one head or body after the other, never bytes of both, and no head before the answer to the one before:
-// net/http, which reads on to see whether the client leaves, sees no close behind a byte of another request.
+// Read implements net.Conn. It returns heads and bodies one after the other, never bytes of both at once, and no head
+// before the previous request is answered: net/http reads ahead to detect that the client has left, and would not see a
+// close behind a byte of the next request.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
 		switch {
@@ -185,13 +185,13 @@
 		}
 		if c.overflowed && c.headTooLong() {
 			c.beginRequest()
-			c.deliverable, c.fillerLeft = len(c.buf), 2*maxHeadBytes // net/http has had enough before
+			c.deliverable, c.fillerLeft = len(c.buf), 2*maxHeadBytes // more than net/http reads of a head
 			continue
 		}
 		if c.overflowed {
 			return 0, c.refuseRest()
 		}
-		if len(c.buf) > maxHeadBytes { // net/http answers it with 431
+		if len(c.buf) > maxHeadBytes { // net/http answers with 431
 			c.beginRequest()
 			c.passthrough = true
 			continue
@@ -202,16 +202,16 @@
 	}
 }
 
-// fillerHead stands for the rest of a head that was not kept.
+// fillerHead replaces the discarded rest of an oversized head.
 var fillerHead = bytes.Repeat([]byte("x"), readBufferStep)
 
-// headTooLong says that what was kept is all one head, without its end. Guards against a refusal, which has its client come
-// again, where net/http's own answer to such a head is due.
+// headTooLong reports whether buf holds an incomplete head of at least maxHeadBytes and nothing else. Such a request is left
+// to net/http to answer: a refusal would have the client repeat it.
 func (c *clientConn) headTooLong() bool {
 	return len(c.buf) >= maxHeadBytes && bytes.IndexByte(c.buf, '\n') >= 0 && headEnd(c.buf) == 0
 }
 
-// deliverHead readies the head at the start of buf, which is whole, to be handed over.
+// deliverHead makes the head at the start of buf, which is complete and end bytes long, available to Read.
 func (c *clientConn) deliverHead(end int) error {
 	f, ok := requestFraming(c.buf[:end])
 	if c.overflowed && (f.chunked || int64(len(c.buf)-end) < f.length) {
@@ -239,14 +239,13 @@
 	return nil
 }
 
-// beginRequest notes that net/http has a request to answer: the answer before is no longer the latest, and what was counted as read
-// behind it is at hand.
+// beginRequest records that net/http is given the next request. What was counted as pipelined is now current.
 func (c *clientConn) beginRequest() {
 	c.answerComplete.Store(false)
 	c.behind.Store(0)
 }
 
-// fillBuffer reads more into buf.
+// fillBuffer reads from the socket into buf.
 func (c *clientConn) fillBuffer() error {
 	if cap(c.buf)-len(c.buf) < readBufferStep/2 {
 		c.buf = append(make([]byte, 0, 2*len(c.buf)+readBufferStep), c.buf...)
@@ -259,8 +258,8 @@
 	return err
 }
 
-// readAhead reads what comes behind the request at hand before its answer, and keeps so much of it. It goes on beyond that:
-// the end of what a client sends is seen only behind all that was sent before.
+// readAhead reads what the client sends before the current request is answered and keeps up to maxReadAhead bytes of it. It
+// reads and discards what exceeds that, because a close is seen only after all data sent before it.
 func (c *clientConn) readAhead() error {
 	if c.overflowed {
 		discarded := make([]byte, readBufferStep)
@@ -278,19 +277,19 @@
 	return err
 }
 
-// countPipelined notes what was read behind the request at hand, once that was handed over or is ready to be.
+// countPipelined counts the requests in buf behind the current one, which has been returned or is deliverable.
 func (c *clientConn) countPipelined() { c.behind.Store(int32(countRequests(c.buf[c.deliverable:]))) }
 
-// refuseRest ends what is handed over where the rest of a request was not kept, and refuses that request and those behind it.
+// refuseRest ends the reads where the rest of a request was discarded, and refuses that request and those after it.
 func (c *clientConn) refuseRest() error {
 	c.readsEnded = true
-	c.behind.Store(0) // what was counted is among them
+	c.behind.Store(0) // these are counted below
 	c.refuse(countRequests(c.buf))
 	return io.EOF
 }
 
-// deliverChunks readies what is at hand of a chunked body. One that makes no sense is net/http's to refuse. It says no where
-// the connection was closed for a newcomer before the end came.
+// deliverChunks makes what buf holds of a chunked body available to Read. A malformed body is passed on for net/http to
+// reject. It returns false if the connection was evicted before the body was complete.
 func (c *clientConn) deliverChunks() bool {
 	n, end, err := c.chunks.feed(c.buf)
 	if c.deliverable = n; err != nil {
@@ -306,7 +305,7 @@
 	return true
 }
 
-// countBody counts what has come of the body. It says no where the connection was closed for a newcomer before the end came.
+// countBody accounts for n bytes of the body. It returns false if the connection was evicted before the body was complete.
 func (c *clientConn) countBody(n int) bool {
 	if c.bodyLeft -= int64(n); c.bodyLeft > 0 {
 		return true
--- a/internal/httpfront/clients.go
+++ b/internal/httpfront/clients.go
@@ -1,8 +1,5 @@
 package httpfront
 
-// This file owns the connections of clients: how many there are, how long they may say nothing, and which one makes room
-// for a newcomer. It must never close a connection on which a request has begun.
-
 import (
 	"errors"
 	"io"
@@ -20,33 +17,33 @@
 )
 
 const (
-	firstHeadTimeout        = 2 * time.Second         // a new connection's first head is whole after this
-	idleTimeout             = 2500 * time.Millisecond // a connection between two requests may stand idle so long
-	minIdleTime             = 50 * time.Millisecond   // nobody is called silent or idle sooner
-	minBodyStall            = 300 * time.Millisecond  // and nobody is taken to have stopped in a body
-	maxConcurrentRejections = 16                      // turned away at once, past them new connections wait
-	rejectionTimeout        = 200 * time.Millisecond  // to send what is not read before a reset eats the answer
+	firstHeadTimeout        = 2 * time.Second         // from connecting until the first head is complete
+	idleTimeout             = 2500 * time.Millisecond // between two requests
+	minIdleTime             = 50 * time.Millisecond   // before a connection without a request may be evicted
+	minBodyStall            = 300 * time.Millisecond  // before a connection whose body has stopped may be evicted
+	maxConcurrentRejections = 16                      // further connections wait until one of these is closed
+	rejectionTimeout        = 200 * time.Millisecond  // reads what the client sends: a reset could discard the answer
 )
 
-// clients is a listener that holds at most so many connections. When they are all taken, a newcomer gets the
-// place of one at which no request is at work: one that has not sent a whole head, else one that stands
-// idle, else one that stopped in a body, the longest first. Where every one is at work, the newcomer is told
-// to come back. Nobody is left without an answer.
+// clients is a listener that holds at most maxConns connections. When the limit is reached, a new connection replaces one
+// without a request in progress: one that has not sent a complete head, else an idle one, else one whose body has
+// stopped arriving, and among those the one that has been so for longest. A connection whose request has begun is never
+// closed for another. If there is none to replace, the new connection is answered with 503.
 type clients struct {
 	net.Listener
 	maxConns    int
-	retryAfter  string // the Retry-After line for who is turned away, may be empty
+	retryAfter  string // the Retry-After line of refusals, may be empty
 	mu          sync.Mutex
 	conns       map[*clientConn]bool
-	rejecting   chan struct{} // bounds those that are being turned away
+	rejecting   chan struct{} // limits the connections that are being rejected
 	log         *slog.Logger
-	lastWarning time.Time      // the latest line about a full house, and since then:
-	rejected    int            // turned away
-	evicted     int            // closed for newcomers
-	backlogOnly chan struct{}  // closed by leave
-	closing     atomic.Bool    // connections end with their answer
-	open        inflight.Count // the connections
-	acceptDone  chan struct{}  // closed when Accept is not called any more
+	lastWarning time.Time      // when the limit was last reported in the log
+	rejected    int            // new connections rejected since then
+	evicted     int            // connections closed for new ones since then
+	backlogOnly chan struct{}  // closed by closeAfterBacklog
+	closing     atomic.Bool    // connections are closed after their answer
+	open        inflight.Count // connections that are not closed
+	acceptDone  chan struct{}  // closed once Accept is no longer called
 }
 
 func newClients(l net.Listener, maxConns int, retryAfter time.Duration, log *slog.Logger) *clients {
@@ -54,7 +51,7 @@
 		backlogOnly: make(chan struct{}), acceptDone: make(chan struct{})}
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It rejects connections beyond the limit that can replace no other.
 func (l *clients) Accept() (net.Conn, error) {
 	for {
 		c, err := l.accept()
@@ -73,7 +70,8 @@
 	}
 }
 
-// accept takes the next connection, whatever fails meanwhile. After leave it takes what has come and closes the socket.
+// accept returns the next connection and retries after temporary errors. After closeAfterBacklog it returns the connections
+// in the socket's queue and then closes the socket.
 func (l *clients) accept() (net.Conn, error) {
 	c, err := l.acceptNext()
 	if err == nil {
@@ -88,8 +86,8 @@
 	if !ok || errors.Is(err, net.ErrClosed) {
 		return nil, err
 	}
-	// The deadline ends Accept before it looks: what waits in the socket's queue is taken one by one, with
-	// nothing between the last look and the close.
+	// An expired deadline makes Accept return without looking at the queue. Accepting from the socket directly leaves
+	// no gap between the last look and the close.
 	if c := acceptQueued(t); c != nil {
 		return c, nil
 	}
@@ -97,8 +95,8 @@
 	return nil, net.ErrClosed
 }
 
-// acceptNext returns an error only where the listener has ended, or leave was called. A client at which no request is at work
-// makes room where there is no descriptor left.
+// acceptNext returns an error only if the listener was closed or closeAfterBacklog was called. If the process has run out
+// of descriptors it evicts a connection.
 func (l *clients) acceptNext() (net.Conn, error) {
 	var pause acceptretry.Pause
 	for {
@@ -116,10 +114,10 @@
 	}
 }
 
-// maxAcceptTries is how often a failure is passed over while the queue of a socket is emptied.
+// maxAcceptTries bounds the attempts to accept one queued connection: accept4 also reports errors of single connections.
 const maxAcceptTries = 64
 
-// acceptQueued takes a connection that has come already, nil where there is none.
+// acceptQueued accepts a connection that is already in the socket's queue. It returns nil if there is none.
 func acceptQueued(t *net.TCPListener) net.Conn {
 	raw, err := t.SyscallConn()
 	if err != nil {
@@ -139,7 +137,7 @@
 		return nil
 	}
 	file := os.NewFile(uintptr(fd), "client")
-	defer file.Close() // FileConn has its own copy
+	defer file.Close() // FileConn duplicates the descriptor
 	c, err := net.FileConn(file)
 	if err != nil {
 		return nil
@@ -147,8 +145,8 @@
 	return c
 }
 
-// closeAfterBacklog gives the address up to another process that listens there too: what has come is still taken.
-// Guards against the reset of connections that wait in the queue of a socket that closes.
+// closeAfterBacklog stops listening in favor of another process on the same address. Connections that are already in the
+// socket's queue are still accepted, since closing the socket would reset them.
 func (l *clients) closeAfterBacklog() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,21 +161,21 @@
 	}
 }
 
-// limit changes how many connections are held.
+// limit sets how many connections are held.
 func (l *clients) limit(maxConns int) {
 	l.mu.Lock()
 	l.maxConns = max(1, maxConns)
 	l.mu.Unlock()
 }
 
-// closeInactive closes connections at which no request is at work.
+// closeInactive closes the connections without a request in progress.
 func (l *clients) closeInactive() {
 	l.mu.Lock()
 	var inactive []*clientConn
 	for c := range l.conns {
 		switch kind := int(c.state.Load()); {
 		case kind == connActive && time.Since(epoch)-time.Duration(c.stateSince.Load()) > minBodyStall:
-			if c.bodyPending.CompareAndSwap(true, false) { // a body that has stopped
+			if c.bodyPending.CompareAndSwap(true, false) { // its body has stopped arriving
 				inactive = append(inactive, c)
 			}
 		case (kind == connAwaitingHead || kind == connIdle) && c.state.CompareAndSwap(int32(kind), connEvicted):
@@ -190,13 +188,14 @@
 	}
 }
 
-// Guard returns l such that at most so many connections to server are held and the silent ones make room.
+// Guard returns a listener for server that holds at most most connections from l at once and, at that limit, replaces
+// inactive connections by new ones. It sets ConnContext, ConnState and MaxHeaderBytes of server.
 func Guard(server *http.Server, l net.Listener, maxConns int, log *slog.Logger) net.Listener {
 	server.ConnContext, server.ConnState, server.MaxHeaderBytes = withConn, trackConnState, maxHeadBytes
 	return newClients(l, maxConns, 0, log)
 }
 
-// admit takes a connection in, or returns nil where all that there may be are at work.
+// admit registers a connection. It returns nil if the limit is reached and no connection can be evicted.
 func (l *clients) admit(c net.Conn) *clientConn {
 	for {
 		l.mu.Lock()
@@ -218,8 +217,8 @@
 	}
 }
 
-// makeRoom closes the connection that goes first, never one at work. Where there is none yet it says how long until there
-// may be, 0 = none at all.
+// makeRoom evicts one connection, never one with a request in progress. If there is none to evict, wait is the time until
+// there may be one, or 0 if waiting does not help.
 func (l *clients) makeRoom() (freed bool, wait time.Duration) {
 	for {
 		l.mu.Lock()
@@ -236,8 +235,8 @@
 	}
 }
 
-// victim is the connection that goes first for a newcomer. Where those that could are too young yet, it
-// says how long until one is not. The caller holds the lock.
+// victim returns the connection to evict first. If all candidates have been inactive for too short a time, wait is the
+// time until one can be evicted. The caller must hold l.mu.
 func (l *clients) victim() (first *clientConn, wait time.Duration) {
 	best, age := len(minAgeBeforeEviction), time.Duration(0)
 	for c := range l.conns {
@@ -264,7 +263,8 @@
 	return first, wait
 }
 
-// reportFull counts what a reportFull house led to, and says so once a second at most.
+// reportFull increments counter, one of the counts of what the limit of connections led to, and logs them at most once a
+// second.
 func (l *clients) reportFull(counter *int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -276,7 +276,7 @@
 	l.lastWarning, l.rejected, l.evicted = time.Now(), 0, 0
 }
 
-// retryAfterLine is the line of a head that says when to come back, empty where none may be told.
+// retryAfterLine returns the Retry-After line of a head, or nothing if after is 0.
 func retryAfterLine(after time.Duration) string {
 	if after <= 0 {
 		return ""
@@ -284,8 +284,8 @@
 	return "Retry-After: " + formatSeconds(after) + "\r\n"
 }
 
-// unavailableResponse is the answer to a request of which nothing was sent on, such as one that there is no room for. last has it
-// tell the end of the connection.
+// unavailableResponse returns the answer to a request of which nothing was sent to a worker. last adds that the connection
+// is closed.
 func unavailableResponse(retryAfter string, last bool) string {
 	text := "HTTP/1.1 503 Service Unavailable\r\n" + retryAfter + "Content-Length: 0\r\n"
 	if last {
@@ -294,7 +294,7 @@
 	return text + "\r\n"
 }
 
-// rejectConn refuses whatever a connection brings: nothing of it has been read, let alone sent on.
+// rejectConn answers with 503 whatever the client of a new connection sends, and closes the connection.
 func rejectConn(c net.Conn, retryAfter string) {
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(rejectionTimeout))
@@ -307,14 +307,14 @@
 	_, _ = io.CopyN(io.Discard, c, maxBodyBytes)
 }
 
-// What a connection does, in the order in which they make room.
+// States of a connection, in the order in which they are evicted.
 const (
-	connAwaitingHead = iota // for its first whole head
+	connAwaitingHead = iota // its first head is not complete
 	connIdle                // between two requests
-	connAwaitingBody        // at work, but its body has not come
+	connAwaitingBody        // in use, but the request's body has not arrived
 	connActive
 	connEvicted
 )
 
-// minAgeBeforeEviction is how long it must have done so.
+// minAgeBeforeEviction is how long a connection must have been in a state to be evicted.
 var minAgeBeforeEviction = [...]time.Duration{connAwaitingHead: minIdleTime, connIdle: minIdleTime, connAwaitingBody: minBodyStall}
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -1,9 +1,8 @@
-// Package httpfront is the platform's protocol: HTTP/1.1 with clients and workers, and the watch on
-// discovery. This file owns the side of the clients: reading a request's head into the values that
-// the core knows, and passing a worker's stream on unchanged.
+// Package httpfront implements the platform's protocol: HTTP/1.1 with clients and workers, and the watch on discovery.
 //
-// It must never decide anything about a request, send one again, or hold back a final answer; all
-// of that is the core's. It must never change what a client or a worker sent.
+// The client side, a Front, parses a request's head into the values that package core decides on, and relays a worker's
+// stream unchanged. Everything that is decided about a request, such as where it is sent, whether it is sent again and
+// what its final answer is, is left to the core.
 package httpfront
 
 import (
@@ -25,26 +24,27 @@
 	"rowanyard/internal/core"
 )
 
-// Limits of what clients may send and hold.
 const (
-	defaultBodyMemory = 40 << 20 // bytes of bodies held at once, unless Bodies says otherwise
+	defaultBodyMemory = 40 << 20 // bytes of request bodies held at once
 	pathReady         = "/health/ready"
-	PathChat          = "/v1/chat/completions"
-	failureStatus     = http.StatusBadGateway
+	PathChat          = "/v1/chat/completions" // the path of the requests that are passed to workers
+	statusFailed      = http.StatusBadGateway  // answers a request that could not be served
 )
 
-// Bridge carries a client's request to workers that speak another wire. The streams of its results
-// are of type Stream.
+// Bridge returns a Carrier that sends a client's request to workers over another protocol. The streams of its results
+// must implement Stream.
 type Bridge func(q decide.Request, id, class string, body []byte) core.Carrier
 
-// Front serves clients.
+// Front serves the requests of clients over HTTP/1.1. Its methods are safe for concurrent use.
 type Front struct {
-	// Bridges has a way to the workers of each other wire. Set before Serve.
+	// Bridges holds a Bridge for each protocol of workers besides HTTP/1.1, by the value of core.Worker.Wire. It must
+	// not change after Serve was called.
 	Bridges map[string]Bridge
-	// Bodies is how many bytes of bodies are held at once; past it new requests are refused.
+	// Bodies limits the bytes of request bodies that are held at once. New requests beyond it are refused with 503.
 	Bodies atomic.Int64
-	// HandOver is how long after the beginning of Shutdown the streams that still run are cut, so that their
-	// clients ask another router for the rest while there is one; 0 where clients don't.
+	// HandOver is how long after the start of Shutdown the streams that are still running are cut or handed over. The
+	// clients of cut streams request the rest from another router while there is one. 0 disables it, for clients that
+	// don't request the rest.
 	HandOver time.Duration
 
 	core           *core.Core
@@ -53,39 +53,39 @@
 	log            *slog.Logger
 	proxy          *httputil.ReverseProxy
 	server         *http.Server
-	writes         time.Duration // writeLimit
+	writes         time.Duration // writeLimit, shorter in tests
 	bodyMemoryUsed atomic.Int64
-	over           context.Context // ends when streams are handed over
+	over           context.Context // done once streams are to be handed over
 	beginHandOver  context.CancelFunc
 
 	mu            sync.Mutex
 	clients       *clients // nil before Serve
-	receiver      *Handed  // nil where nothing is taken from another process
-	successorPath heir     // the process that takes over
-	connLimit     int      // set by Limit
-	standby       bool     // operators want the router empty
-	closing       bool     // Shutdown has begun
-	heir          bool     // and another process serves in this one's place
+	receiver      *Handed  // nil if no streams are taken over from another process
+	successorPath heir
+	connLimit     int  // set by Limit, 0 if it was not called
+	standby       bool // an operator wants the router to have no clients
+	closing       bool // Shutdown has begun
+	heir          bool // during Shutdown: another process serves in place of this one
 }
 
-// New returns a Front that serves the classes with the given names, in the order of their numbers.
-// pages serves what else stands on its port; nil: nothing.
+// New returns a Front that passes requests to c. classNames are the names of the classes in the order of their numbers.
+// pages, if not nil, wraps the Front's handler with further pages to serve on the same port.
 func New(c *core.Core, w *Workers, classNames []string, pages func(http.Handler) http.Handler, logger *slog.Logger) *Front {
 	over, beginHandOver := context.WithCancel(context.Background())
 	f := &Front{over: over, beginHandOver: beginHandOver, core: c, workers: w, classes: ClassesOf(classNames), log: logger, writes: writeLimit}
 	f.Bodies.Store(defaultBodyMemory)
 	serverLog := log.New(slogWriter{logger}, "", 0)
 	f.proxy = &httputil.ReverseProxy{
-		Rewrite:       func(*httputil.ProxyRequest) {}, // the worker's address is the core's choice, made in RoundTrip
+		Rewrite:       func(*httputil.ProxyRequest) {}, // the core chooses the worker, in RoundTrip
 		Transport:     roundTripper{f},
-		FlushInterval: -1, // every event as it comes
+		FlushInterval: -1, // pass on each event at once
 		BufferPool:    &bufferPool{},
 		ErrorLog:      serverLog,
 		ErrorHandler: func(w http.ResponseWriter, r *http.Request, err error) {
 			if r.Context().Err() == nil {
 				f.log.Error("no answer from the core", "err", err)
 			}
-			w.WriteHeader(failureStatus)
+			w.WriteHeader(statusFailed)
 		},
 	}
 	var handler http.Handler = f
@@ -97,7 +97,8 @@
 	return f
 }
 
-// Serve serves clients on l, at most maxConns at once, until Shutdown.
+// Serve serves clients on l until Shutdown is called. It holds at most maxConns connections at once, or as many as Limit
+// has set. It returns nil after a shutdown.
 func (f *Front) Serve(l net.Listener, maxConns int) error {
 	f.mu.Lock()
 	if f.connLimit > 0 {
@@ -115,7 +116,7 @@
 	return err
 }
 
-// Limit changes how many connections of clients are held.
+// Limit sets how many client connections are held at once.
 func (f *Front) Limit(maxConns int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,7 +126,7 @@
 	}
 }
 
-// ServeHTTP takes one request from a client.
+// ServeHTTP implements http.Handler. It serves readiness probes and chat requests.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == pathReady && r.Method == http.MethodGet {
 		if !f.ready() {
@@ -133,7 +134,7 @@
 		}
 		return
 	}
-	// Guards against a body that stops halfway: net/http waits for its rest before it sends any answer.
+	// Without a deadline a body that stops halfway would block the answer: net/http reads the rest of it first.
 	_ = http.NewResponseController(w).SetReadDeadline(bodyDeadline(r.Context()))
 	if r.Method != http.MethodPost || r.URL.Path != PathChat {
 		http.Error(w, "no such page", http.StatusNotFound)
@@ -142,7 +143,7 @@
 	memory, ok := f.reserveBody(r.ContentLength)
 	defer memory.release()
 	if !ok {
-		f.log.Info("refused", "why", "too many bodies are held", "txn", r.Header.Get(headTxn))
+		f.log.Info("refused", "why", "too many request bodies are held", "txn", r.Header.Get(headTxn))
 		setRetryAfter(w.Header(), f.core.Busy())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -162,7 +163,7 @@
 		id := r.Header.Get(headTxn)
 		if release, ok := f.core.Claim(id); ok {
 			defer release()
-		} else { // the first request with it goes on untouched
+		} else { // the first request with this id is not affected
 			status, err = http.StatusConflict, fmt.Errorf("%s: %q is open already", headTxn, id)
 		}
 	}
@@ -177,20 +178,21 @@
 	f.forward(w, r, q, body, memory)
 }
 
-// forward has the core serve a request that was read.
+// forward passes a parsed request to the core and relays the answer to the client.
 func (f *Front) forward(w http.ResponseWriter, r *http.Request, q decide.Request, body []byte, memory *bodyReservation) {
 	x := &Exchange{Workers: f.workers, Method: r.Method, URI: r.URL.RequestURI(), Head: r.Header, Body: body}
 	for wire, bridge := range f.Bridges {
-		x.others = append(x.others, other{wire, bridge(q, r.Header.Get(headTxn), r.Header.Get(laneHeader), body)})
+		x.others = append(x.others, other{wire, bridge(q, r.Header.Get(headTxn), r.Header.Get(headerLane), body)})
 	}
-	freeBody := func() { // the body is not needed any more
+	freeBody := func() { // called once the body is no longer needed
 		x.Drop()
 		memory.release()
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok {
-		// Guards against a close that came while the request waited to be read: net/http looks for one beside the handler.
+		// net/http looks for a close only while the handler runs; one that came while the request was waiting to be read
+		// may not have been noticed yet.
 		x.Left = func() bool {
 			if !c.clientGone() {
 				return false
@@ -203,9 +205,10 @@
 	f.proxy.ServeHTTP(w, r.WithContext(context.WithValue(ctx, exchangeKey{}, parsed)))
 }
 
-// formatSeconds is a time as Retry-After has it.
+// formatSeconds formats a duration for Retry-After.
 func formatSeconds(t time.Duration) string { return strconv.FormatFloat(t.Seconds(), 'f', 3, 64) }
 
+// setRetryAfter sets the header Retry-After unless after is 0.
 func setRetryAfter(h http.Header, after time.Duration) {
 	if after > 0 {
 		h.Set("Retry-After", formatSeconds(after))
@@ -214,26 +217,26 @@
 
 type exchangeKey struct{}
 
-// parsedRequest is a request that the handler has read, on its way to RoundTrip.
+// parsedRequest passes a request that the handler has read to RoundTrip.
 type parsedRequest struct {
 	exchange       *Exchange
 	q              decide.Request
 	client         *http.ResponseController
-	freeBody       func() // the answer has begun
+	freeBody       func() // called when the answer begins
 	responseHeader http.Header
 }
 
-// roundTripper hands a request to the core and makes a response of its final answer.
+// roundTripper has the core serve a request and turns the final answer into a response.
 type roundTripper struct{ front *Front }
 
 func (t roundTripper) RoundTrip(out *http.Request) (*http.Response, error) {
 	parsed, ok := out.Context().Value(exchangeKey{}).(parsedRequest)
 	if !ok {
-		return nil, errors.New("a request that the handler has not read")
+		return nil, errors.New("request was not read by the handler")
 	}
 	a := t.front.core.Serve(out.Context(), parsed.q, parsed.exchange)
 	conn, _ := out.Context().Value(connKey{}).(*clientConn)
-	if conn != nil { // much may have come, and the shutdown begun, since the request was taken
+	if conn != nil { // again: since the request was read, more may have arrived and the shutdown may have begun
 		conn.announceClose(parsed.responseHeader, out)
 	}
 	res := &http.Response{Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Request: out,
@@ -243,7 +246,7 @@
 		s := a.Stream.(Stream)
 		parsed.freeBody()
 		res.StatusCode, res.ContentLength = http.StatusOK, -1
-		for _, name := range []string{"Content-Type", "Cache-Control"} { // framing and load reports are the worker's own
+		for _, name := range []string{"Content-Type", "Cache-Control"} { // framing and load reports are not for the client
 			if v := s.Header().Get(name); v != "" {
 				res.Header.Set(name, v)
 			}
@@ -258,12 +261,12 @@
 	case core.Gone:
 		return nil, context.Canceled
 	default:
-		res.StatusCode = failureStatus
+		res.StatusCode = statusFailed
 	}
 	return res, nil
 }
 
-// slogWriter turns the libraries' own log lines into ours.
+// slogWriter writes the log lines of net/http to a slog.Logger at debug level.
 type slogWriter struct{ log *slog.Logger }
 
 func (w slogWriter) Write(p []byte) (int, error) {
--- a/internal/httpfront/handed.go
+++ b/internal/httpfront/handed.go
@@ -1,9 +1,8 @@
 package httpfront
 
-// This file owns the streams that pass from one process of a router to the one that takes over from it:
-// both sockets go over a Unix socket, with what is known of the stream at that byte, and neither client nor
-// worker notices. It must never let two processes write to one client, nor go on with a stream of
-// which it does not know exactly where it stands.
+// Running streams move from one process of a router to its successor, unnoticed by client and worker: both sockets are sent
+// over a Unix socket, together with the exact position in the stream. At no time may two processes write to one client, and
+// a stream whose position is not known exactly must not be continued.
 
 import (
 	"context"
@@ -23,14 +22,14 @@
 )
 
 const (
-	handOverTimeout  = 300 * time.Millisecond // the other process takes a stream within this
-	maxPositionBytes = 4 << 10                // bytes of what is told about one
-	handOverSockets  = 2                      // its client's socket and its worker's
+	handOverTimeout  = 300 * time.Millisecond // for the other process to accept a stream
+	maxPositionBytes = 4 << 10                // of an encoded streamPosition
+	handOverSockets  = 2                      // the client's and the worker's
 )
 
 var errHanded = errors.New("handed to the process that takes over")
 
-// streamPosition is where a stream stands, between two bytes from its worker.
+// streamPosition describes the state of a stream between two bytes from its worker. It is sent to the other process as JSON.
 type streamPosition struct {
 	Chunk  chunkState `json:"chunk"`
 	Left   int64      `json:"left"`
@@ -39,14 +38,14 @@
 	Length int        `json:"length"`
 	Fine   bool       `json:"fine"`
 	Note   bool       `json:"note"`
-	Behind int        `json:"behind"` // requests that were read behind the one that is answered
+	Behind int        `json:"behind"` // requests that were read behind the one being answered
 }
 
 func handedOf(c chunkScan, e eventScan) streamPosition {
 	return streamPosition{Chunk: c.state, Left: c.left, Count: c.count, Line: e.line, Length: e.count, Fine: e.fine, Note: e.note}
 }
 
-// scanners are the followers of the stream from there on.
+// scanners returns scanners for the rest of the stream, or an error if the position is not a valid one.
 func (h streamPosition) scanners() (chunkScan, eventScan, error) {
 	if h.Chunk < chunkSize || h.Chunk > trailerLF || h.Left < 0 || h.Left > maxChunk || h.Count < 0 || h.Length < 0 || len(h.Line) > h.Length ||
 		h.Behind < 0 || h.Behind > maxReadAhead {
@@ -56,7 +55,7 @@
 		eventScan{line: h.Line, count: h.Length, fine: h.Fine, note: h.Note}, nil
 }
 
-// give sends a stream and its sockets to the process that listens at path, and returns when it has them.
+// give sends a stream and its sockets to the process that listens at path, and returns once that process has accepted them.
 func give(path string, h streamPosition, client, worker int) error {
 	text, err := json.Marshal(h)
 	if err != nil {
@@ -75,7 +74,7 @@
 	return err
 }
 
-// dup makes another descriptor of a connection's socket.
+// dup duplicates the descriptor of a connection's socket.
 func dup(c net.Conn) (int, error) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -98,18 +97,18 @@
 	return fd, failed
 }
 
-// Handed takes streams from an older process.
+// Handed receives streams from an older process and relays the rest of them.
 type Handed struct {
 	listener   *net.UnixListener
 	log        *slog.Logger
 	retryAfter string          // the Retry-After line of refusals, may be empty
-	over       context.Context // when it ends they go on to the next process
+	over       context.Context // once it is done the streams are handed over to the next process
 	next       *heir
 
 	running inflight.Count
 }
 
-// heir is where streams go at the end; no path, nowhere.
+// heir holds the path at which the process that takes over receives streams, or "" if there is none.
 type heir struct {
 	mu   sync.Mutex
 	path string
@@ -118,7 +117,7 @@
 func (h *heir) set(path string) { h.mu.Lock(); h.path = path; h.mu.Unlock() }
 func (h *heir) get() string     { h.mu.Lock(); defer h.mu.Unlock(); return h.path }
 
-// TakeFrom listens at path for the streams of an older process; Shutdown ends it.
+// TakeFrom listens at path for the streams of an older process until Shutdown is called.
 func (f *Front) TakeFrom(path string) error {
 	_ = os.Remove(path)
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
@@ -133,7 +132,7 @@
 	return nil
 }
 
-// stop takes nothing more and waits for what runs.
+// stop stops receiving streams and waits until the running ones end or ctx is done.
 func (h *Handed) stop(ctx context.Context) {
 	h.listener.Close()
 	h.running.Wait(ctx)
@@ -202,20 +201,20 @@
 	return nil
 }
 
-// receivedStream is a stream that an older process began.
+// receivedStream relays the rest of a stream that an older process began.
 type receivedStream struct {
 	receiver       *Handed
 	client, worker net.Conn
 	chunk          chunkScan
 	events         eventScan
-	pipelined      atomic.Int32 // requests that were read behind the one that is answered
+	pipelined      atomic.Int32 // requests that were read behind the one being answered
 }
 
-// run passes the rest of the stream on. Its client's connection ends with it.
+// run relays the rest of the stream and then closes the client's connection.
 func (s *receivedStream) run() {
 	defer s.client.Close()
 	defer s.worker.Close()
-	// Guards against a stream that goes on with nobody to read it.
+	// Closing the worker's connection once the client has left ends a stream that nobody reads.
 	go func() {
 		s.readAhead()
 		s.worker.Close()
@@ -227,7 +226,7 @@
 		if s.receiver.over.Err() == nil {
 			_ = s.worker.SetReadDeadline(time.Now().Add(StallLimit))
 		}
-		if s.receiver.over.Err() != nil { // asked again: the deadline just set may have undone the other one
+		if s.receiver.over.Err() != nil { // checked again: the deadline just set may have replaced the one set by AfterFunc
 			s.handOver()
 			return
 		}
@@ -259,8 +258,9 @@
 	}
 }
 
-// readAhead reads what the client sends until it leaves, and counts the requests in it. What the process before had read may
-// have ended in the middle of a request, so that nothing more is counted then: the first refusal tells the rest.
+// readAhead reads what the client sends until it leaves and counts the requests in it. If the older process had read
+// requests already, it does not count: the data may begin in the middle of a request, and the refusal of the earlier ones
+// announces the close, which covers the later ones.
 func (s *receivedStream) readAhead() {
 	counts := s.pipelined.Load() == 0
 	var text []byte
@@ -275,7 +275,7 @@
 	}
 }
 
-// writeChunk passes bytes on as one chunk.
+// writeChunk writes p to the client as one chunk.
 func (s *receivedStream) writeChunk(p []byte) error {
 	_ = s.client.SetWriteDeadline(time.Now().Add(writeLimit))
 	chunk := fmt.Appendf(make([]byte, 0, len(p)+16), "%x\r\n", len(p))
@@ -283,7 +283,7 @@
 	return err
 }
 
-// handOver hands the stream on once more.
+// handOver hands the stream over to the next process.
 func (s *receivedStream) handOver() {
 	path := s.receiver.next.get()
 	if path == "" {
--- a/internal/httpfront/lastrequest.go
+++ b/internal/httpfront/lastrequest.go
@@ -1,9 +1,5 @@
 package httpfront
 
-// This file owns the end of a client's connection: a request that has been read is answered before its connection closes,
-// whoever closes it, and so are those that were read behind it. Reading from the socket and closing exclude each other, so
-// that what comes in the very moment of the close is either not read (and its client learns that by the reset) or answered.
-
 import (
 	"bytes"
 	"context"
@@ -18,18 +14,20 @@
 	"time"
 )
 
-// refusalWriteTimeout is how long refusals before a close may take to write. They fit a socket's buffer.
+// refusalWriteTimeout limits the time to write refusals before a close. They fit into a socket's buffer.
 const refusalWriteTimeout = 50 * time.Millisecond
 
-// socketState is what a connection's end depends on.
+// socketState serializes reading from a connection's socket with closing it. A request of which bytes have been read is
+// answered before its connection closes, whoever closes it, and so are the requests pipelined behind it. What arrives at
+// the moment of the close is either answered or not read at all, which the client learns from the reset.
 type socketState struct {
 	mu             sync.Mutex
-	requestPending bool // bytes of a request were read and it has not been answered
-	paused         bool // nothing more is read, and the connection is not closed for that
+	requestPending bool // bytes of a request have been read and it has not been answered
+	paused         bool // reads block until the connection is closed
 	closed         bool
 }
 
-// pause has nothing more read: another process does.
+// pause stops reading without closing, because another process reads the socket from now on.
 func (r *socketState) pause() {
 	r.mu.Lock()
 	r.paused = true
@@ -42,14 +40,14 @@
 	return r.closed
 }
 
-// setAnswered notes that the request at hand has its answer. more says that bytes of the next were read already.
+// setAnswered records that the current request is answered. nextBegun is whether bytes of the next one have been read.
 func (r *socketState) setAnswered(nextBegun bool) {
 	r.mu.Lock()
 	r.requestPending = nextBegun
 	r.mu.Unlock()
 }
 
-// close has nothing more read. It says whether it is the first to, and whether a request is unanswered.
+// close stops reading. It reports whether this is the first close and whether a request is unanswered.
 func (r *socketState) close() (first, unanswered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,7 +56,7 @@
 	return first, r.requestPending
 }
 
-// closeIfAnswered does the same unless a request is unanswered. It says whether it was the one to close.
+// closeIfAnswered stops reading unless a request is unanswered. It reports whether it did.
 func (r *socketState) closeIfAnswered() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,7 +67,7 @@
 	return true
 }
 
-// readSocket reads from the socket, unless the connection was closed.
+// readSocket reads from the socket. It fails with net.ErrClosed once the connection was closed.
 func (c *clientConn) readSocket(p []byte) (n int, err error) {
 	sysConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -88,7 +86,7 @@
 			return true
 		}
 		if c.ends.paused {
-			return false // waits for the close
+			return false // wait for the close
 		}
 		for n, failed = syscall.Read(int(fd), p); errors.Is(failed, syscall.EINTR); {
 			n, failed = syscall.Read(int(fd), p)
@@ -110,7 +108,7 @@
 	return n, nil
 }
 
-// Close implements net.Conn. What was read behind an answer that is whole, and will not be served any more, is refused.
+// Close implements net.Conn. If the last answer is complete it refuses the pipelined requests, which are no longer served.
 func (c *clientConn) Close() error {
 	first, _ := c.ends.close()
 	if !first {
@@ -122,15 +120,15 @@
 	return c.release()
 }
 
-// closeIfIdle closes a connection that was left between two requests. Where a request has been read in that very moment,
-// the connection stays and ends with the answer.
+// closeIfIdle closes a connection between two requests. If bytes of a request have been read at that moment, the connection
+// stays open and is closed after the answer.
 func (c *clientConn) closeIfIdle() {
 	if c.ends.closeIfAnswered() {
 		_ = c.release()
 	}
 }
 
-// release gives the connection's place and socket back.
+// release removes the connection from its listener and closes the socket.
 func (c *clientConn) release() error {
 	defer c.from.open.End()
 	c.from.mu.Lock()
@@ -139,8 +137,8 @@
 	return c.Conn.Close()
 }
 
-// evict closes the connection for a newcomer. Where a request on it has been read in part, or in that very moment, its
-// client is refused: nothing of it has been sent on.
+// evict closes the connection to make room for another. If a request on it has been read, even in part, the request is
+// refused: nothing of it has been sent to a worker.
 func (c *clientConn) evict() {
 	first, unanswered := c.ends.close()
 	if !first {
@@ -152,15 +150,16 @@
 	_ = c.release()
 }
 
-// refusePipelined refuses the requests that were read behind the one at hand: nothing of them has been sent on.
+// refusePipelined refuses the requests that were read behind the current one. Nothing of them has been sent to a worker.
 func (c *clientConn) refusePipelined() {
 	c.refuse(int(c.behind.Swap(0)))
 }
 
-// refuse refuses so many requests.
+// refuse writes refusals for the given number of requests.
 func (c *clientConn) refuse(requests int) { writeRefusals(c.Conn, c.from.retryAfter, requests) }
 
-// writeRefusals writes refusals for so many requests to a client whose connection ends then, as the last of them tells.
+// writeRefusals writes refusals for the given number of requests to a client whose connection is about to be closed, which
+// the last of them announces.
 func writeRefusals(client net.Conn, retryAfter string, requests int) {
 	if requests <= 0 {
 		return
@@ -169,7 +168,7 @@
 	_, _ = io.WriteString(client, strings.Repeat(unavailableResponse(retryAfter, false), requests-1)+unavailableResponse(retryAfter, true))
 }
 
-// countRequests counts the requests in what was read, of which at least the first line has come.
+// countRequests counts the requests in text. The last one counts once its first line is complete.
 func countRequests(text []byte) int {
 	for n := 0; ; n++ {
 		end := headEnd(text)
@@ -180,17 +179,17 @@
 			return n
 		}
 		f, ok := requestFraming(text[:end])
-		if !ok || f.chunked || int64(len(text)-end) < f.length { // where the next one begins is not known
+		if !ok || f.chunked || int64(len(text)-end) < f.length { // the next request's start is unknown
 			return n + 1
 		}
 		text = text[end+int(f.length):]
 	}
 }
 
-// announceClose tells the client that its connection ends with this answer, where it does. It does not where more requests have
-// been read: they are answered first.
+// announceClose sets or removes "Connection: close" in the header of an answer. While the listener is closing, a connection
+// ends with the answer unless more requests have been read, which are answered first.
 func (c *clientConn) announceClose(answer http.Header, r *http.Request) {
-	chunked := len(r.TransferEncoding) > 0 // net/http might see its end elsewhere than chunkScan does
+	chunked := len(r.TransferEncoding) > 0 // net/http might see the body's end elsewhere than chunkScan does
 	if chunked || c.from.closing.Load() && c.behind.Load() == 0 {
 		answer.Set("Connection", "close")
 	} else {
@@ -198,8 +197,8 @@
 	}
 }
 
-// withConnectionHeader serves with next and has each answer tell whether its connection ends. Guards against net/http's own ways to end
-// connections (Shutdown, SetKeepAlivesEnabled), which serve nothing that was read behind an answer.
+// withConnectionHeader wraps next so that each answer announces whether its connection ends. net/http's own ways to end
+// connections, Shutdown and SetKeepAlivesEnabled, would not serve the requests that were read behind an answer.
 func withConnectionHeader(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c, ok := r.Context().Value(connKey{}).(*clientConn)
@@ -209,13 +208,14 @@
 		}
 		c.announceClose(w.Header(), r)
 		next.ServeHTTP(w, r)
-		// Not reached by an answer that broke off. Without chunks the close is the end of the answer.
+		// Not reached if the handler panicked because the answer broke off. An answer of HTTP/1.0 ends with the close, so
+		// that no refusal can follow it.
 		c.answerComplete.Store(r.ProtoAtLeast(1, 1))
 	})
 }
 
-// closeAfterAnswers has each connection end with its answer, or with the last one where more requests have been read; those that
-// stand idle end now. Off has them stay open again.
+// closeAfterAnswers closes idle connections now and the others after their current answer, or after the last one if more
+// requests have been read. With on false connections stay open again.
 func (l *clients) closeAfterAnswers(on bool) {
 	l.closing.Store(on)
 	if !on {
@@ -234,11 +234,11 @@
 	}
 }
 
-// shutdown takes no new connections and waits for those that are open. It says no where ctx ends first.
+// shutdown stops accepting and waits until all connections are closed. It returns false if ctx ends first.
 func (l *clients) shutdown(ctx context.Context) bool {
 	_ = l.Close()
 	select {
-	case <-l.acceptDone: // what was taken before is counted by now
+	case <-l.acceptDone: // all accepted connections are counted in l.open
 	case <-ctx.Done():
 		return false
 	}
--- a/internal/httpfront/lifecycle.go
+++ b/internal/httpfront/lifecycle.go
@@ -1,28 +1,26 @@
 package httpfront
 
-// This file owns how a front is left by its clients: readiness, standby, and the end of the process.
-
 import (
 	"context"
 	"time"
 )
 
 const (
-	shutdownAcceptTime   = 600 * time.Millisecond  // after SIGTERM connections still arrive for so long
-	standbyCloseDelay    = 1500 * time.Millisecond // in standby connections without a request end after this ...
-	standbyCloseInterval = 100 * time.Millisecond  // ... and are looked for so often
+	shutdownAcceptTime   = 600 * time.Millisecond  // connections still arrive for this long after SIGTERM
+	standbyCloseDelay    = 1500 * time.Millisecond // from the start of standby until inactive connections are closed ...
+	standbyCloseInterval = 100 * time.Millisecond  // ... and from then on at this interval
 )
 
-// ready says whether new clients are wanted. A process that ends while another serves in its place says so
-// too: the router as a whole goes on.
+// ready reports whether the router accepts new clients. A process that ends while another serves in its place is ready too,
+// since the router as a whole goes on.
 func (f *Front) ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.clients != nil && !f.standby && (!f.closing || f.heir)
 }
 
-// Standby empties the front: it is not ready any more, each connection ends with its answer, and those at
-// which no request is at work end soon. Off puts it back to work. What comes all the same is served.
+// Standby puts the front into standby or takes it out again. In standby it reports that it is not ready, closes each
+// connection after its answer, and soon closes those without a request in progress. Requests that arrive are still served.
 func (f *Front) Standby(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,7 +36,7 @@
 	}
 }
 
-// closeInactiveInStandby closes again and again what holds no request, for as long as the front is in standby.
+// closeInactiveInStandby closes the connections without a request in progress, repeatedly while the front is in standby.
 func (f *Front) closeInactiveInStandby() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,10 +49,10 @@
 	time.AfterFunc(standbyCloseInterval, f.closeInactiveInStandby)
 }
 
-// Shutdown ends the front in good order: it answers what has come and what still comes for a
-// while, ends idle connections at once, and cuts the streams that still run when ctx ends. heir is the
-// path at which another process takes streams, which listens at the same address by now and gets all that is
-// new; "" where there is none.
+// Shutdown ends the front gracefully. It closes idle connections at once, answers the requests that have arrived and those
+// that still arrive for a short while, and cuts the streams that are still running when ctx ends. successor is the path at
+// which another process, which by now listens at the same address and gets the new connections, takes over streams; it is
+// "" if there is none.
 func (f *Front) Shutdown(ctx context.Context, heir string) {
 	f.mu.Lock()
 	f.closing, f.heir = true, heir != ""
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -20,7 +20,7 @@
 const (
 	maxTokens  = 1 << 30
 	headTxn    = "X-Txn"
-	laneHeader = "X-Lane"
+	headerLane = "X-Lane"
 	headLeft   = "X-Remaining-Ms"
 )
 
@@ -74,7 +74,7 @@
 // parseHead reads the values that decisions rest on from a request's head.
 func (c Classes) parseHead(h http.Header) (decide.Request, error) {
 	var q decide.Request
-	for _, name := range []string{headTxn, laneHeader, "X-Entity", headLeft, "X-Resent", "X-Estimate", "X-Labels"} {
+	for _, name := range []string{headTxn, headerLane, "X-Entity", headLeft, "X-Resent", "X-Estimate", "X-Labels"} {
 		if len(h.Values(name)) > 1 { // which one counts would be anybody's guess
 			return q, fmt.Errorf("%s: %d times", name, len(h.Values(name)))
 		}
@@ -82,9 +82,9 @@
 	if id := h.Get(headTxn); !ValidID(id) {
 		return q, fmt.Errorf("%s: %q", headTxn, id)
 	}
-	class, ok := c[h.Get(laneHeader)]
+	class, ok := c[h.Get(headerLane)]
 	if !ok {
-		return q, fmt.Errorf("%s: unknown class %q", laneHeader, h.Get(laneHeader))
+		return q, fmt.Errorf("%s: unknown class %q", headerLane, h.Get(headerLane))
 	}
 	q.Class = class
 	left, err := strconv.ParseUint(h.Get(headLeft), 10, 31)
