--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -55,8 +55,8 @@
 	server         *http.Server
 	writes         time.Duration // writeLimit, shorter in tests
 	bodyMemoryUsed atomic.Int64
-	over           context.Context // done once streams are to be handed over
-	beginHandOver  context.CancelFunc
+	over           context.Context    // done once streams are to be handed over or cut
+	cutStreams     context.CancelFunc // cancels it
 
 	mu            sync.Mutex
 	clients       *clients // nil before Serve
@@ -71,8 +71,8 @@
 // New returns a Front that passes requests to c. classNames are the names of the classes in the order of their numbers.
 // pages, if not nil, wraps the Front's handler with further pages to serve on the same port.
 func New(c *core.Core, w *Workers, classNames []string, pages func(http.Handler) http.Handler, logger *slog.Logger) *Front {
-	over, beginHandOver := context.WithCancel(context.Background())
-	f := &Front{over: over, beginHandOver: beginHandOver, core: c, workers: w, classes: ClassesOf(classNames), log: logger, writes: writeLimit}
+	over, cutStreams := context.WithCancel(context.Background())
+	f := &Front{over: over, cutStreams: cutStreams, core: c, workers: w, classes: ClassesOf(classNames), log: logger, writes: writeLimit}
 	f.Bodies.Store(defaultBodyMemory)
 	serverLog := log.New(slogWriter{logger}, "", 0)
 	f.proxy = &httputil.ReverseProxy{
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -127,9 +127,9 @@
 }
 
 func TestClientThatStopsReadingIsDisconnected(t *testing.T) {
-	left := make(chan struct{})
+	writerDone := make(chan struct{})
 	front, c := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
-		defer close(left)
+		defer close(writerDone)
 		for event := bytes.Repeat([]byte("data: {\"a\": 1}\n\n"), 1<<12); ; {
 			if _, err := w.Write(event); err != nil {
 				return
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	defer res.Body.Close()
-	receive(t, left, "the end of the write")
+	receive(t, writerDone, "the end of the write")
 	waitForCore(t, c)
 }
 
@@ -238,9 +238,9 @@
 	if res, _, _ := post(t, front.URL, head(), bodyText[:50]); res.StatusCode != 400 {
 		t.Errorf("cut body: %d", res.StatusCode)
 	}
-	for _, none := range []string{`{"model":"chat"}`, `{"messages":[ ]}`, `{"messages":{"a":1}}`, `{"messages":null}`} {
-		if res, _, _ := post(t, front.URL, head(), none); res.StatusCode != 400 {
-			t.Errorf("%s: %d", none, res.StatusCode)
+	for _, empty := range []string{`{"model":"chat"}`, `{"messages":[ ]}`, `{"messages":{"a":1}}`, `{"messages":null}`} {
+		if res, _, _ := post(t, front.URL, head(), empty); res.StatusCode != 400 {
+			t.Errorf("%s: %d", empty, res.StatusCode)
 		}
 	}
 	if res, _, _ := post(t, front.URL, head(), strings.Repeat(" ", maxBodyBytes+1)); res.StatusCode != 413 {
@@ -258,9 +258,9 @@
 // A malformed line from discovery must not end the watch or discard the known workers. The full list is requested then.
 func TestWatchSurvivesGarbage(t *testing.T) {
 	var asked atomic.Int64
-	got := make(chan string, 10)
+	versions := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		got <- r.URL.Query().Get("after")
+		versions <- r.URL.Query().Get("after")
 		if asked.Add(1) == 1 {
 			io.WriteString(w, "\n{\"seq\":43,\"whole\":false,\"hosts\":[{\"host\":\"w\",\"dial\":\"127.0.0.1:1\",\"site\":\"a\",\"class\":\"m\",\"health\":\"up\"},{\"host\":\"v\",\"site\":\"?\"}]}\n{\"seq\":4")
 			return
@@ -272,7 +272,7 @@
 	d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 0, quiet)
 	defer d.Close()
 	d.Follow(s.Listener.Addr().String(), 41)
-	if a, b := <-got, <-got; a != "41" || b != "" {
+	if a, b := <-versions, <-versions; a != "41" || b != "" {
 		t.Errorf("requested the changes after %q, then after %q, want the full list", a, b)
 	}
 	if _, ok := c.Worker("w"); !ok {
@@ -358,19 +358,19 @@
 // unreachable, it is tried again soon. No wait may reach the time after which a change counts as known to the router,
 // however many routers there are.
 func TestOverloadedDiscoveryIsBackedOff(t *testing.T) {
-	const each, most = 20 * backoffEach, newsDue - newsSpare
+	const interval, maxWait = 20 * backoffEach, newsDue - newsSpare
 	busy := fmt.Errorf("watch: %w", notNow{503, 0})
 	for failed := range 40 {
-		seen, sum := map[time.Duration]bool{}, time.Duration(0)
+		waits, sum := map[time.Duration]bool{}, time.Duration(0)
 		for range 200 {
-			w := backoff(busy, failed, each, most)
-			seen[w] = true
+			w := backoff(busy, failed, interval, maxWait)
+			waits[w] = true
 			sum += w
 		}
-		if want := min(each<<min(failed, 10), most*3/4); len(seen) < 100 || sum/200 < want*8/10 || sum/200 > want*12/10 {
-			t.Errorf("after %d failures %v on average at %d times, want %v", failed, sum/200, len(seen), want)
+		if want := min(interval<<min(failed, 10), maxWait*3/4); len(waits) < 100 || sum/200 < want*8/10 || sum/200 > want*12/10 {
+			t.Errorf("after %d failures %v on average at %d times, want %v", failed, sum/200, len(waits), want)
 		}
-		if w := backoff(io.ErrUnexpectedEOF, failed, each, most); w > backoffMost || failed == 0 && w > backoffLeast {
+		if w := backoff(io.ErrUnexpectedEOF, failed, interval, maxWait); w > backoffMost || failed == 0 && w > backoffLeast {
 			t.Errorf("unreachable for %d tries: asked again after %v", failed, w)
 		}
 		for _, err := range []error{busy, syscall.ECONNRESET, notNow{503, time.Hour}} {
@@ -379,7 +379,7 @@
 			}
 		}
 	}
-	if w := backoff(notNow{503, 3 * time.Second}, 0, time.Second, most); w < most/2 || w > 4*time.Second {
+	if w := backoff(notNow{503, 3 * time.Second}, 0, time.Second, maxWait); w < maxWait/2 || w > 4*time.Second {
 		t.Errorf("told to come back in 3 s: %v", w)
 	}
 }
@@ -387,9 +387,9 @@
 // A router must query discovery as soon as it starts, however many others there are: after some seconds a change counts as
 // known to it, and without the list it would send to workers that are draining or gone.
 func TestDiscoveryIsQueriedAtOnce(t *testing.T) {
-	got := make(chan bool, 10)
+	requests := make(chan bool, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		got <- true
+		requests <- true
 		io.WriteString(w, "\n")
 		<-r.Context().Done()
 	}))
@@ -398,5 +398,5 @@
 	d := NewDiscovery(Names{}, c, 0, quiet)
 	defer d.Close()
 	d.Follow(s.Listener.Addr().String(), 41)
-	receive(t, got, "the request to discovery: a turn among so many routers would take a day")
+	receive(t, requests, "the request to discovery: a turn among so many routers would take a day")
 }
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -28,10 +28,10 @@
 // of their connections.
 type unresponsiveWorker struct {
 	net.Listener
-	mu    sync.Mutex
-	sent  []string
-	came  chan string
-	ended chan struct{}
+	mu       sync.Mutex
+	received []string
+	came     chan string
+	ended    chan struct{}
 }
 
 func newHolding(t *testing.T) *unresponsiveWorker {
@@ -67,7 +67,7 @@
 			continue
 		}
 		h.mu.Lock()
-		h.sent = append(h.sent, r.Header.Get(headTxn))
+		h.received = append(h.received, r.Header.Get(headTxn))
 		h.mu.Unlock()
 		h.came <- r.Header.Get(headTxn)
 		in.ReadByte()
@@ -139,16 +139,16 @@
 func TestPipelinedRequestWaitsForItsTurn(t *testing.T) {
 	for name, behind := range map[string]string{"a request": message("two", length(bodyText), bodyText), "a flood": strings.Repeat("x", 1<<20)} {
 		answers := []string{"202 X\r\nContent-Length: 2\r\n\r\n{}", "200 X\r\nContent-Length: 10\r\n\r\ndata: {}\n\n"}
-		took := make(chan struct{})
+		written := make(chan struct{})
 		w, _ := rawWorker(t, func(n int) string {
 			if n == 0 { // what is behind has been written by then
-				<-took
+				<-written
 			}
 			return "HTTP/1.1 " + answers[n%2]
 		})
 		f, _ := newFront(t, w)
 		c := dial(t, listening(t, f, 10), message("one", length(bodyText), bodyText)+behind)
-		close(took)
+		close(written)
 		in := bufio.NewReader(c)
 		for n := range 2 {
 			res, err := http.ReadResponse(in, nil)
@@ -212,8 +212,8 @@
 	c.Wait(ctx)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.sent) != 1 {
-		t.Errorf("%d attempts for clients that had gone: %v", len(h.sent)-1, h.sent)
+	if len(h.received) != 1 {
+		t.Errorf("%d attempts for clients that had gone: %v", len(h.received)-1, h.received)
 	}
 }
 
@@ -326,7 +326,7 @@
 	answers := []string{"202 X\r\nContent-Length: 2\r\n\r\n{}", "200 X\r\nContent-Length: 10\r\n\r\ndata: {}\n\n"}
 	w, _ := rawWorker(t, func(n int) string { return "HTTP/1.1 " + answers[n%2] })
 	f, _ := aimingAt(t, w, time.Hour)
-	ended := make(chan struct{})
+	shutdownDone := make(chan struct{})
 	states := followStates(f)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -338,7 +338,7 @@
 			f.clients.closeAfterAnswers(true) // the first step of Shutdown
 			go func() {
 				f.Shutdown(t.Context(), "")
-				close(ended)
+				close(shutdownDone)
 			}()
 		}
 	}}, 9)
@@ -358,5 +358,5 @@
 			states.waitForIdle(t, c)
 		}
 	}
-	receive(t, ended, "the end of Shutdown")
+	receive(t, shutdownDone, "the end of Shutdown")
 }
--- a/internal/httpfront/guard_test.go
+++ b/internal/httpfront/guard_test.go
@@ -63,26 +63,26 @@
 func TestAmbiguousFramingIsRejected(t *testing.T) {
 	f, _ := newFront(t, "127.0.0.1:1")
 	addr := listening(t, f, 50)
-	hidden := message("hidden", length(bodyText), bodyText)
-	whole := length(bodyText)
+	smuggled := message("hidden", length(bodyText), bodyText)
+	lengthLine := length(bodyText)
 	for name, text := range map[string]string{
-		"both":            message("a", whole+"Transfer-Encoding: chunked\r\n", "0\r\n\r\n"+hidden),
-		"both, other way": message("a", "Transfer-Encoding: chunked\r\n"+whole, "0\r\n\r\n"+hidden),
-		"both, folded":    message("a", whole+"Transfer-Encoding:\r\n chunked\r\n", hidden),
-		"space":           message("a", whole+"Transfer-Encoding : chunked\r\n", bodyText+hidden),
-		"twice":           message("a", whole+whole, bodyText+hidden),
-		"two lengths":     message("a", whole+"Content-Length: 3\r\n", bodyText+hidden),
+		"both":            message("a", lengthLine+"Transfer-Encoding: chunked\r\n", "0\r\n\r\n"+smuggled),
+		"both, other way": message("a", "Transfer-Encoding: chunked\r\n"+lengthLine, "0\r\n\r\n"+smuggled),
+		"both, folded":    message("a", lengthLine+"Transfer-Encoding:\r\n chunked\r\n", smuggled),
+		"space":           message("a", lengthLine+"Transfer-Encoding : chunked\r\n", bodyText+smuggled),
+		"twice":           message("a", lengthLine+lengthLine, bodyText+smuggled),
+		"two lengths":     message("a", lengthLine+"Content-Length: 3\r\n", bodyText+smuggled),
 		"plus":            message("a", "Content-Length: +10\r\n", bodyText),
 		"negative":        message("a", "Content-Length: -10\r\n", bodyText),
 		"no number":       message("a", "Content-Length: ten\r\n", bodyText),
 		"beyond numbers":  message("a", "Content-Length: 99999999999999999999\r\n", bodyText),
 		"huge":            message("a", "Content-Length: 9000000000000000000\r\n", "x"),
-		"odd encoding":    message("a", "Transfer-Encoding: identity, chunked\r\n", "0\r\n\r\n"+hidden),
-		"old version":     strings.Replace(message("a", "Transfer-Encoding: chunked\r\n", hidden), "HTTP/1.1", "HTTP/1.0", 1),
-		"empty line":      "\r\n" + hidden,
-		"two ids":         message("a", "X-Txn: b\r\nConnection: close\r\n"+whole, bodyText),
+		"odd encoding":    message("a", "Transfer-Encoding: identity, chunked\r\n", "0\r\n\r\n"+smuggled),
+		"old version":     strings.Replace(message("a", "Transfer-Encoding: chunked\r\n", smuggled), "HTTP/1.1", "HTTP/1.0", 1),
+		"empty line":      "\r\n" + smuggled,
+		"two ids":         message("a", "X-Txn: b\r\nConnection: close\r\n"+lengthLine, bodyText),
 		"endless head":    "POST / HTTP/1.1\r\nX: " + strings.Repeat("x", 4*maxHeadBytes),
-		"noise":           "\x16\x03\x01\x00\r\n\r\n" + hidden,
+		"noise":           "\x16\x03\x01\x00\r\n\r\n" + smuggled,
 	} {
 		in := bufio.NewReader(dial(t, addr, text))
 		res, err := http.ReadResponse(in, nil)
@@ -119,12 +119,12 @@
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	f, _ := newFront(t, "127.0.0.1:1")
 	addr := listening(t, f, 50)
-	begun := map[string]net.Conn{}
+	clients := map[string]net.Conn{}
 	for name, text := range map[string]string{"silent": "", "half a head": "POST /v1", "half a body": message("a", "Content-Length: 99\r\n", "{"),
 		"half a body nowhere": "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n", "idle": "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"} {
-		begun[name] = dial(t, addr, text)
+		clients[name] = dial(t, addr, text)
 	}
-	for name, c := range begun {
+	for name, c := range clients {
 		text, err := io.ReadAll(c)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%s: still open", name)
@@ -204,10 +204,10 @@
 // At the limit of connections, new ones must replace those without a request in progress. If all are in use, a new one must
 // be refused with Retry-After.
 func TestConnectionLimit(t *testing.T) {
-	finish, sent := make(chan struct{}), make(chan struct{}, 9)
+	answer, received := make(chan struct{}), make(chan struct{}, 9)
 	w, _ := rawWorker(t, func(int) string {
-		sent <- struct{}{}
-		<-finish
+		received <- struct{}{}
+		<-answer
 		return "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
 	})
 	f, _ := aimingAt(t, w, time.Hour) // no request may be given up before the next arrives, however slow the machine is
@@ -241,18 +241,18 @@
 	}
 	states.waitForIdle(t, closing)
 	first := dial(t, addr, patiently(message("a", length(bodyText), bodyText)))
-	receive(t, sent, "the first request at the worker")
+	receive(t, received, "the first request at the worker")
 	status, conflicting := ask(patiently(message("a", length(bodyText), bodyText)))
 	if status != 409 { // the id is in use
 		t.Errorf("the id of an open request: %d", status)
 	}
 	states.waitForIdle(t, conflicting)
 	dial(t, addr, patiently(message("b", length(bodyText), bodyText)))
-	receive(t, sent, "the second request at the worker")
+	receive(t, received, "the second request at the worker")
 	if status, _ := ask(patiently(message("c", length(bodyText), bodyText))); status != 503 {
 		t.Errorf("with all connections in use: %d", status)
 	}
-	close(finish)
+	close(answer)
 	if res, err := http.ReadResponse(bufio.NewReader(first), nil); err != nil || res.StatusCode != 503 || res.Header.Get("Retry-After") == "" {
 		t.Errorf("the first: %v %v", res, err)
 	}
@@ -490,9 +490,9 @@
 // At the limit of connections to workers idle ones are closed for new ones. If none is idle the attempt is not made, and it
 // must not count as a failure of the worker.
 func TestWorkerConnectionLimit(t *testing.T) {
-	free, at := make(chan struct{}), make(chan struct{}, 1)
-	defer close(free)
-	slow, _ := rawWorker(t, func(int) string { at <- struct{}{}; <-free; return "" })
+	release, reached := make(chan struct{}), make(chan struct{}, 1)
+	defer close(release)
+	slow, _ := rawWorker(t, func(int) string { reached <- struct{}{}; <-release; return "" })
 	quick, _ := rawWorker(t, func(int) string { return "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n" })
 	w := NewWorkers(time.Second, 15*time.Second, 1, quiet)
 	x, a := attempt(quick)
@@ -507,7 +507,7 @@
 		to.To.Addr = slow
 		done <- x.Try(ctx, to)
 	}()
-	receive(t, at, "the first attempt at the worker")
+	receive(t, reached, "the first attempt at the worker")
 	if res := x.Try(context.Background(), a); res.Status != decide.Moot {
 		t.Errorf("%+v", res)
 	}
@@ -543,12 +543,12 @@
 func FuzzStream(f *testing.F) {
 	addDamagedSeeds(f, chunk("data: {\"a\":1}\n\n: note\r\n\r\n")+chunk("data: [DONE]\n\n")+"0\r\nT: x\r\n\r\nbeyond")
 	f.Fuzz(func(t *testing.T, text string) {
-		var once, twice chunkScan
-		n, end, err := once.feed([]byte(text))
+		var atOnce, byteWise chunkScan
+		n, end, err := atOnce.feed([]byte(text))
 		sum, last, bad := 0, false, error(nil)
 		for i := 0; i < len(text) && !last && bad == nil; i++ {
 			var k int
-			k, last, bad = twice.feed([]byte(text[i : i+1]))
+			k, last, bad = byteWise.feed([]byte(text[i : i+1]))
 			sum += k
 		}
 		if n != sum || end != last || (err == nil) != (bad == nil) || n > len(text) {
--- a/internal/httpfront/handed.go
+++ b/internal/httpfront/handed.go
@@ -84,17 +84,17 @@
 	if err != nil {
 		return -1, err
 	}
-	fd, failed := -1, error(nil)
+	fd, dupErr := -1, error(nil)
 	if err := raw.Control(func(of uintptr) {
 		syscall.ForkLock.RLock()
 		defer syscall.ForkLock.RUnlock()
-		if fd, failed = syscall.Dup(int(of)); failed == nil {
+		if fd, dupErr = syscall.Dup(int(of)); dupErr == nil {
 			syscall.CloseOnExec(fd)
 		}
 	}); err != nil {
 		return -1, err
 	}
-	return fd, failed
+	return fd, dupErr
 }
 
 // Handed receives streams from an older process and relays the rest of them.
@@ -232,14 +232,14 @@
 		}
 		n, err := s.worker.Read(buf)
 		out = out[:0]
-		_, end, bad := s.chunk.feed(buf[:n])
-		fit, _, odd := s.events.feed(out)
-		if fit > 0 && s.writeChunk(out[:fit]) != nil {
+		_, end, chunkErr := s.chunk.feed(buf[:n])
+		valid, _, eventErr := s.events.feed(out)
+		if valid > 0 && s.writeChunk(out[:valid]) != nil {
 			return
 		}
 		switch {
-		case bad != nil || odd != nil:
-			s.receiver.log.Info("stream broke off", "handed", true, "err", errors.Join(bad, odd))
+		case chunkErr != nil || eventErr != nil:
+			s.receiver.log.Info("stream broke off", "handed", true, "err", errors.Join(chunkErr, eventErr))
 			return
 		case end:
 			if s.events.count == 0 {
@@ -262,14 +262,14 @@
 // requests already, it does not count: the data may begin in the middle of a request, and the refusal of the earlier ones
 // announces the close, which covers the later ones.
 func (s *receivedStream) readAhead() {
-	counts := s.pipelined.Load() == 0
+	counting := s.pipelined.Load() == 0
 	var text []byte
-	for part := make([]byte, readBufferStep); ; {
-		n, err := s.client.Read(part)
+	for buf := make([]byte, readBufferStep); ; {
+		n, err := s.client.Read(buf)
 		if err != nil {
 			return
 		}
-		if text = append(text, part[:min(n, maxReadAhead-len(text))]...); counts {
+		if text = append(text, buf[:min(n, maxReadAhead-len(text))]...); counting {
 			s.pipelined.Store(int32(countRequests(text)))
 		}
 	}
--- a/internal/httpfront/lastrequest.go
+++ b/internal/httpfront/lastrequest.go
@@ -77,31 +77,31 @@
 	if err != nil {
 		return 0, err
 	}
-	var failed error
+	var readErr error
 	err = raw.Read(func(fd uintptr) (done bool) {
 		c.ends.mu.Lock()
 		defer c.ends.mu.Unlock()
 		if c.ends.closed {
-			failed = net.ErrClosed
+			readErr = net.ErrClosed
 			return true
 		}
 		if c.ends.paused {
 			return false // wait for the close
 		}
-		for n, failed = syscall.Read(int(fd), p); errors.Is(failed, syscall.EINTR); {
-			n, failed = syscall.Read(int(fd), p)
+		for n, readErr = syscall.Read(int(fd), p); errors.Is(readErr, syscall.EINTR); {
+			n, readErr = syscall.Read(int(fd), p)
 		}
 		n = max(0, n)
 		c.ends.requestPending = c.ends.requestPending || n > 0
-		return !errors.Is(failed, syscall.EAGAIN)
+		return !errors.Is(readErr, syscall.EAGAIN)
 	})
 	switch {
 	case err != nil:
 		return n, err
-	case failed != nil && !errors.Is(failed, net.ErrClosed):
-		return n, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", failed)}
-	case failed != nil:
-		return n, failed
+	case readErr != nil && !errors.Is(readErr, net.ErrClosed):
+		return n, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", readErr)}
+	case readErr != nil:
+		return n, readErr
 	case n == 0 && len(p) > 0:
 		return 0, io.EOF
 	}
--- a/internal/httpfront/lifecycle.go
+++ b/internal/httpfront/lifecycle.go
@@ -68,7 +68,7 @@
 	if f.HandOver > 0 {
 		defer time.AfterFunc(f.HandOver, func() {
 			f.log.Info("handing streams over")
-			f.beginHandOver()
+			f.cutStreams()
 		}).Stop()
 	}
 	select {
