--- a/internal/httpfront/clientconn.go
+++ b/internal/httpfront/clientconn.go
@@ -14,7 +14,7 @@
 	firstBodyTimeout = 2600 * time.Millisecond // from connecting until the first request's body is complete
 	laterBodyTimeout = 2500 * time.Millisecond // from a later request's head until its body is complete
 	readBufferStep   = 2 << 10
-	maxReadAhead     = maxHeadBytes // bytes kept of pipelined requests; if there are more, the connection ends after the answer
+	maxReadAhead     = maxHeadBytes // of pipelined data; if there is more, the connection ends after the answer
 )
 
 // epoch is the time that the atomic times of connections are relative to.
@@ -35,7 +35,7 @@
 	came        atomic.Int64 // when the first byte of the current head was read, since epoch
 
 	behind         atomic.Int32 // pipelined requests read after the current one
-	answerComplete atomic.Bool  // the current request's answer is complete, so that refusals may follow it
+	answerComplete atomic.Bool  // refusals may follow the current request's answer
 
 	// Used by Read only, which net/http does not call concurrently.
 	buf         []byte       // read from the socket and not yet returned
@@ -65,8 +65,8 @@
 	return time.Now().Add(laterBodyTimeout)
 }
 
-// onItsWay returns the time since the first byte of the current request was read. The time that a client gives its request
-// counts from there, however slowly the rest arrives and whatever it waits for.
+// onItsWay returns the time since the first byte of the current request was read. The time that a client gives its
+// request counts from there, however slowly the rest arrives and whatever it waits for.
 func onItsWay(ctx context.Context) time.Duration {
 	if c, ok := ctx.Value(connKey{}).(*clientConn); ok {
 		return time.Since(epoch) - time.Duration(c.came.Load())
@@ -205,8 +205,8 @@
 // fillerHead replaces the discarded rest of an oversized head.
 var fillerHead = bytes.Repeat([]byte("x"), readBufferStep)
 
-// headTooLong reports whether buf holds an incomplete head of at least maxHeadBytes and nothing else. Such a request is left
-// to net/http to answer: a refusal would have the client repeat it.
+// headTooLong reports whether buf holds an incomplete head of at least maxHeadBytes and nothing else. Such a request is
+// left to net/http to answer: a refusal would have the client repeat it.
 func (c *clientConn) headTooLong() bool {
 	return len(c.buf) >= maxHeadBytes && bytes.IndexByte(c.buf, '\n') >= 0 && headEnd(c.buf) == 0
 }
@@ -258,8 +258,8 @@
 	return err
 }
 
-// readAhead reads what the client sends before the current request is answered and keeps up to maxReadAhead bytes of it. It
-// reads and discards what exceeds that, because a close is seen only after all data sent before it.
+// readAhead reads what the client sends before the current request is answered and keeps up to maxReadAhead bytes of it.
+// It reads and discards what exceeds that, because a close is seen only after all data sent before it.
 func (c *clientConn) readAhead() error {
 	if c.overflowed {
 		discarded := make([]byte, readBufferStep)
--- a/internal/httpfront/clients.go
+++ b/internal/httpfront/clients.go
@@ -27,8 +27,8 @@
 
 // clients is a listener that holds at most maxConns connections. When the limit is reached, a new connection replaces one
 // without a request in progress: one that has not sent a complete head, else an idle one, else one whose body has
-// stopped arriving, and among those the one that has been so for longest. A connection whose request has begun is never
-// closed for another. If there is none to replace, the new connection is answered with 503.
+// stopped arriving, and among those the one that has been so for longest. A connection whose request is complete and not yet
+// answered is never closed for another. If there is none to replace, the new connection is answered with 503.
 type clients struct {
 	net.Listener
 	maxConns    int
@@ -70,8 +70,8 @@
 	}
 }
 
-// accept returns the next connection and retries after temporary errors. After closeAfterBacklog it returns the connections
-// in the socket's queue and then closes the socket.
+// accept returns the next connection and retries after temporary errors. After closeAfterBacklog it returns the
+// connections in the socket's queue and then closes the socket.
 func (l *clients) accept() (net.Conn, error) {
 	c, err := l.acceptNext()
 	if err == nil {
@@ -284,8 +284,8 @@
 	return "Retry-After: " + formatSeconds(after) + "\r\n"
 }
 
-// unavailableResponse returns the answer to a request of which nothing was sent to a worker. last adds that the connection
-// is closed.
+// unavailableResponse returns the answer to a request of which nothing was sent to a worker. last adds that the
+// connection is closed.
 func unavailableResponse(retryAfter string, last bool) string {
 	text := "HTTP/1.1 503 Service Unavailable\r\n" + retryAfter + "Content-Length: 0\r\n"
 	if last {
--- a/internal/httpfront/framing.go
+++ b/internal/httpfront/framing.go
@@ -28,9 +28,10 @@
 	chunked bool
 }
 
-// fields parses the framing in a head's fields, the lines after its first. It returns false for all that two parsers could
-// understand differently: a length together with an encoding, a repeated or malformed length or encoding, folded lines,
-// spaces before the colon, a lone CR. The lines for which keep returns true, or all if keep is nil, are appended to out.
+// fields parses the framing in the header lines of a head, without its first line. It returns false for all that two
+// parsers could understand differently: a length together with an encoding, a repeated or malformed length or encoding,
+// folded lines, spaces before the colon, a lone CR. The lines for which keep returns true, or all if keep is nil, are
+// appended to out.
 func fields(head []byte, keep func(name []byte) bool, out []byte) (framing, []byte, bool) {
 	var f framing
 	encoded := 0
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -53,7 +53,7 @@
 	log            *slog.Logger
 	proxy          *httputil.ReverseProxy
 	server         *http.Server
-	writes         time.Duration // writeLimit, shorter in tests
+	writes         time.Duration // for a client to accept data, shorter in tests
 	bodyMemoryUsed atomic.Int64
 	over           context.Context    // done once streams are to be handed over or cut
 	cutStreams     context.CancelFunc // cancels it
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -50,8 +50,8 @@
 	return aimingAt(t, addr, time.Second)
 }
 
-// aimingAt is like newFront, with aim as the target for the first token. No request is given up before a good part of it
-// has passed.
+// aimingAt is like newFront, with aim as the target for the first token. No request is given up before a good part
+// of it has passed.
 func aimingAt(t *testing.T, addr string, aim time.Duration) (*Front, *core.Core) {
 	t.Helper()
 	w := NewWorkers(250*time.Millisecond, 15*time.Second, 100, quiet)
--- a/internal/httpfront/guard_test.go
+++ b/internal/httpfront/guard_test.go
@@ -313,7 +313,7 @@
 // chunk returns text as one chunk of a chunked body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// attempt returns a request and the attempt to send it to addr as a write.
+// attempt returns a request and what Try needs to send it to addr as a write.
 func attempt(addr string) (*Exchange, core.Attempt) {
 	return &Exchange{Workers: NewWorkers(time.Second, 15*time.Second, 100, quiet), Method: http.MethodPost, URI: PathChat, Head: head(), Body: []byte(bodyText)},
 		core.Attempt{To: core.Worker{Addr: addr}, Deadline: time.Now().Add(time.Minute), Allowed: func() bool { return true }}
--- a/internal/httpfront/handed.go
+++ b/internal/httpfront/handed.go
@@ -32,15 +32,16 @@
 // streamPosition describes the state of a stream between two bytes from its worker. It is sent to the other process as JSON.
 type streamPosition struct {
 	Chunk  chunkState `json:"chunk"`
-	Left   int64      `json:"left"`
-	Count  int        `json:"count"`
-	Line   []byte     `json:"line"`
-	Length int        `json:"length"`
-	Fine   bool       `json:"fine"`
-	Note   bool       `json:"note"`
+	Left   int64      `json:"left"`   // bytes left of the current chunk
+	Count  int        `json:"count"`  // bytes read of the current chunk's size line, or of a trailer line
+	Line   []byte     `json:"line"`   // start of the current line of events, up to the longest field name
+	Length int        `json:"length"` // bytes read of that line
+	Fine   bool       `json:"fine"`   // its field name is a valid one
+	Note   bool       `json:"note"`   // it is a comment
 	Behind int        `json:"behind"` // requests that were read behind the one being answered
 }
 
+// handedOf returns the position that the scanners of a stream have reached.
 func handedOf(c chunkScan, e eventScan) streamPosition {
 	return streamPosition{Chunk: c.state, Left: c.left, Count: c.count, Line: e.line, Length: e.count, Fine: e.fine, Note: e.note}
 }
@@ -49,7 +50,7 @@
 func (h streamPosition) scanners() (chunkScan, eventScan, error) {
 	if h.Chunk < chunkSize || h.Chunk > trailerLF || h.Left < 0 || h.Left > maxChunk || h.Count < 0 || h.Length < 0 || len(h.Line) > h.Length ||
 		h.Behind < 0 || h.Behind > maxReadAhead {
-		return chunkScan{}, eventScan{}, fmt.Errorf("a stream at %+v", h)
+		return chunkScan{}, eventScan{}, fmt.Errorf("invalid stream position: %+v", h)
 	}
 	return chunkScan{state: h.Chunk, left: h.Left, count: h.Count},
 		eventScan{line: h.Line, count: h.Length, fine: h.Fine, note: h.Note}, nil
@@ -180,7 +181,7 @@
 		s.chunk, s.events, err = position.scanners()
 	}
 	if len(conns) != handOverSockets && err == nil {
-		err = fmt.Errorf("%d sockets of %d", len(conns), handOverSockets)
+		err = fmt.Errorf("received %d sockets of %d", len(conns), handOverSockets)
 	}
 	if err == nil {
 		_, err = c.Write([]byte("+"))
@@ -226,7 +227,7 @@
 		if s.receiver.over.Err() == nil {
 			_ = s.worker.SetReadDeadline(time.Now().Add(StallLimit))
 		}
-		if s.receiver.over.Err() != nil { // checked again: the deadline just set may have replaced the one set by AfterFunc
+		if s.receiver.over.Err() != nil { // the deadline just set may have replaced the one set by AfterFunc
 			s.handOver()
 			return
 		}
--- a/internal/httpfront/lastrequest.go
+++ b/internal/httpfront/lastrequest.go
@@ -189,7 +189,7 @@
 // announceClose sets or removes "Connection: close" in the header of an answer. While the listener is closing, a connection
 // ends with the answer unless more requests have been read, which are answered first.
 func (c *clientConn) announceClose(answer http.Header, r *http.Request) {
-	chunked := len(r.TransferEncoding) > 0 // net/http might see the body's end elsewhere than chunkScan does
+	chunked := len(r.TransferEncoding) > 0 // net/http might see the body's end elsewhere than the scanner does
 	if chunked || c.from.closing.Load() && c.behind.Load() == 0 {
 		answer.Set("Connection", "close")
 	} else {
