--- a/internal/httpfront/body.go
+++ b/internal/httpfront/body.go
@@ -25,12 +25,12 @@
 
 // reserveBody reserves memory for a body of the given length, -1 if it is unknown. ok is false if the reservation exceeds
 // the limit for all bodies; it must be released in either case.
-func (f *Front) reserveBody(length int64) (memory *bodyReservation, ok bool) {
-	memory = &bodyReservation{f, maxBodyBytes}
+func (f *Front) reserveBody(length int64) (reservation *bodyReservation, ok bool) {
+	reservation = &bodyReservation{f, maxBodyBytes}
 	if length >= 0 {
-		memory.bytes = min(maxBodyBytes, length)
+		reservation.bytes = min(maxBodyBytes, length)
 	}
-	return memory, f.bodyMemoryUsed.Add(memory.bytes) <= f.Bodies.Load()
+	return reservation, f.bodyMemoryUsed.Add(reservation.bytes) <= f.Bodies.Load()
 }
 
 // resize changes the reservation to the given number of bytes.
--- a/internal/httpfront/clients.go
+++ b/internal/httpfront/clients.go
@@ -168,7 +168,7 @@
 	l.mu.Unlock()
 }
 
-// closeInactive closes the connections without a request in progress.
+// closeInactive closes the connections on which no complete request is being served.
 func (l *clients) closeInactive() {
 	l.mu.Lock()
 	var inactive []*clientConn
@@ -188,7 +188,7 @@
 	}
 }
 
-// Guard returns a listener for server that holds at most most connections from l at once and, at that limit, replaces
+// Guard returns a listener for server that holds at most maxConns connections from l at once and, at that limit, replaces
 // inactive connections by new ones. It sets ConnContext, ConnState and MaxHeaderBytes of server.
 func Guard(server *http.Server, l net.Listener, maxConns int, log *slog.Logger) net.Listener {
 	server.ConnContext, server.ConnState, server.MaxHeaderBytes = withConn, trackConnState, maxHeadBytes
@@ -217,8 +217,8 @@
 	}
 }
 
-// makeRoom evicts one connection, never one with a request in progress. If there is none to evict, wait is the time until
-// there may be one, or 0 if waiting does not help.
+// makeRoom evicts one connection, never one whose complete request is being served. If there is none to evict, wait is the
+// time until there may be one, or 0 if waiting does not help.
 func (l *clients) makeRoom() (freed bool, wait time.Duration) {
 	for {
 		l.mu.Lock()
@@ -294,7 +294,8 @@
 	return text + "\r\n"
 }
 
-// rejectConn answers with 503 whatever the client of a new connection sends, and closes the connection.
+// rejectConn answers with 503 whatever the client of a new connection sends, and closes the connection. None of it has been
+// read, let alone sent to a worker.
 func rejectConn(c net.Conn, retryAfter string) {
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(rejectionTimeout))
@@ -311,7 +312,7 @@
 const (
 	connAwaitingHead = iota // its first head is not complete
 	connIdle                // between two requests
-	connAwaitingBody        // in use, but the request's body has not arrived
+	connAwaitingBody        // connActive with an incomplete body; ranks candidates only, not stored
 	connActive
 	connEvicted
 )
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -140,8 +140,8 @@
 		http.Error(w, "no such page", http.StatusNotFound)
 		return
 	}
-	memory, ok := f.reserveBody(r.ContentLength)
-	defer memory.release()
+	reservation, ok := f.reserveBody(r.ContentLength)
+	defer reservation.release()
 	if !ok {
 		f.log.Info("refused", "why", "too many request bodies are held", "txn", r.Header.Get(headTxn))
 		setRetryAfter(w.Header(), f.core.Busy())
@@ -149,7 +149,7 @@
 		return
 	}
 	body, status, err := readBody(w, r)
-	memory.resize(len(body))
+	reservation.resize(len(body))
 	if status == http.StatusRequestEntityTooLarge {
 		f.log.Info("bad request", "status", status, "err", err)
 		respondTooLarge(w, r)
@@ -175,24 +175,24 @@
 	q.Label = r.Header.Get(headTxn)
 	q.TimeLeft = max(0, q.TimeLeft-onItsWay(r.Context()))
 	q.Kept = f.core.Kept(func() []byte { return Prompt(body) })
-	f.forward(w, r, q, body, memory)
+	f.forward(w, r, q, body, reservation)
 }
 
 // forward passes a parsed request to the core and relays the answer to the client.
-func (f *Front) forward(w http.ResponseWriter, r *http.Request, q decide.Request, body []byte, memory *bodyReservation) {
+func (f *Front) forward(w http.ResponseWriter, r *http.Request, q decide.Request, body []byte, reservation *bodyReservation) {
 	x := &Exchange{Workers: f.workers, Method: r.Method, URI: r.URL.RequestURI(), Head: r.Header, Body: body}
 	for wire, bridge := range f.Bridges {
 		x.others = append(x.others, other{wire, bridge(q, r.Header.Get(headTxn), r.Header.Get(headerLane), body)})
 	}
 	freeBody := func() { // called once the body is no longer needed
 		x.Drop()
-		memory.release()
+		reservation.release()
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok {
-		// net/http looks for a close only while the handler runs; one that came while the request was waiting to be read
-		// may not have been noticed yet.
+		// net/http looks for a close concurrently with the handler, so that it may not have noticed yet one that came while
+		// the request was waiting to be read.
 		x.Left = func() bool {
 			if !c.clientGone() {
 				return false
@@ -202,7 +202,7 @@
 		}
 	}
 	parsed := parsedRequest{x, q, http.NewResponseController(w), freeBody, w.Header()}
-	f.proxy.ServeHTTP(w, r.WithContext(context.WithValue(ctx, exchangeKey{}, parsed)))
+	f.proxy.ServeHTTP(w, r.WithContext(context.WithValue(ctx, parsedRequestKey{}, parsed)))
 }
 
 // formatSeconds formats a duration for Retry-After.
@@ -215,7 +215,7 @@
 	}
 }
 
-type exchangeKey struct{}
+type parsedRequestKey struct{}
 
 // parsedRequest passes a request that the handler has read to RoundTrip.
 type parsedRequest struct {
@@ -230,7 +230,7 @@
 type roundTripper struct{ front *Front }
 
 func (t roundTripper) RoundTrip(out *http.Request) (*http.Response, error) {
-	parsed, ok := out.Context().Value(exchangeKey{}).(parsedRequest)
+	parsed, ok := out.Context().Value(parsedRequestKey{}).(parsedRequest)
 	if !ok {
 		return nil, errors.New("request was not read by the handler")
 	}
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -100,20 +100,20 @@
 func TestCloseIsDetectedBehindUnreadData(t *testing.T) {
 	second := message("second", length(bodyText), bodyText)
 	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(bodyText), bodyText)
-	shut := func(c net.Conn) { c.Close() }
+	closeConn := func(c net.Conn) { c.Close() }
 	for name, x := range map[string]struct {
 		text  string
 		leave func(net.Conn)
 	}{
-		"nothing":                 {message("first", length(bodyText), bodyText), shut},
-		"a request":               {message("first", length(bodyText), bodyText) + second, shut},
-		"half a head":             {message("first", length(bodyText), bodyText) + second[:40], shut},
-		"a byte":                  {message("first", length(bodyText), bodyText) + "P", shut},
-		"half a body":             {message("first", length(bodyText), bodyText) + second[:len(second)-9], shut},
-		"a flood":                 {message("first", length(bodyText), bodyText) + strings.Repeat(second, 200), shut},
-		"noise":                   {message("first", length(bodyText), bodyText) + strings.Repeat("\x00", 1<<20), shut},
-		"chunks":                  {message("first", "Transfer-Encoding: chunked\r\n", chunked), shut},
-		"a request behind chunks": {message("first", "Transfer-Encoding: chunked\r\n", chunked) + second, shut},
+		"nothing":                 {message("first", length(bodyText), bodyText), closeConn},
+		"a request":               {message("first", length(bodyText), bodyText) + second, closeConn},
+		"half a head":             {message("first", length(bodyText), bodyText) + second[:40], closeConn},
+		"a byte":                  {message("first", length(bodyText), bodyText) + "P", closeConn},
+		"half a body":             {message("first", length(bodyText), bodyText) + second[:len(second)-9], closeConn},
+		"a flood":                 {message("first", length(bodyText), bodyText) + strings.Repeat(second, 200), closeConn},
+		"noise":                   {message("first", length(bodyText), bodyText) + strings.Repeat("\x00", 1<<20), closeConn},
+		"chunks":                  {message("first", "Transfer-Encoding: chunked\r\n", chunked), closeConn},
+		"a request behind chunks": {message("first", "Transfer-Encoding: chunked\r\n", chunked) + second, closeConn},
 		"a reset":                 {message("first", length(bodyText), bodyText) + second, func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }},
 		"half-closed":             {message("first", length(bodyText), bodyText), func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
 		"half-closed, pipelined":  {message("first", length(bodyText), bodyText) + second, func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
--- a/internal/httpfront/pipeline_test.go
+++ b/internal/httpfront/pipeline_test.go
@@ -126,12 +126,12 @@
 func TestPipelinedRequestsAreServedAtShutdown(t *testing.T) {
 	addr, begun, goOn := streamingWorker(t)
 	f, _ := aimingAt(t, addr, time.Hour)
-	at, reads := serveReportingReads(t, f)
+	frontAddr, reads := serveReportingReads(t, f)
 	var texts []string
 	for _, id := range []string{"one", "two", "three"} {
 		texts = append(texts, patiently(message(id, length(bodyText), bodyText)))
 	}
-	client := dial(t, at, strings.Join(texts, ""))
+	client := dial(t, frontAddr, strings.Join(texts, ""))
 	receive(t, begun, "the first stream")
 	waitForPipelined(t, onlyConn(t, f), reads, 2)
 	f.clients.closeAfterAnswers(true) // the first step of Shutdown
@@ -157,9 +157,9 @@
 	for name, behind := range map[string]string{"whole": second, "two": second + second, "half": second[:len(second)-3]} {
 		addr, begun, goOn := streamingWorker(t)
 		f, _ := aimingAt(t, addr, time.Hour)
-		at, reads := serveReportingReads(t, f)
+		frontAddr, reads := serveReportingReads(t, f)
 		f.clients.closeAfterAnswers(true) // the first step of Shutdown
-		client := dial(t, at, patiently(message("one", length(bodyText), bodyText)))
+		client := dial(t, frontAddr, patiently(message("one", length(bodyText), bodyText)))
 		in := bufio.NewReader(client)
 		receive(t, begun, name)
 		ended := startShutdown(t, f)
@@ -283,8 +283,8 @@
 	} {
 		addr, begun, goOn := streamingWorker(t)
 		f, _ := aimingAt(t, addr, time.Hour)
-		at, reads := serveReportingReads(t, f)
-		client := dial(t, at, one+x.ahead)
+		frontAddr, reads := serveReportingReads(t, f)
+		client := dial(t, frontAddr, one+x.ahead)
 		receive(t, begun, name)
 		waitForPipelined(t, onlyConn(t, f), reads, 1)
 		goOn <- struct{}{}
@@ -308,14 +308,14 @@
 	addr, begun, goOn := streamingWorker(t)
 	older, _ := aimingAt(t, addr, time.Hour)
 	older.HandOver = time.Millisecond
-	at, reads := serveReportingReads(t, older)
+	frontAddr, reads := serveReportingReads(t, older)
 	newer, _ := aimingAt(t, addr, time.Hour)
 	path := filepath.Join(t.TempDir(), "s")
 	if err := newer.TakeFrom(path); err != nil {
 		t.Fatal(err)
 	}
 	first, second := patiently(message("one", length(bodyText), bodyText)), patiently(message("two", length(bodyText), bodyText))
-	client := dial(t, at, first+second)
+	client := dial(t, frontAddr, first+second)
 	in := bufio.NewReader(client)
 	receive(t, begun, "the stream")
 	waitForPipelined(t, onlyConn(t, older), reads, 1)
