--- a/internal/grant/event.go
+++ b/internal/grant/event.go
@@ -1,17 +1,15 @@
 package grant
 
-// This file owns what a Table tells of itself: its steps, for a log or a checker, and its counts.
-
 import (
 	"cmp"
 	"slices"
 	"time"
 )
 
-// Step names what happened.
+// Step is the kind of an Event.
 type Step string
 
-// The steps.
+// The kinds of events.
 const (
 	StepAsk    Step = "ask"
 	StepOffer  Step = "offer"
@@ -23,7 +21,7 @@
 	StepOver   Step = "over"
 )
 
-// Event is one step. Err says why it was refused.
+// Event describes one step of a Table, for logs and checkers. Err is why the step was rejected, nil if it was not.
 type Event struct {
 	At      time.Duration
 	Step    Step
@@ -37,23 +35,23 @@
 	State   State
 	Fate    Fate
 	Until   time.Duration
-	Since   time.Duration // the grant was offered then
+	Since   time.Duration // when the grant was offered
 	Err     error
 }
 
-func (t *Table) note(now time.Duration, step Step, g *Grant, err error) {
+func (t *Table) logStep(now time.Duration, step Step, g *Grant, err error) {
 	if t.log == nil {
 		return
 	}
 	e := Event{At: now, Step: step, Err: err}
 	if g != nil {
-		e.Caller, e.Request, e.Attempt, e.Grant = g.of.caller.name, g.of.id, g.Attempt, g.ID
-		e.Worker, e.Read, e.Once, e.State, e.Fate, e.Until, e.Since = g.Worker, g.Read, g.of.once, g.State, g.Fate, g.Until, g.Offered
+		e.Caller, e.Request, e.Attempt, e.Grant = g.req.caller.name, g.req.id, g.Attempt, g.ID
+		e.Worker, e.Read, e.Once, e.State, e.Fate, e.Until, e.Since = g.Worker, g.Read, g.req.nonIdempotent, g.State, g.Fate, g.Until, g.Offered
 	}
 	t.log(e)
 }
 
-// Line is one grant as it is shown to operators.
+// GrantInfo describes one grant for operators.
 type Line struct {
 	Grant   uint64
 	Request string
@@ -64,27 +62,27 @@
 	Read    bool
 	State   State
 	Age     time.Duration // since it was offered
-	Left    time.Duration // until it may not be acted on any more
+	Left    time.Duration // until the caller may no longer act on it
 }
 
-// Show lists the grants that are known, the oldest first, most of them at most.
-func (t *Table) Show(now time.Duration, most int) []Line {
-	var all []Line
+// List returns the known grants, oldest first, at most limit of them.
+func (t *Table) Show(now time.Duration, limit int) []Line {
+	var list []Line
 	for _, g := range t.grants {
-		all = append(all, Line{g.ID, g.of.id, g.of.caller.name, g.of.class, g.Attempt, g.Worker, g.Read, g.State,
+		list = append(list, Line{g.ID, g.req.id, g.req.caller.name, g.req.class, g.Attempt, g.Worker, g.Read, g.State,
 			now - g.Offered, max(0, g.Until-now)})
 	}
-	slices.SortFunc(all, func(a, b Line) int { return cmp.Compare(a.Grant, b.Grant) })
-	return all[:min(len(all), most)]
+	slices.SortFunc(list, func(a, b Line) int { return cmp.Compare(a.Grant, b.Grant) })
+	return list[:min(len(list), limit)]
 }
 
-// Counts are how full the Table is.
+// Counts are the current sizes of a Table.
 type Counts struct {
 	Requests, Effects, Callers int
 	States                     [Expired + 1]int // grants by state
 }
 
-// Count counts.
+// Count returns the current sizes.
 func (t *Table) Count() Counts {
 	c := Counts{Requests: len(t.requests), Effects: len(t.ledger.effects), Callers: len(t.callers)}
 	for _, g := range t.grants {
--- a/internal/grant/explore_test.go
+++ b/internal/grant/explore_test.go
@@ -271,7 +271,7 @@
 
 func (w *world) granted(g *Grant, c call) answer {
 	return answer{grant: g.ID, n: g.Attempt, worker: g.Worker, read: g.Read, valid: g.Valid(c.at), wait: g.Ends - c.at,
-		state: g.State, watch: g.of.caller.feed != nil}
+		state: g.State, watch: g.req.caller.feed != nil}
 }
 
 // reply sends an answer on its way.
@@ -339,8 +339,8 @@
 	if err := w.table.Report(w.now, caller, id, fate, false); err != nil {
 		return
 	}
-	w.note(rules.Sign, g.of.id, "", 0, false)
-	if l := w.named[g.of.id]; l.out != nil && l.out.grant == g {
+	w.note(rules.Sign, g.req.id, "", 0, false)
+	if l := w.named[g.req.id]; l.out != nil && l.out.grant == g {
 		w.outcome(l, *l.out, statuses[fate])
 	}
 }
@@ -661,7 +661,7 @@
 	t.sent[a.grant] = true
 	w.tell(func() {
 		if g := w.table.grants[a.grant]; w.table.TakeUp(w.now, t.name, a.grant) == nil {
-			w.note(rules.Sign, g.of.id, "", 0, false)
+			w.note(rules.Sign, g.req.id, "", 0, false)
 		}
 	})
 	ends := sent + a.wait
@@ -716,7 +716,7 @@
 		}
 		w.after(w.way(), func() {
 			if g := w.table.grants[a.grant]; w.table.Renew(w.now, t.name, a.grant) == nil {
-				w.note(rules.Sign, g.of.id, "", 0, false)
+				w.note(rules.Sign, g.req.id, "", 0, false)
 			}
 		})
 		w.after(80*ms+w.upTo(40*ms), renew)
@@ -815,7 +815,7 @@
 			}
 			return
 		}
-		if n := len(w.table.requests) + w.table.sweeps; n > 0 {
+		if n := len(w.table.requests) + w.table.releasing; n > 0 {
 			t.Errorf("seed %d: %d requests left in the table", seed, n)
 		}
 	}
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -1,10 +1,11 @@
-// Package grant owns what callers have been told and may act on. A grant is one answer to a caller: which worker
-// may be sent one attempt of a request, and until when. The package owns the grants' life, how long they hold, what
-// is held for them, the ledger of effects that must not run twice, and how many each caller may have open.
+// Package grant tracks the grants that callers hold. A grant permits one caller to send one attempt of a request to one
+// worker until a given time. The package implements the life cycle of grants: how long they are valid, when a silent
+// caller's requests are abandoned, which requests with side effects may already have run (the ledger), and how many
+// requests each caller may have open.
 //
-// It must never choose a worker, nor whether a request is tried again or turned away for load: that is package
-// decide's. It does no I/O, reads no clock and starts no goroutine: the time comes in with each call, and what is
-// to be done outside goes out as Acts, in an order that depends on the calls alone.
+// Workers are chosen, and requests retried or shed, by package decide. This package does no I/O, reads no clock and
+// starts no goroutines: the current time is passed to each call, and work to be done outside is returned as Actions,
+// whose order depends only on the sequence of calls.
 package grant
 
 import (
@@ -13,38 +14,38 @@
 	"time"
 )
 
-// State is where a grant is in its life.
+// State is the state of a grant in its life cycle.
 type State uint8
 
-// The states. Reported and Expired are final.
+// The states of a grant. Reported and Expired are final.
 const (
 	Offered  State = iota + 1 // the caller may act on it
-	TakenUp                   // the caller says that it sends
-	Revoked                   // the worker drains or is gone; the caller may have acted before it heard
-	Reported                  // the caller has told what became of it
-	Expired                   // its time was up without a report: it may have been acted on
+	TakenUp                   // the caller has said that it is sending
+	Revoked                   // the worker is draining or gone; the caller may have acted before it was told
+	Reported                  // the caller has reported the result
+	Expired                   // the deadline passed without a report; the caller may have acted on it
 )
 
 var stateNames = [...]string{"none", "offered", "taken up", "revoked", "reported", "expired"}
 
 func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
-// Fate is what a caller reports of a grant.
+// Fate is the result of a grant as reported by its caller.
 type Fate uint8
 
 // The fates of a grant.
 const (
-	NotSent    Fate = iota + 1 // nothing was sent, or not to its last byte
-	TurnedAway                 // the worker said so: it never ran
-	Read                       // the prompt is read, a state waits at the reader
-	Begun                      // the answer has begun
-	Ran                        // it ended after the last byte in any other way: it may have run
+	NotSent    Fate = iota + 1 // nothing was sent, or not up to the last byte
+	TurnedAway                 // the worker rejected it; it never ran
+	Read                       // the prompt has been read and the reader holds a state for it
+	Begun                      // the response has started
+	Ran                        // any other end after the last byte was sent; it may have run
 )
 
-// none says that the effect can't have happened.
-func (f Fate) none() bool { return f == NotSent || f == TurnedAway }
+// excludesEffect reports whether the request cannot have run in this attempt.
+func (f Fate) excludesEffect() bool { return f == NotSent || f == TurnedAway }
 
-// Why a step is refused. Errors returned by a Table wrap one of these.
+// Reasons for rejecting a step. Every error returned by a Table wraps one of these.
 var (
 	ErrID         = errors.New("an id is empty or too long")
 	ErrUnknown    = errors.New("no such grant")
@@ -60,7 +61,7 @@
 	ErrClass      = errors.New("the request began with another class")
 )
 
-// Busy is a refusal for want of places, with the time after which there may be one.
+// CapacityError reports that a limit has been reached. RetryAfter is when capacity may be available again.
 type Busy struct {
 	Why   error
 	After time.Duration
@@ -68,151 +69,151 @@
 
 func (b *Busy) Error() string { return fmt.Sprintf("%v, come back after %v", b.Why, b.After) }
 
-// Unwrap gives the reason.
+// Unwrap returns the limit that was reached, one of the Err values of this package.
 func (b *Busy) Unwrap() error { return b.Why }
 
-// Terms are what the rules and the operator settle.
+// Config sets the timeouts and limits of a Table.
 type Terms struct {
-	Drain     time.Duration // nothing new at a worker so long after its drain was heard
-	Delivery  time.Duration // what it may take from a caller's decision to act to the first byte at the worker
-	Hold      time.Duration // what is held ends so long after the last sign of the caller
-	Heard     time.Duration // a watching caller drops all that it has so long after it sent the latest ping that was answered
-	Remember  time.Duration // an effect is remembered for so long after the last time that it may have happened
-	MaxWait   time.Duration // the longest advice on when to come back
-	Tick      time.Duration // of the wheel
-	Open      int           // grants and requests open at once, all callers together
+	Drain     time.Duration // no request may reach a worker later than this after the router learned that it drains
+	Delivery  time.Duration // longest time from a caller's decision to send until the first byte reaches the worker
+	Hold      time.Duration // workers may hold state for a request this long after the last sign of its caller
+	Heard     time.Duration // a watching caller drops its grants this long after it sent the latest answered ping
+	Remember  time.Duration // how long an effect is remembered after the last time at which it may have happened
+	MaxWait   time.Duration // upper bound of the advised retry delay
+	Tick      time.Duration // resolution of the timing wheel
+	Open      int           // open requests, of all callers together
 	Callers   int           // callers known at once
 	Effects   int           // effects remembered at once
-	Longest   int           // of an id, in bytes
-	FeedDepth int           // revocations that wait for a caller that watches
+	Longest   int           // length of an id
+	FeedDepth int           // revocations queued for a watching caller
 }
 
-// Check refuses terms that contradict each other or the rules.
+// Check returns an error if the values contradict each other or leave no time to act on a grant.
 func (t Terms) Check() error {
 	switch {
 	case t.Drain <= 0 || t.Hold <= 0 || t.Tick <= 0 || t.Remember <= 0:
-		return errors.New("drain, hold, remember and tick must be above zero")
+		return errors.New("drain, hold, remember and tick must be positive")
 	case t.Delivery < 0 || t.Delivery+t.Tick >= t.Drain:
 		return fmt.Errorf("delivery: %v leaves nothing of the %v after a drain", t.Delivery, t.Drain)
 	case t.Delivery+t.Tick >= t.Hold:
-		return fmt.Errorf("delivery: %v leaves nothing of the %v for what is held", t.Delivery, t.Hold)
+		return fmt.Errorf("delivery: %v leaves nothing of the %v for which state is held", t.Delivery, t.Hold)
 	case t.Heard < 0 || t.Heard+t.Delivery+t.Tick > t.Drain:
-		return fmt.Errorf("heard: %v of silence and %v of delivery are more than the %v after a drain", t.Heard, t.Delivery, t.Drain)
+		return fmt.Errorf("heard: %v of silence plus %v of delivery exceed the %v after a drain", t.Heard, t.Delivery, t.Drain)
 	case t.Open < 1 || t.Callers < 1 || t.Effects < 1 || t.Longest < 1 || t.FeedDepth < 1:
 		return errors.New("open, callers, effects, longest and feed depth must be at least 1")
 	case t.MaxWait < 0:
-		return errors.New("max wait: below zero")
+		return errors.New("max wait: must not be negative")
 	}
 	return nil
 }
 
-// Ask is a caller's call for a choice.
+// ChooseCall is a caller's call for a choice, that is, for the next grant of a request.
 type Ask struct {
 	Caller  string
-	Request string // the request's id, the same for all callers that name it
-	Attempt int    // counts the choices of a request from 0
+	Request string // id of the request, the same for all callers that name it
+	Attempt int    // number of this choice within the request, from 0
 	Class   int
-	Once    bool          // the class must not run twice
-	Called  time.Duration // when the call came in
+	Once    bool          // the request must not run twice
+	Called  time.Duration // when the call arrived
 }
 
-// Grant is one answer. All but ID, Attempt, Worker and Read may change while it lives. It is the Table's own:
-// callers of the Table read it and change nothing.
+// Grant is one answer to a caller. ID, Attempt, Worker and Read never change; the other fields may. Grants are owned by
+// the Table: its users must not modify them.
 type Grant struct {
 	ID      uint64
 	Attempt int
 	Worker  string
-	Read    bool // a reader's: it has no effect
+	Read    bool // the grant is for a reader, so that its attempt has no effect
 	State   State
 	Fate    Fate
-	Offered time.Duration // the answer went out
-	Until   time.Duration // the caller may begin to act until then, as counted here
-	Ends    time.Duration // the attempt's own time is up
-	of      *request
-	at      *worker // where it is open
-	next    *Grant  // of those at the worker
+	Offered time.Duration // when the grant was made
+	Until   time.Duration // the caller may begin to act until then, by the router's clock
+	Ends    time.Duration // when the attempt itself times out
+	req     *request
+	target  *worker // lists the grant while it is open
+	next    *Grant  // list of the worker's open grants
 	prev    *Grant
 }
 
-// Request is the id of the grant's request.
-func (g *Grant) Request() string { return g.of.id }
+// Request returns the id of the grant's request.
+func (g *Grant) Request() string { return g.req.id }
 
-// Caller is who it was given to.
-func (g *Grant) Caller() string { return g.of.caller.name }
+// Caller returns the name of the caller that holds the grant.
+func (g *Grant) Caller() string { return g.req.caller.name }
 
-// Class is the class with which its request began.
-func (g *Grant) Class() int { return g.of.class }
+// Class returns the class that the first call for the request named.
+func (g *Grant) Class() int { return g.req.class }
 
-// Valid is for how long a caller may begin to act, counted from when it sent the call that is answered, which came
-// in here at a time. It was sent before, so neither a wrong clock nor a slow way make the time longer.
+// Valid returns how long the caller may begin to act, counted from when it sent the call that is answered. called is
+// when that call arrived here. It was sent before that, so neither a wrong clock nor a slow network extends the time.
 func (g *Grant) Valid(called time.Duration) time.Duration { return max(0, g.Until-called) }
 
-// open says that the grant may still be acted on or is.
+// open reports whether the caller may still act on the grant or is doing so.
 func (g *Grant) open() bool { return g.State == Offered || g.State == TakenUp || g.State == Revoked }
 
-// request is what is known of one request until it is over.
+// request is the state of a request that is not over.
 type request struct {
-	id       string
-	caller   *caller
-	class    int
-	once     bool
-	chosen   bool          // a choice is under way: its caller waits in a call
-	attached bool          // its caller is there for as long as it does not say otherwise
-	choices  int           // that were answered with a grant
-	last     *Grant        // the latest of them
-	signed   time.Duration // the last sign of its caller for it
-	reading  time.Duration // a caller's read of unknown fate may leave a state until then
-	over     bool
-	timer    Timer[*request]
-	next     *request // of its caller's
-	prev     *request
+	id                string
+	caller            *caller
+	class             int
+	nonIdempotent     bool
+	choicePending     bool          // a choice is in progress and its caller waits in a call
+	attached          bool          // the caller counts as present until it detaches
+	grantCount        int           // choices that were answered with a grant
+	lastGrant         *Grant        // the latest grant
+	lastSeen          time.Duration // last sign of the caller for this request
+	readPossibleUntil time.Duration // until then, a read with an unknown result may still leave state at its reader
+	over              bool
+	timer             Timer[*request]
+	next              *request // list of the caller's open requests
+	prev              *request
 }
 
-// Act is one thing to be done outside.
+// Action is something that the user of a Table has to do.
 type Act struct {
 	Kind    ActKind
 	Request string
-	Grant   *Grant // the request's latest, nil = it had none
+	Grant   *Grant // the request's latest grant, nil if it had none
 }
 
-// ActKind says what.
+// ActionKind is the kind of an Action.
 type ActKind uint8
 
-// The kinds of acts.
+// The kinds of actions.
 const (
-	Lapse   ActKind = iota + 1 // the attempt's time is up without a report: it is taken for run
-	Forsake                    // the caller gives no sign: the request is over, what is held for it goes now
-	Sweep                      // the request is over, a read of unknown fate may have left a state since: let go again
+	Lapse   ActKind = iota + 1 // the attempt timed out without a report: treat it as one that may have run
+	Forsake                    // the caller has fallen silent: the request is over, release what is held for it now
+	Sweep                      // the request is over, but a read with an unknown result may have left state since: release it again
 )
 
-// Table is all grants of one router. It is not safe for concurrent use.
+// Table holds all grants of one router. It is not safe for concurrent use.
 type Table struct {
-	terms    Terms
-	wheel    *Wheel[*request]
-	requests map[string]*request // those that are not over
-	grants   map[uint64]*Grant   // the latest of each
-	workers  map[string]*worker
-	callers  map[string]*caller
-	ledger   *ledger
-	sweeps   int // requests that are over and may still leave a state
-	lastID   uint64
-	acts     []Act
-	log      func(Event)
+	config    Terms
+	wheel     *Wheel[*request]
+	requests  map[string]*request // open requests, by id
+	grants    map[uint64]*Grant   // the latest grant of each open request
+	workers   map[string]*worker
+	callers   map[string]*caller
+	ledger    *ledger
+	releasing int // requests that are over but may still leave state at a reader
+	lastID    uint64
+	actions   []Act
+	log       func(Event)
 }
 
-// New returns an empty Table. log is told each step, nil = nobody.
-func New(terms Terms, now time.Duration, log func(Event)) (*Table, error) {
-	if err := terms.Check(); err != nil {
+// New returns an empty Table. log is called for every step; it may be nil.
+func New(config Terms, now time.Duration, log func(Event)) (*Table, error) {
+	if err := config.Check(); err != nil {
 		return nil, fmt.Errorf("grant: %w", err)
 	}
-	return &Table{terms: terms, wheel: NewWheel[*request](terms.Tick, now), requests: make(map[string]*request),
+	return &Table{config: config, wheel: NewWheel[*request](config.Tick, now), requests: make(map[string]*request),
 		grants: make(map[uint64]*Grant), workers: make(map[string]*worker), callers: make(map[string]*caller),
-		ledger: newLedger(terms.Effects, terms.Tick, now), log: log}, nil
+		ledger: newLedger(config.Effects, config.Tick, now), log: log}, nil
 }
 
-// Begin takes a call for a choice. It returns the grant where the same call was answered before: the caller gets
-// the same answer. pending says that the choice is under way for an earlier call with the same words. Else, without
-// an error, a choice is to be made, and Offer or Turn must follow.
+// Begin handles a call for a choice. If the same call has already been answered it returns that grant, so that repeated
+// calls get the same answer. pending reports that an earlier identical call is still waiting for its choice. Otherwise, if
+// err is nil, the user must choose a worker and follow up with Offer or CancelChoice.
 func (t *Table) Begin(now time.Duration, a Ask) (same *Grant, pending bool, err error) {
 	if same, pending, err = t.begin(now, a); t.log != nil {
 		t.log(Event{At: now, Step: StepAsk, Caller: a.Caller, Request: a.Request, Attempt: a.Attempt, Once: a.Once, Err: err})
@@ -221,13 +222,13 @@
 }
 
 func (t *Table) begin(now time.Duration, a Ask) (*Grant, bool, error) {
-	if !t.fits(a.Caller) || !t.fits(a.Request) || a.Attempt < 0 {
+	if !t.validID(a.Caller) || !t.validID(a.Request) || a.Attempt < 0 {
 		return nil, false, ErrID
 	}
 	if q := t.requests[a.Request]; q != nil {
-		return t.again(now, q, a)
+		return t.continueRequest(now, q, a)
 	}
-	if t.ledger.has(a.Request) { // whoever asks, and whatever class the call names now
+	if t.ledger.contains(a.Request) { // regardless of the caller and of the class that this call names
 		return nil, false, ErrMayHaveRun
 	}
 	if a.Attempt != 0 {
@@ -238,236 +239,237 @@
 		return nil, false, err
 	}
 	if a.Once && t.ledger.full() {
-		t.left(c)
-		return nil, false, &Busy{ErrLedger, t.terms.MaxWait}
+		t.forgetCaller(c)
+		return nil, false, &Busy{ErrLedger, t.config.MaxWait}
 	}
-	q := &request{id: a.Request, caller: c, class: a.Class, once: a.Once, chosen: true, signed: now}
+	q := &request{id: a.Request, caller: c, class: a.Class, nonIdempotent: a.Once, choicePending: true, lastSeen: now}
 	q.timer.Of = q
 	t.requests[a.Request] = q
-	c.join(q)
+	c.addRequest(q)
 	return nil, false, nil
 }
 
-// again takes a further call for a request that is open.
-func (t *Table) again(now time.Duration, q *request, a Ask) (*Grant, bool, error) {
+// continueRequest handles another call for an open request.
+func (t *Table) continueRequest(now time.Duration, q *request, a Ask) (*Grant, bool, error) {
 	switch {
 	case q.caller.name != a.Caller:
 		return nil, false, ErrOther
 	case q.class != a.Class:
 		return nil, false, ErrClass
-	case q.chosen && a.Attempt == q.choices:
-		t.sign(now, q)
+	case q.choicePending && a.Attempt == q.grantCount:
+		t.touch(now, q)
 		return nil, true, nil
-	case q.last != nil && a.Attempt == q.choices-1: // repeated: the same answer
-		t.sign(now, q)
-		return q.last, false, nil
-	case q.chosen || a.Attempt != q.choices:
-		return nil, false, fmt.Errorf("%w: %d, the next is %d", ErrOrder, a.Attempt, q.choices)
-	case q.last.open():
+	case q.lastGrant != nil && a.Attempt == q.grantCount-1: // a repeated call gets the same answer
+		t.touch(now, q)
+		return q.lastGrant, false, nil
+	case q.choicePending || a.Attempt != q.grantCount:
+		return nil, false, fmt.Errorf("%w: %d, the next is %d", ErrOrder, a.Attempt, q.grantCount)
+	case q.lastGrant.open():
 		return nil, false, ErrPending
-	case q.once && t.ledger.has(q.id):
+	case q.nonIdempotent && t.ledger.contains(q.id):
 		return nil, false, ErrMayHaveRun
 	}
-	q.chosen = true
-	t.sign(now, q)
+	q.choicePending = true
+	t.touch(now, q)
 	return nil, false, nil
 }
 
-func (t *Table) fits(id string) bool { return id != "" && len(id) <= t.terms.Longest }
+func (t *Table) validID(id string) bool { return id != "" && len(id) <= t.config.Longest }
 
-// Attach says that the caller of a request is there until Detach: its wire tells when it leaves.
+// Attach marks the caller of a request as present until Detach. It is for transports that report a disconnect.
 func (t *Table) Attach(request string) {
 	if q := t.requests[request]; q != nil {
 		q.attached = true
-		t.arm(q)
+		t.schedule(q)
 	}
 }
 
-// Detach says that the caller has left the wire on which it asked for a choice, or on which it was attached. What
-// is held for it lasts for as long as its silence may, and it may ask again until then.
+// Detach records that the caller has left the connection on which it asked for a choice or was attached. What is held for
+// the request stays for as long as the caller may be silent, and until then the caller may ask again.
 func (t *Table) Detach(now time.Duration, request string) {
 	if q := t.requests[request]; q != nil {
-		q.attached, q.signed = false, now
-		t.arm(q)
-		if q.chosen {
-			t.wheel.Set(&q.timer, now+t.silence())
+		q.attached, q.lastSeen = false, now
+		t.schedule(q)
+		if q.choicePending {
+			t.wheel.Set(&q.timer, now+t.maxSilence())
 		}
 	}
 }
 
-// silence is how long a caller may give no sign, so that what is held ends in time.
-func (t *Table) silence() time.Duration { return t.terms.Hold - t.terms.Delivery - t.terms.Tick }
+// maxSilence is how long a caller may give no sign; it leaves enough of the hold timeout to release what is held in time.
+func (t *Table) maxSilence() time.Duration { return t.config.Hold - t.config.Delivery - t.config.Tick }
 
-// Offer answers the choice that is under way for a request; the worker was chosen elsewhere. wait is the attempt's own
-// time. It is refused where the worker takes nothing new, or the ledger has no room; the choice then stays under way.
-func (t *Table) Offer(now time.Duration, request, to string, read bool, wait time.Duration) (*Grant, error) {
+// Offer completes the choice in progress for a request with the given worker. timeout is that of the attempt. Offer fails
+// if the worker takes no new requests or the ledger is full; the choice then stays in progress.
+func (t *Table) Offer(now time.Duration, request, workerID string, read bool, timeout time.Duration) (*Grant, error) {
 	q := t.requests[request]
-	if q == nil || !q.chosen {
+	if q == nil || !q.choicePending {
 		return nil, fmt.Errorf("%w: no choice is under way for it", ErrState)
 	}
-	w := t.worker(to)
-	until := t.validity(now, w, q, now+wait)
+	w := t.worker(workerID)
+	until := t.validUntil(now, w, q, now+timeout)
 	if until <= now {
-		t.forget(to, w)
+		t.forgetWorker(workerID, w)
 		return nil, ErrDraining
 	}
-	if q.once && !read && !t.ledger.may(request, now+wait+t.terms.Remember) {
-		t.forget(to, w)
-		return nil, &Busy{ErrLedger, t.terms.MaxWait}
+	if q.nonIdempotent && !read && !t.ledger.reserve(request, now+timeout+t.config.Remember) {
+		t.forgetWorker(workerID, w)
+		return nil, &Busy{ErrLedger, t.config.MaxWait}
 	}
 	t.lastID++
-	g := &Grant{ID: t.lastID, Attempt: q.choices, Worker: to, Read: read, State: Offered, Offered: now,
-		Until: until, Ends: now + wait, of: q, at: w}
-	if q.last != nil {
-		delete(t.grants, q.last.ID)
+	g := &Grant{ID: t.lastID, Attempt: q.grantCount, Worker: workerID, Read: read, State: Offered, Offered: now,
+		Until: until, Ends: now + timeout, req: q, target: w}
+	if q.lastGrant != nil {
+		delete(t.grants, q.lastGrant.ID)
 	}
-	q.last, q.chosen, q.signed = g, false, now
-	q.choices++
+	q.lastGrant, q.choicePending, q.lastSeen = g, false, now
+	q.grantCount++
 	t.grants[g.ID] = g
-	w.join(g)
-	t.arm(q)
-	t.note(now, StepOffer, g, nil)
+	w.addGrant(g)
+	t.schedule(q)
+	t.logStep(now, StepOffer, g, nil)
 	return g, nil
 }
 
-// validity is until when a caller may begin to act on a grant, as counted here. A drain may be heard at any moment:
-// a caller that watches is told, and drops what it has when its stream is silent, so that only its silence counts
-// against it; any other may act for what is left of the time after a drain that is heard right now. And
-// something may be held from now on, as a caller may act and the news of it be lost: that ends soon after its last sign.
-func (t *Table) validity(now time.Duration, w *worker, q *request, ends time.Duration) time.Duration {
+// validUntil returns until when, by the router's clock, a caller may begin to act on a grant. A drain can be heard of at
+// any moment. Watching callers are told, and drop their grants when their stream falls silent, so the drain grace does not
+// limit their grants here. Other callers may act for what remains of the grace of a drain that is heard of right now.
+// Unless the caller is attached, the silence limit applies too: it may act while the news of that is lost, and what is held
+// from then on must be released soon after its last sign.
+func (t *Table) validUntil(now time.Duration, w *worker, q *request, deadline time.Duration) time.Duration {
 	if w.closed {
 		return now
 	}
-	until := now + t.terms.Drain - t.terms.Delivery - t.terms.Tick
+	until := now + t.config.Drain - t.config.Delivery - t.config.Tick
 	if q.caller.feed != nil {
-		until = ends
+		until = deadline
 	}
 	if !q.attached {
-		until = min(until, now+t.silence())
+		until = min(until, now+t.maxSilence())
 	}
-	return min(until, ends)
+	return min(until, deadline)
 }
 
-// Turn ends the choice that is under way without a grant: the request was refused or has failed, and is over.
+// CancelChoice ends the choice in progress without a grant: the request was refused or has failed, and is over.
 func (t *Table) Turn(now time.Duration, request string) {
-	if q := t.requests[request]; q != nil && q.chosen {
+	if q := t.requests[request]; q != nil && q.choicePending {
 		t.end(now, q)
 	}
 }
 
-// TakeUp notes that the caller begins to send.
+// TakeUp records that the caller has begun to send.
 func (t *Table) TakeUp(now time.Duration, caller string, id uint64) error {
-	g, err := t.find(caller, id)
+	g, err := t.findGrant(caller, id)
 	switch {
 	case err != nil:
-	case g.State != Offered && g.State != TakenUp: // told twice does no harm
+	case g.State != Offered && g.State != TakenUp: // repeating it is harmless
 		err = fmt.Errorf("%w: %v", ErrState, g.State)
 	default:
 		g.State = TakenUp
-		t.sign(now, g.of)
+		t.touch(now, g.req)
 	}
-	t.note(now, StepTakeUp, g, err)
+	t.logStep(now, StepTakeUp, g, err)
 	return err
 }
 
-// Renew is a sign of the caller for a grant: what is held for it is wanted. Where the worker takes new work it
-// makes the time to act longer, never past the attempt's own.
+// Renew records a sign of the caller for a grant: it still wants what is held for it. While the worker takes new requests,
+// it also extends the time to act, up to the attempt's deadline.
 func (t *Table) Renew(now time.Duration, caller string, id uint64) error {
-	g, err := t.find(caller, id)
+	g, err := t.findGrant(caller, id)
 	switch {
 	case err != nil:
 	case g.State == Expired:
 		err = fmt.Errorf("%w: %v", ErrState, g.State)
 	default:
-		t.sign(now, g.of)
+		t.touch(now, g.req)
 	}
-	t.note(now, StepRenew, g, err)
+	t.logStep(now, StepRenew, g, err)
 	return err
 }
 
-// sign notes a sign of the caller for a request.
-func (t *Table) sign(now time.Duration, q *request) {
-	q.signed = now
-	if g := q.last; g != nil && g.State == Offered {
-		g.Until = max(g.Until, t.validity(now, g.at, q, g.Ends))
+// touch records a sign of the caller for a request.
+func (t *Table) touch(now time.Duration, q *request) {
+	q.lastSeen = now
+	if g := q.lastGrant; g != nil && g.State == Offered {
+		g.Until = max(g.Until, t.validUntil(now, g.target, q, g.Ends))
 	}
-	t.arm(q)
+	t.schedule(q)
 }
 
-// arm sets when a request is looked at again.
-func (t *Table) arm(q *request) {
-	g, silent := q.last, q.signed+t.silence()
+// schedule sets the request's timer to the next time at which something is due.
+func (t *Table) schedule(q *request) {
+	g, silentAt := q.lastGrant, q.lastSeen+t.maxSilence()
 	switch {
-	case q.chosen: // its caller waits in a call
+	case q.choicePending: // its caller waits in a call
 		t.wheel.Stop(&q.timer)
 	case g != nil && g.State == Offered:
 		t.wheel.Set(&q.timer, min(g.Until, g.Ends))
 	case g != nil && g.open() && q.attached:
 		t.wheel.Set(&q.timer, g.Ends)
 	case g != nil && g.open():
-		t.wheel.Set(&q.timer, min(silent, g.Ends))
+		t.wheel.Set(&q.timer, min(silentAt, g.Ends))
 	case q.attached:
 		t.wheel.Stop(&q.timer)
-	default: // it has told of its last attempt, and may ask for another
-		t.wheel.Set(&q.timer, silent)
+	default: // the last attempt has been reported, and the caller may ask for another
+		t.wheel.Set(&q.timer, silentAt)
 	}
 }
 
-// Report takes what became of a grant. over says that the caller wants nothing more for the request.
+// Report records what became of a grant. over says that the caller wants nothing more for the request.
 func (t *Table) Report(now time.Duration, caller string, id uint64, fate Fate, over bool) error {
-	g, err := t.find(caller, id)
+	g, err := t.findGrant(caller, id)
 	switch {
 	case err != nil:
 	case fate < NotSent || fate > Ran:
 		err = fmt.Errorf("%w: fate %d", ErrState, fate)
 	case fate == Read && !g.Read || fate == Begun && g.Read:
 		err = fmt.Errorf("%w: a fate of the other stage", ErrState)
-	case g.State == Reported && g.Fate == fate: // told twice does no harm
-		t.sign(now, g.of)
+	case g.State == Reported && g.Fate == fate: // repeating it is harmless
+		t.touch(now, g.req)
 		return nil
 	case !g.open():
 		err = fmt.Errorf("%w: %v", ErrState, g.State)
 	}
 	if err != nil {
-		t.note(now, StepReport, g, err)
+		t.logStep(now, StepReport, g, err)
 		return err
 	}
 	g.Fate, g.State = fate, Reported
 	t.close(g)
-	t.note(now, StepReport, g, nil)
-	q := g.of
-	if q.once && !g.Read {
-		if fate.none() {
+	t.logStep(now, StepReport, g, nil)
+	q := g.req
+	if q.nonIdempotent && !g.Read {
+		if fate.excludesEffect() {
 			t.ledger.clear(q.id)
 		} else {
-			t.ledger.happened(q.id, now+t.terms.Remember)
+			t.ledger.extend(q.id, now+t.config.Remember)
 		}
 	}
 	if over || fate == Begun {
 		t.end(now, q)
 	} else {
-		t.sign(now, q)
+		t.touch(now, q)
 	}
 	return nil
 }
 
-// close takes a grant out of those that are open.
+// close removes a grant from its worker's open grants.
 func (t *Table) close(g *Grant) {
-	g.at.leave(g)
-	t.forget(g.Worker, g.at)
+	g.target.removeGrant(g)
+	t.forgetWorker(g.Worker, g.target)
 }
 
-// Withdraw says that nobody waits for a grant's report any more: the attempt was called off here. It is taken for
-// run; the caller may ask for the next choice.
+// Withdraw records that the router has cancelled the attempt and no longer waits for the grant's report. The attempt
+// counts as one that may have run. The caller may ask for the next choice.
 func (t *Table) Withdraw(now time.Duration, id uint64) {
 	if g := t.grants[id]; g != nil && g.open() {
 		t.expire(now, g)
-		t.arm(g.of)
+		t.schedule(g.req)
 	}
 }
 
-// End takes the news that a request is over: it was answered, or its client has left. What was granted and not
-// reported stays an effect that may have happened.
+// End records that a request is over because it was answered or its client has left. A write that was granted and not
+// reported stays in the ledger as one that may have run.
 func (t *Table) End(now time.Duration, request string) {
 	if q := t.requests[request]; q != nil {
 		t.end(now, q)
@@ -476,86 +478,86 @@
 
 func (t *Table) end(now time.Duration, q *request) {
 	t.wheel.Stop(&q.timer)
-	if g := q.last; g != nil {
+	if g := q.lastGrant; g != nil {
 		if g.open() {
 			t.expire(now, g)
 		}
 		delete(t.grants, g.ID)
 	}
 	delete(t.requests, q.id)
-	q.caller.leave(q)
-	t.left(q.caller)
-	q.over, q.last = true, nil
-	if q.reading > now {
-		t.sweeps++
-		t.wheel.Set(&q.timer, min(q.reading, now+t.terms.Hold/2))
+	q.caller.removeRequest(q)
+	t.forgetCaller(q.caller)
+	q.over, q.lastGrant = true, nil
+	if q.readPossibleUntil > now {
+		t.releasing++
+		t.wheel.Set(&q.timer, min(q.readPossibleUntil, now+t.config.Hold/2))
 	}
 	if t.log != nil {
-		t.log(Event{At: now, Step: StepOver, Caller: q.caller.name, Request: q.id, Attempt: q.choices, Once: q.once})
+		t.log(Event{At: now, Step: StepOver, Caller: q.caller.name, Request: q.id, Attempt: q.grantCount, Once: q.nonIdempotent})
 	}
 }
 
-// expire ends a grant of which nobody has told what became of it. A read that its caller gave up at its time may
-// have ended well just then.
+// expire ends a grant whose result is unknown. A read that its caller gave up at the deadline may have succeeded at that
+// very moment, so it may leave state for a little longer.
 func (t *Table) expire(now time.Duration, g *Grant) {
 	g.State = Expired
 	t.close(g)
 	if g.Read {
-		g.of.reading = max(g.of.reading, g.Ends+t.terms.Delivery+t.terms.Tick)
+		g.req.readPossibleUntil = max(g.req.readPossibleUntil, g.Ends+t.config.Delivery+t.config.Tick)
 	}
-	t.note(now, StepExpire, g, nil)
+	t.logStep(now, StepExpire, g, nil)
 }
 
-func (t *Table) find(caller string, id uint64) (*Grant, error) {
+func (t *Table) findGrant(caller string, id uint64) (*Grant, error) {
 	g := t.grants[id]
 	switch {
 	case g == nil:
 		return nil, ErrUnknown
-	case g.of.caller.name != caller:
+	case g.req.caller.name != caller:
 		return nil, ErrOther
 	}
 	return g, nil
 }
 
-// Grant returns the latest grant of a request that is not over, by its id.
+// Grant returns the grant with the given id if it is the latest of an open request, or nil.
 func (t *Table) Grant(id uint64) *Grant { return t.grants[id] }
 
-// Busy says that something will be due by itself.
+// HasTimers reports whether Advance has anything to do in the future.
 func (t *Table) Busy() bool { return t.wheel.Len() > 0 }
 
-// Latest returns the latest grant of a request that is not over, nil = none.
+// LatestGrant returns the latest grant of an open request, or nil.
 func (t *Table) Latest(request string) *Grant {
 	if q := t.requests[request]; q != nil {
-		return q.last
+		return q.lastGrant
 	}
 	return nil
 }
 
-// Advance moves the clock and returns what is to be done outside. The slice is good until the next call.
+// Advance moves the clock and returns the actions that are due. The slice is valid until the next call.
 func (t *Table) Advance(now time.Duration) []Act {
-	t.acts = t.acts[:0]
+	t.actions = t.actions[:0]
 	t.wheel.Advance(now, func(due *Timer[*request]) {
 		q := due.Of
-		g := q.last
+		g := q.lastGrant
 		if q.over {
-			t.acts = append(t.acts, Act{Sweep, q.id, nil})
-			if q.reading > now {
-				t.wheel.Set(&q.timer, min(q.reading, now+t.terms.Hold/2))
+			t.actions = append(t.actions, Act{Sweep, q.id, nil})
+			if q.readPossibleUntil > now {
+				t.wheel.Set(&q.timer, min(q.readPossibleUntil, now+t.config.Hold/2))
 			} else {
-				t.sweeps--
+				t.releasing--
 			}
 			return
 		}
 		if g != nil && g.open() && now >= g.Ends {
 			t.expire(now, g)
-			t.acts = append(t.acts, Act{Lapse, q.id, g})
-			t.arm(q) // the caller may ask again, if it gives a sign soon
+			t.actions = append(t.actions, Act{Lapse, q.id, g})
+			t.schedule(q) // the caller may ask again if it gives a sign soon
 			return
 		}
-		t.acts = append(t.acts, Act{Forsake, q.id, g})
+		t.actions = append(t.actions, Act{Forsake, q.id, g})
 		t.end(now, q)
 	})
 	t.ledger.advance(now)
-	t.prune(now)
-	return t.acts
+	t.pruneWorkers(now)
+	return t.actions
 }
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -272,7 +272,7 @@
 	if n := len(kinds); n < 10 || n > 20 || kinds[n-1] != Sweep {
 		t.Errorf("%v: want sweeps every 150 ms until the read's time is up", kinds)
 	}
-	if c := tab.Count(); c.Requests+c.Callers+tab.sweeps+tab.wheel.Len() != 0 {
+	if c := tab.Count(); c.Requests+c.Callers+tab.releasing+tab.wheel.Len() != 0 {
 		t.Errorf("left: %+v, %d timers", c, tab.wheel.Len())
 	}
 	g = give(t, tab, 5*time.Second, Ask{Caller: "a", Request: "attached"}, "w", false)
@@ -309,7 +309,7 @@
 			switch text[0] % 12 {
 			case 0, 1:
 				same, _, err := tab.Begin(now, Ask{Caller: who, Request: id, Attempt: n, Once: v&0x200 != 0})
-				if at, ok := ran[id]; ok && now < at && err == nil && same == nil && tab.requests[id].once {
+				if at, ok := ran[id]; ok && now < at && err == nil && same == nil && tab.requests[id].nonIdempotent {
 					t.Fatalf("%s runs again", id)
 				}
 			case 2, 3:
@@ -323,8 +323,8 @@
 				tab.Renew(now, who, num)
 			case 6:
 				g := tab.grants[num]
-				if tab.Report(now, who, num, Fate(v%7), v&0x100 != 0) == nil && g != nil && g.of.once && !g.Read && !g.Fate.none() {
-					ran[g.of.id] = now + exploreTerms.Remember
+				if tab.Report(now, who, num, Fate(v%7), v&0x100 != 0) == nil && g != nil && g.req.nonIdempotent && !g.Read && !g.Fate.excludesEffect() {
+					ran[g.req.id] = now + exploreTerms.Remember
 				}
 			case 7:
 				tab.Close(now, to, "drains")
@@ -351,15 +351,15 @@
 			}
 			at := 0
 			for _, w := range tab.workers {
-				for g := w.first; g != nil; g = g.next {
+				for g := w.firstGrant; g != nil; g = g.next {
 					if at++; !g.open() {
 						t.Fatalf("%+v is not open", g)
 					}
 				}
 			}
 			c := tab.Count()
-			if open != c.Requests || c.Requests+tab.sweeps > 8 || c.Callers > 3 || c.Effects > 6 ||
-				at != c.States[Offered]+c.States[TakenUp]+c.States[Revoked] || tab.wheel.Len() > c.Requests+tab.sweeps {
+			if open != c.Requests || c.Requests+tab.releasing > 8 || c.Callers > 3 || c.Effects > 6 ||
+				at != c.States[Offered]+c.States[TakenUp]+c.States[Revoked] || tab.wheel.Len() > c.Requests+tab.releasing {
 				t.Fatalf("%+v, %d open at callers, %d at workers, %d timers", c, open, at, tab.wheel.Len())
 			}
 		}
--- a/internal/grant/ledger.go
+++ b/internal/grant/ledger.go
@@ -1,15 +1,13 @@
 package grant
 
-// This file owns the ledger of effects: which requests of a class that must not run twice may have run. It must
-// never forget one before its time, whatever the want of room: what finds no room is refused.
-
 import "time"
 
-// ledger remembers requests by id.
+// ledger remembers which non-idempotent requests may have run, by request id. An entry is never dropped before its time to
+// make room: when the ledger is full, new entries are refused.
 type ledger struct {
-	most    int
-	effects map[string]*effect
-	wheel   *Wheel[*effect]
+	capacity int
+	effects  map[string]*effect
+	wheel    *Wheel[*effect]
 }
 
 type effect struct {
@@ -17,17 +15,18 @@
 	timer Timer[*effect]
 }
 
-func newLedger(most int, tick, now time.Duration) *ledger {
-	return &ledger{most: most, effects: make(map[string]*effect), wheel: NewWheel[*effect](max(tick, 100*time.Millisecond), now)}
+func newLedger(capacity int, tick, now time.Duration) *ledger {
+	return &ledger{capacity: capacity, effects: make(map[string]*effect), wheel: NewWheel[*effect](max(tick, 100*time.Millisecond), now)}
 }
 
-// has says that the request may have run.
-func (l *ledger) has(id string) bool { return l.effects[id] != nil }
+// contains reports whether the request may have run.
+func (l *ledger) contains(id string) bool { return l.effects[id] != nil }
 
-func (l *ledger) full() bool { return len(l.effects) >= l.most }
+func (l *ledger) full() bool { return len(l.effects) >= l.capacity }
 
-// may notes that the request may run from now on, and is remembered until a time. It says no for want of room.
-func (l *ledger) may(id string, until time.Duration) bool {
+// reserve records, before a write is granted, that the request may run, and keeps the entry until the given time. It
+// returns false if the ledger is full.
+func (l *ledger) reserve(id string, until time.Duration) bool {
 	e := l.effects[id]
 	if e == nil {
 		if l.full() {
@@ -41,7 +40,7 @@
 	return true
 }
 
-// clear notes that the request has not run, and can't any more.
+// clear removes a request that has not run and no longer can.
 func (l *ledger) clear(id string) {
 	if e := l.effects[id]; e != nil {
 		l.wheel.Stop(&e.timer)
@@ -49,8 +48,8 @@
 	}
 }
 
-// happened notes that the request has run, or is taken for that, and is remembered until a time.
-func (l *ledger) happened(id string, until time.Duration) {
+// extend records that the request has run, or counts as run, and keeps its entry until the given time.
+func (l *ledger) extend(id string, until time.Duration) {
 	if e := l.effects[id]; e != nil {
 		l.wheel.Set(&e.timer, until)
 	}
--- a/internal/grant/rules/rules.go
+++ b/internal/grant/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules checks the log of a run against the rules that no caller, worker or router may break together. It
-// looks at what happened at the workers and at the callers, never at what a Table believes.
+// Package rules checks the event log of a run against the guarantees that callers, workers and the router must provide
+// together. It looks only at what happened at workers and callers, never at the state of a grant.Table.
 package rules
 
 import (
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// Kind is what happened.
+// Kind is the kind of an Event.
 type Kind uint8
 
-// The kinds of what may happen.
+// The kinds of events.
 const (
-	Asked    Kind = iota + 1 // a caller made a call, named by Call
-	Answered                 // and got an answer
-	Cut                      // or lost its connection first
-	Sent                     // the first byte of an attempt came to a worker
-	Out                      // an attempt of a request is out at a worker, or a call for it open at the router
-	In                       // it is so no longer
-	Effect                   // a request ran at a worker
-	Drained                  // the router heard that a worker takes nothing new
-	Back                     // the router heard that it does again
-	Held                     // a state or a place is held for a request from now on
-	Freed                    // nothing is held for it any more
-	Sign                     // the router had a sign of life of a request's caller
+	Asked    Kind = iota + 1 // a caller made a call, identified by Call
+	Answered                 // the call got an answer
+	Cut                      // the caller disconnected before it got an answer
+	Sent                     // the first byte of an attempt reached a worker
+	Out                      // an attempt began at a worker, or a call for the request was opened at the router
+	In                       // that attempt or call ended
+	Effect                   // a request took effect at a worker
+	Drained                  // the router learned that a worker takes no new requests
+	Back                     // the router learned that the worker takes new requests again
+	Held                     // a worker holds a state or a slot for a request from now on
+	Freed                    // nothing is held for the request any more
+	Sign                     // the router got a sign of life from the request's caller
 )
 
-var names = [...]string{"?", "asked", "answered", "cut", "sent", "out", "in", "effect", "drained", "back", "held", "freed", "sign"}
+var kindNames = [...]string{"?", "asked", "answered", "cut", "sent", "out", "in", "effect", "drained", "back", "held", "freed", "sign"}
 
-// Event is one line of the log. Times never go back.
+// Event is one entry of the log. Events are in order of time.
 type Event struct {
 	At      time.Duration
 	Kind    Kind
 	Request string
 	Worker  string
 	Call    int
-	Once    bool // Effect: the class must not run twice
+	Once    bool // for Effect: the request must not run twice
 }
 
 func (e Event) String() string {
-	return fmt.Sprintf("%9.3f %-8s request=%s worker=%s call=%d once=%v", e.At.Seconds(), names[e.Kind], e.Request, e.Worker, e.Call, e.Once)
+	return fmt.Sprintf("%9.3f %-8s request=%s worker=%s call=%d once=%v", e.At.Seconds(), kindNames[e.Kind], e.Request, e.Worker, e.Call, e.Once)
 }
 
-// Limits are the rules' figures.
+// Limits are the time limits that Check enforces.
 type Limits struct {
-	Drain time.Duration // nothing new at a worker so long after the router heard
-	Hold  time.Duration // what is held ends so long after the last sign, or the last attempt
+	Drain time.Duration // no attempt may reach a worker later than this after the router learned that it drains
+	Hold  time.Duration // what is held must end this long after the caller's last sign or the last attempt
 }
 
-// Broken is a rule that a log breaks.
+// Violation is an event that breaks a rule.
 type Broken struct {
 	Rule string
 	Event
@@ -58,14 +58,14 @@
 
 func (b Broken) Error() string { return b.Rule + ": " + b.Event.String() }
 
-// Check reads a whole log and returns what it breaks, at most one for each rule and request. end is when the run
-// ended: what is still held then counts up to it.
+// Check returns the violations in a log, at most one per rule, request and worker. end is when the run ended; what is still
+// held then counts as held until end.
 func Check(log []Event, l Limits, end time.Duration) []Broken {
 	type hold struct {
 		since, last time.Duration // last sign or end of an attempt
 		held        bool
 		out         int
-		effects     int // of a class that must not run twice
+		effects     int // effects of requests that must not run twice
 	}
 	type call struct {
 		asked   Event
@@ -81,20 +81,20 @@
 		}
 	}
 	holds, calls, drains := make(map[string]*hold), make(map[int]*call), make(map[string]time.Duration)
-	of := func(id string) *hold {
+	holdOf := func(id string) *hold {
 		if holds[id] == nil {
 			holds[id] = &hold{}
 		}
 		return holds[id]
 	}
-	// over says that what is held at a time has been for too long.
-	over := func(h *hold, at time.Duration) bool {
+	// overdue reports whether something is held at the given time that should have been released.
+	overdue := func(h *hold, at time.Duration) bool {
 		return h.held && h.out == 0 && at-max(h.since, h.last) > l.Hold
 	}
 	var order []int
 	for _, e := range log {
-		h := of(e.Request)
-		if over(h, e.At) {
+		h := holdOf(e.Request)
+		if overdue(h, e.At) {
 			fail("hold", e)
 		}
 		switch e.Kind {
@@ -149,7 +149,7 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(holds)) {
-		if h := holds[id]; over(h, end) {
+		if h := holds[id]; overdue(h, end) {
 			fail("hold", Event{At: end, Kind: Held, Request: id})
 		}
 	}
--- a/internal/grant/wheel.go
+++ b/internal/grant/wheel.go
@@ -1,33 +1,31 @@
 package grant
 
-// This file owns the timing wheel: what is due when. It must never read a clock nor call what is due itself: the
-// time comes in with Advance, and what is due goes out in a settled order.
-
 import "time"
 
 const (
 	wheelBits   = 6
 	wheelSlots  = 1 << wheelBits
-	wheelLevels = 5 // with a tick of 5 ms the last level reaches for 62 days
+	wheelLevels = 5 // with a tick of 5 ms the last level spans 62 days
 )
 
-// Wheel is a hierarchical timing wheel. Setting, moving and stopping a timer cost the same however many there
-// are; a timer moves down a level at most once for each level that it was set above the first.
+// Wheel is a hierarchical timing wheel. Setting, moving and stopping a timer take constant time; a timer moves down at most
+// once per level above the first. The wheel reads no clock: the user passes the time to Advance, which returns due timers
+// in a deterministic order.
 type Wheel[T any] struct {
 	tick  time.Duration
-	now   int64 // in ticks: all before it has been handed out
+	now   int64 // in ticks; all earlier ticks have been processed
 	count int
-	slots [wheelLevels][wheelSlots]Timer[T] // heads of rings
+	slots [wheelLevels][wheelSlots]Timer[T] // list heads of circular lists
 }
 
-// Timer is one entry of a Wheel, part of what it is for. The zero value is not set.
+// Timer is an entry of a Wheel, embedded in what it is for. The zero value is not set.
 type Timer[T any] struct {
 	next, prev *Timer[T]
 	due        int64
-	Of         T // what is due
+	Of         T // set by the user
 }
 
-// NewWheel returns a wheel that starts at a time. Timers are due at the first tick that is not before their time.
+// NewWheel returns a wheel whose clock begins at start. A timer is due at the first tick that is not before its time.
 func NewWheel[T any](tick time.Duration, start time.Duration) *Wheel[T] {
 	w := &Wheel[T]{tick: max(tick, 1), now: int64(start / max(tick, 1))}
 	for l := range w.slots {
@@ -39,10 +37,10 @@
 	return w
 }
 
-// Len is how many timers are set.
+// Len returns the number of timers that are set.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Set has t due at a time, wherever it stood before.
+// Set makes t due at the given time, replacing any earlier setting.
 func (w *Wheel[T]) Set(t *Timer[T], at time.Duration) {
 	w.Stop(t)
 	t.due = max(w.now, int64((at+w.tick-1)/w.tick))
@@ -50,7 +48,7 @@
 	w.place(t)
 }
 
-// Stop takes t off the wheel.
+// Stop removes t from the wheel. It does nothing if t is not set.
 func (w *Wheel[T]) Stop(t *Timer[T]) {
 	if t.next == nil {
 		return
@@ -61,13 +59,13 @@
 }
 
 func (w *Wheel[T]) place(t *Timer[T]) {
-	level, ahead := 0, t.due-w.now
-	for ahead >= wheelSlots && level < wheelLevels-1 {
-		ahead >>= wheelBits
+	level, delta := 0, t.due-w.now
+	for delta >= wheelSlots && level < wheelLevels-1 {
+		delta >>= wheelBits
 		level++
 	}
 	at := t.due
-	if level == wheelLevels-1 { // further than the wheel reaches: looked at again at its end
+	if level == wheelLevels-1 { // beyond the range of the wheel: placed at its end and examined again there
 		at = min(at, w.now+(wheelSlots-1)<<(wheelBits*(wheelLevels-1)))
 	}
 	h := &w.slots[level][at>>(wheelBits*level)&(wheelSlots-1)]
@@ -75,8 +73,8 @@
 	h.prev.next, h.prev = t, t
 }
 
-// Advance hands out all timers that are due by now, the earlier first, those of one tick in the order in which
-// they came to it. A timer that due sets again for now or before comes in the same call.
+// Advance calls due for every timer that is due by now, in order of their ticks, and within a tick in the order in which
+// they reached its slot. A timer that due sets for now or earlier fires in the same call.
 func (w *Wheel[T]) Advance(now time.Duration, due func(*Timer[T])) {
 	for end := int64(now / w.tick); w.now <= end; {
 		if w.count == 0 {
@@ -84,13 +82,13 @@
 			return
 		}
 		for level := 1; level < wheelLevels && w.now&(1<<(wheelBits*level)-1) == 0; level++ {
-			w.lower(&w.slots[level][w.now>>(wheelBits*level)&(wheelSlots-1)])
+			w.cascade(&w.slots[level][w.now>>(wheelBits*level)&(wheelSlots-1)])
 		}
 		h := &w.slots[0][w.now&(wheelSlots-1)]
 		for h.next != h {
 			t := h.next
 			w.Stop(t)
-			if t.due > w.now { // from the far end of the wheel
+			if t.due > w.now { // beyond the range of the wheel when it was placed
 				w.count++
 				w.place(t)
 				continue
@@ -101,13 +99,13 @@
 	}
 }
 
-// lower moves the timers of a slot to the levels below.
-func (w *Wheel[T]) lower(h *Timer[T]) {
+// cascade redistributes the timers of a slot to the lower levels.
+func (w *Wheel[T]) cascade(h *Timer[T]) {
 	first := h.next
 	if first == h {
 		return
 	}
-	h.prev.next = nil // a plain list from here on
+	h.prev.next = nil // detach the timers as a nil-terminated list
 	h.next, h.prev = h, h
 	for t := first; t != nil; {
 		next := t.next
