--- a/internal/decisions/desk.go
+++ b/internal/decisions/desk.go
@@ -1,9 +1,10 @@
-// Package decisions serves proxies that carry requests themselves and ask where each attempt may go. This file owns
-// the way between a grant.Table, which says what callers may act on, and the core, which lives each request: the core's
-// attempts become grants, callers' reports become results.
+// Package decisions serves proxies that carry requests themselves and ask the router where each attempt may go. A
+// Coordinator connects a grant.Table, which decides what callers may act on, with the core, which manages the life of each
+// request: attempts of the core become grants, and reports of callers become results of attempts. Server exposes it as the
+// gRPC service rowanyard.v1.Decisions.
 //
-// It must never choose a worker, nor let a caller act where the Table or the core says no. It is off unless an
-// operator's file turns it on.
+// Workers are chosen by the core; the package never lets a caller act where the Table or the core does not allow it. The
+// service is disabled unless the operator's file enables it.
 package decisions
 
 import (
@@ -26,135 +27,135 @@
 )
 
 const (
-	keepFinals  = 4096                   // final answers that are kept for callers that did not wait for them ...
-	finalFor    = 30 * time.Second       // ... so long
-	longestHint = time.Minute            // an answer whose caller does not tell of its end counts for no longer
-	sweepWait   = 250 * time.Millisecond // a release that sweeps up after a caller
+	maxFinalAnswers        = 4096                   // final answers that are kept for callers that did not wait for them
+	finalAnswerLifetime    = 30 * time.Second       // how long they are kept
+	maxStreamEstimate      = time.Minute            // a stream whose caller does not report its end counts for no longer
+	leftoverReleaseTimeout = 250 * time.Millisecond // for each worker asked to release the state of an abandoned read
 )
 
-// Desk glues grants to the core. All fronts that let others carry attempts share one.
+// Coordinator connects grants to the core. All fronts that let callers carry attempts share one.
 type Desk struct {
-	core    *core.Core
-	workers *httpfront.Workers
-	log     *slog.Logger
-	terms   grant.Terms
-	start   time.Time
-	seen    Seen
-	moved   sync.Mutex // serializes moves, so that the latest look at the core holds
-
-	mu       sync.Mutex
-	table    *grant.Table
-	sessions map[string]*session
-	finals   map[string]final
-	order    []string // of finals, the oldest first
-	ticking  bool
-	streams  map[uint64]*stream // answers that callers relay, by grant
-	watchers map[string]chan struct{}
-}
-
-// Seen is told what operators measure; see package measure. Nil fields are not told.
+	core     *core.Core
+	workers  *httpfront.Workers
+	log      *slog.Logger
+	config   grant.Terms
+	start    time.Time
+	observer Seen
+	moveMu   sync.Mutex // serializes workersChanged, so that the latest state read from the core wins
+
+	mu               sync.Mutex
+	table            *grant.Table
+	delegations      map[string]*delegation
+	finals           map[string]finalAnswer
+	finalOrder       []string // keys of finals, oldest first
+	advanceScheduled bool
+	streams          map[uint64]*stream       // responses relayed by callers, by grant
+	watchers         map[string]chan struct{} // wakes the stream of each caller that watches
+}
+
+// Observer receives measurements; see package measure. Nil fields are skipped.
 type Seen struct {
-	Granted func(stage string, wait time.Duration) // from the call to its answer
+	Granted func(stage string, wait time.Duration) // wait is the time from the call to its answer
 	Refused func(reason string)
 	Ended   func(state grant.State, age time.Duration)
-	Revoked func(delay time.Duration) // from the drain's news to the stream
-	Tracer  trace.Tracer              // of requests through caller, grants, attempts and end
-}
-
-// session is one request that a caller carries.
-type session struct {
-	id       string
-	caller   string
-	readHere bool
-	oneWrite bool // after the first grant there is no other
-	span     trace.Span
-	over     chan error              // takes how the request ended, nil: its answer has begun
-	stop     context.CancelCauseFunc // the caller is gone
-	free     func()                  // gives its id back
-	next     *offer                  // chosen and not granted
-	out      *offer                  // granted and not reported
-	begun    uint64                  // the grant of which its caller said that the answer has begun, 0 = none
-	turn     *turn                   // the call that waits, nil = none
-	first    time.Duration           // how long its answer is likely to take
-}
-
-// turn is a choice that calls wait for.
-type turn struct {
-	done  chan struct{}
-	calls int
-	grant *grant.Grant
-	to    core.Worker
-	err   error
-}
-
-// offer is an attempt of the core's that the caller is to carry.
+	Revoked func(delay time.Duration) // delay is the time from learning of the drain to sending the revocation
+	Tracer  trace.Tracer              // traces each request: its caller, grants, attempts and end
+}
+
+// delegation is a request whose attempts are carried by a caller.
+type delegation struct {
+	id           string
+	caller       string
+	readHere     bool
+	singleWrite  bool // there is only one grant
+	span         trace.Span
+	outcome      chan error              // receives how the request ended; nil means that its response has started
+	cancel       context.CancelCauseFunc // called when the caller has gone
+	releaseID    func()                  // frees the request's id in the core
+	chosenOffer  *offer                  // chosen but not yet granted
+	grantedOffer *offer                  // granted but not yet reported
+	startedGrant uint64                  // the grant for which the caller reported the start of the response, 0 if none
+	choice       *choice                 // the choice that calls are waiting for, nil if none
+	estimate     time.Duration           // expected duration of the response
+}
+
+// choice is a pending choice that one or more calls wait for.
+type choice struct {
+	done    chan struct{}
+	waiters int
+	grant   *grant.Grant
+	worker  core.Worker
+	err     error
+}
+
+// offer is an attempt of the core that the caller is to carry.
 type offer struct {
 	core.Attempt
 	grant  *grant.Grant
 	result chan core.Result
 }
 
-// final is the last answer to a request.
-type final struct {
+// finalAnswer is the final answer to a request.
+type finalAnswer struct {
 	caller string
 	err    error
 	at     time.Time
 }
 
-// stream is an answer that a caller relays. It is there from the caller's report of its beginning on: the core hears of that
-// a little later, and the report of its end may come in between.
+// stream is a response that a caller relays. It exists from the caller's report of its start. The core learns of the start
+// slightly later, and the report of the end may arrive in between.
 type stream struct {
-	caller string
-	ended  func(decide.Status) // nil until the core has heard of the beginning
-	over   decide.Status       // how it had ended before that, 0 = it had not
-	timer  *time.Timer
+	caller    string
+	onEnd     func(decide.Status) // nil until the core has learned of the start
+	endStatus decide.Status       // how it ended before the core had learned of its start, 0 if it had not
+	timer     *time.Timer
 }
 
-// Answers that are final. Errors of a Desk are these, those of package grant, or wrap them.
+// Final answers. The errors of a Coordinator are or wrap these, Refused or the errors of package grant.
 var (
-	ErrFailed = errors.New("failed, it may have run")
-	ErrGone   = errors.New("the caller ended it")
-	errSilent = errors.New("the caller gives no sign")
+	ErrFailed       = errors.New("failed, it may have run")
+	ErrGone         = errors.New("the caller ended it")
+	errCallerSilent = errors.New("the caller gives no sign")
 )
 
-// Refused is a final answer: nothing has run.
+// Refused is the final answer to a request that was refused and has not run.
 type Refused struct{ After time.Duration }
 
 func (r *Refused) Error() string { return "refused, nothing has run" }
 
-// NewDesk returns a Desk. It must be made before the core hears of workers that move.
-func NewDesk(c *core.Core, w *httpfront.Workers, terms grant.Terms, seen Seen, log *slog.Logger) (*Desk, error) {
-	d := &Desk{core: c, workers: w, log: log, terms: terms, start: time.Now(), seen: seen, sessions: make(map[string]*session),
-		finals: make(map[string]final), streams: make(map[uint64]*stream), watchers: make(map[string]chan struct{})}
-	if d.seen.Tracer == nil {
-		d.seen.Tracer = noop.NewTracerProvider().Tracer("")
+// NewCoordinator returns a Coordinator. It must be called before the core starts to report changes of workers.
+func NewDesk(c *core.Core, w *httpfront.Workers, config grant.Terms, observer Seen, log *slog.Logger) (*Desk, error) {
+	d := &Desk{core: c, workers: w, log: log, config: config, start: time.Now(), observer: observer, delegations: make(map[string]*delegation),
+		finals: make(map[string]finalAnswer), streams: make(map[uint64]*stream), watchers: make(map[string]chan struct{})}
+	if d.observer.Tracer == nil {
+		d.observer.Tracer = noop.NewTracerProvider().Tracer("")
 	}
 	var err error
-	if d.table, err = grant.New(terms, 0, d.note); err != nil {
+	if d.table, err = grant.New(config, 0, d.observeStep); err != nil {
 		return nil, err
 	}
-	c.Moved = d.move
+	c.Moved = d.workersChanged
 	return d, nil
 }
 
 func (d *Desk) now() time.Duration { return time.Since(d.start) }
 
-// note takes a step of the Table's.
-func (d *Desk) note(e grant.Event) {
+// observeStep logs and measures a step of the Table.
+func (d *Desk) observeStep(e grant.Event) {
 	d.log.Debug("grant", "step", string(e.Step), "caller", e.Caller, "request", e.Request, "attempt", e.Attempt, "grant", e.Grant,
 		"worker", e.Worker, "state", e.State.String(), "err", e.Err)
-	if e.Err != nil && d.seen.Refused != nil {
-		d.seen.Refused(Reason(e.Err))
+	if e.Err != nil && d.observer.Refused != nil {
+		d.observer.Refused(Reason(e.Err))
 	}
-	if e.Grant != 0 && e.Err == nil && (e.Step == grant.StepReport || e.Step == grant.StepExpire || e.Step == grant.StepRevoke) && d.seen.Ended != nil {
-		d.seen.Ended(e.State, e.At-e.Since)
+	if e.Grant != 0 && e.Err == nil && (e.Step == grant.StepReport || e.Step == grant.StepExpire || e.Step == grant.StepRevoke) && d.observer.Ended != nil {
+		d.observer.Ended(e.State, e.At-e.Since)
 	}
 }
 
-// move takes the news that workers have begun or ceased to take new work.
-func (d *Desk) move(ids []string) {
-	d.moved.Lock()
-	defer d.moved.Unlock()
+// workersChanged opens and closes workers in the Table after the core has changed whether they may be sent new requests.
+func (d *Desk) workersChanged(ids []string) {
+	d.moveMu.Lock()
+	defer d.moveMu.Unlock()
 	for _, id := range ids {
 		wanted := d.core.Wanted(id)
 		d.mu.Lock()
@@ -175,25 +176,25 @@
 	}
 }
 
-// Ask is a caller's call for a choice.
+// ChooseCall is a caller's call for a choice.
 type Ask struct {
 	grant.Ask
-	Called   time.Time // when the call came in
+	Called   time.Time // when the call arrived
 	Query    decide.Request
-	Exchange *httpfront.Exchange // how the router itself speaks to workers for it
-	ReadHere bool                // the router has the prompt read
-	Attached bool                // the caller's wire tells when it leaves
-	OneWrite bool                // the caller can carry one attempt at most
-	Fresh    bool                // the call comes once: the same words again are another request's
+	Exchange *httpfront.Exchange // how the router itself talks to workers for the request
+	ReadHere bool                // the router carries the reads
+	Attached bool                // the caller's transport reports when it leaves
+	OneWrite bool                // the caller can carry at most one attempt
+	Fresh    bool                // the caller never repeats a call: an identical one belongs to another request
 }
 
-// Choose answers a call for a choice: a grant, or an error. It waits for as long as ctx lasts.
+// Choose answers a call for a choice with a grant and its worker, or with an error. It waits until ctx is done.
 func (d *Desk) Choose(ctx context.Context, a Ask) (grant.Grant, core.Worker, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
 	same, pending, err := d.table.Begin(now, a.Ask)
-	s := d.sessions[a.Request]
+	s := d.delegations[a.Request]
 	if err == nil && a.Fresh && (same != nil || pending) {
 		err = fmt.Errorf("%w: its id is open already", grant.ErrOther)
 	}
@@ -213,11 +214,11 @@
 			return grant.Grant{}, core.Worker{}, err
 		}
 	default:
-		s.turn = &turn{done: make(chan struct{})}
-		d.pump(s)
+		s.choice = &choice{done: make(chan struct{})}
+		d.offerPending(s)
 	}
-	t := s.turn
-	if t == nil { // it was answered by the pump
+	t := s.choice
+	if t == nil { // offerPending has already answered it
 		same, w := d.table.Latest(a.Request), core.Worker{}
 		if same == nil {
 			return grant.Grant{}, w, ErrFailed
@@ -225,34 +226,34 @@
 		w, _ = d.core.Worker(same.Worker)
 		return *same, w, nil
 	}
-	t.calls++
+	t.waiters++
 	d.mu.Unlock()
 	select {
 	case <-t.done:
 	case <-ctx.Done():
 	}
 	d.mu.Lock()
-	t.calls--
+	t.waiters--
 	select {
 	case <-t.done:
-	default: // its caller has left; the choice goes on for as long as its silence may last
-		if t.calls == 0 && s.turn == t {
-			// What the router carries itself must not begin for a caller that has gone, and it has been told of nothing yet.
+	default: // the caller has left; the choice goes on for as long as a caller may be silent
+		if t.waiters == 0 && s.choice == t {
+			// No read may start at the router for a caller that has left, and the caller has not been told of anything yet.
 			if s.readHere && d.table.Latest(s.id) == nil {
-				s.stop(ErrGone)
+				s.cancel(ErrGone)
 			}
 			d.table.Detach(d.now(), s.id)
-			d.tick()
+			d.scheduleAdvance()
 		}
 		return grant.Grant{}, core.Worker{}, ErrGone
 	}
 	if t.err != nil {
 		return grant.Grant{}, core.Worker{}, t.err
 	}
-	if d.seen.Granted != nil {
-		d.seen.Granted(stageName(t.grant.Read), time.Since(a.Called))
+	if d.observer.Granted != nil {
+		d.observer.Granted(stageName(t.grant.Read), time.Since(a.Called))
 	}
-	return *t.grant, t.to, nil
+	return *t.grant, t.worker, nil
 }
 
 func stageName(read bool) string {
@@ -262,98 +263,99 @@
 	return "write"
 }
 
-// begin starts a request's life in the core.
-func (d *Desk) begin(a Ask) (*session, error) {
-	free, ok := d.core.Claim(a.Request)
+// begin registers a request and starts to serve it in the core.
+func (d *Desk) begin(a Ask) (*delegation, error) {
+	releaseID, ok := d.core.Claim(a.Request)
 	if !ok {
 		return nil, fmt.Errorf("%w: it is open at another front", grant.ErrOther)
 	}
-	ctx, stop := context.WithCancelCause(context.Background())
-	s := &session{id: a.Request, caller: a.Caller, readHere: a.ReadHere, oneWrite: a.OneWrite, over: make(chan error, 1), stop: stop, free: free,
-		turn: &turn{done: make(chan struct{})}, first: a.Query.Hint}
-	_, s.span = d.seen.Tracer.Start(ctx, "request", trace.WithAttributes(attribute.String("caller", a.Caller),
+	ctx, cancel := context.WithCancelCause(context.Background())
+	s := &delegation{id: a.Request, caller: a.Caller, readHere: a.ReadHere, singleWrite: a.OneWrite, outcome: make(chan error, 1), cancel: cancel, releaseID: releaseID,
+		choice: &choice{done: make(chan struct{})}, estimate: a.Query.Hint}
+	_, s.span = d.observer.Tracer.Start(ctx, "request", trace.WithAttributes(attribute.String("caller", a.Caller),
 		attribute.String("request", a.Request), attribute.Int("class", a.Class)))
-	d.sessions[s.id] = s
+	d.delegations[s.id] = s
 	if a.Attached {
 		d.table.Attach(s.id)
 	}
-	d.tick()
-	go d.live(ctx, s, a)
+	d.scheduleAdvance()
+	go d.serve(ctx, s, a)
 	return s, nil
 }
 
-// live is one request's life at the desk, from its first call to its final answer.
-func (d *Desk) live(ctx context.Context, s *session, a Ask) {
-	answer := d.core.Serve(ctx, a.Query, &carrier{Exchange: a.Exchange, desk: d, session: s})
-	s.stop(ErrGone)
-	s.free()
+// serve runs a request in the core, from its first call to its final answer.
+func (d *Desk) serve(ctx context.Context, s *delegation, a Ask) {
+	answer := d.core.Serve(ctx, a.Query, &carrier{Exchange: a.Exchange, coordinator: d, delegation: s})
+	s.cancel(ErrGone)
+	s.releaseID()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var err error
 	if answer.Verdict != core.Streaming {
-		delete(d.streams, s.begun) // the answer began too late
+		delete(d.streams, s.startedGrant) // the start was reported too late
 	}
 	switch answer.Verdict {
 	case core.Streaming:
-		d.relays(s, answer)
+		d.trackStream(s, answer)
 	case core.Refused:
 		err = &Refused{answer.RetryAfter}
 	case core.Gone:
 		err = ErrGone
-		if why := context.Cause(ctx); why != nil && !errors.Is(why, errSilent) {
+		if why := context.Cause(ctx); why != nil && !errors.Is(why, errCallerSilent) {
 			err = why
 		}
 	default:
 		err = ErrFailed
 	}
-	if d.sessions[s.id] == s {
-		delete(d.sessions, s.id)
+	if d.delegations[s.id] == s {
+		delete(d.delegations, s.id)
 		d.table.End(d.now(), s.id)
 		if err != nil {
-			d.keep(s, err)
+			d.keepFinal(s, err)
 		}
 	}
 	if err != nil {
 		s.span.SetStatus(otelcodes.Error, Reason(err))
 	}
-	s.span.SetAttributes(attribute.String("end", verdicts[answer.Verdict]))
+	s.span.SetAttributes(attribute.String("end", verdictNames[answer.Verdict]))
 	s.span.End()
-	s.over <- err
+	s.outcome <- err
 	if err == nil {
-		err = ErrFailed // nobody can wait for a choice any more
+		err = ErrFailed // no call can wait for a choice any more
 	}
 	d.answer(s, nil, core.Worker{}, err)
 }
 
-var verdicts = map[core.Verdict]string{core.Streaming: "begun", core.Refused: "refused", core.Failed: "failed", core.Gone: "gone"}
+var verdictNames = map[core.Verdict]string{core.Streaming: "begun", core.Refused: "refused", core.Failed: "failed", core.Gone: "gone"}
 
-// Over tells how an open request ends, once: nil means that its answer has begun. nil for a request that is not open.
+// Outcome returns a channel that receives once how an open request ends; nil means that its response has started. It
+// returns nil if the request is not open.
 func (d *Desk) Over(request string) <-chan error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if s := d.sessions[request]; s != nil {
-		return s.over
+	if s := d.delegations[request]; s != nil {
+		return s.outcome
 	}
 	return nil
 }
 
-// keep remembers a final answer for a caller that was not there to hear it.
-func (d *Desk) keep(s *session, err error) {
-	for len(d.order) > 0 && (len(d.order) >= keepFinals || time.Since(d.finals[d.order[0]].at) > finalFor) {
-		delete(d.finals, d.order[0])
-		d.order = d.order[1:]
+// keepFinal keeps a final answer for a caller that was not waiting for it.
+func (d *Desk) keepFinal(s *delegation, err error) {
+	for len(d.finalOrder) > 0 && (len(d.finalOrder) >= maxFinalAnswers || time.Since(d.finals[d.finalOrder[0]].at) > finalAnswerLifetime) {
+		delete(d.finals, d.finalOrder[0])
+		d.finalOrder = d.finalOrder[1:]
 	}
 	if _, ok := d.finals[s.id]; !ok {
-		d.order = append(d.order, s.id)
+		d.finalOrder = append(d.finalOrder, s.id)
 	}
-	d.finals[s.id] = final{s.caller, err, time.Now()}
+	d.finals[s.id] = finalAnswer{s.caller, err, time.Now()}
 }
 
-// answer ends the turn of a session.
-func (d *Desk) answer(s *session, g *grant.Grant, to core.Worker, err error) {
-	if t := s.turn; t != nil {
-		s.turn = nil
-		t.grant, t.to, t.err = g, to, err
+// answer completes the pending choice of a request, if there is one.
+func (d *Desk) answer(s *delegation, g *grant.Grant, worker core.Worker, err error) {
+	if t := s.choice; t != nil {
+		s.choice = nil
+		t.grant, t.worker, t.err = g, worker, err
 		if g != nil {
 			same := *g
 			t.grant = &same
@@ -362,13 +364,13 @@
 	}
 }
 
-// pump grants what the core has chosen to the call that waits for it.
-func (d *Desk) pump(s *session) {
-	o := s.next
-	if o == nil || s.turn == nil || d.sessions[s.id] != s {
+// offerPending grants the attempt that the core has chosen to the calls that wait for it.
+func (d *Desk) offerPending(s *delegation) {
+	o := s.chosenOffer
+	if o == nil || s.choice == nil || d.delegations[s.id] != s {
 		return
 	}
-	s.next = nil
+	s.chosenOffer = nil
 	if !o.Allowed() {
 		o.result <- core.Result{Status: decide.Moot}
 		return
@@ -376,18 +378,18 @@
 	g, err := d.table.Offer(d.now(), s.id, o.To.ID, o.Read, o.Remaining())
 	var busy *grant.Busy
 	switch {
-	case errors.As(err, &busy): // the ledger has no room: the request is refused, nothing has run
-		s.stop(&Refused{busy.After})
+	case errors.As(err, &busy): // the ledger is full: the request is refused, nothing has run
+		s.cancel(&Refused{busy.After})
 	case err != nil:
 		o.result <- core.Result{Status: decide.Moot, Err: err}
 	default:
-		o.grant, s.out = g, o
+		o.grant, s.grantedOffer = g, o
 		d.answer(s, g, o.To, nil)
-		d.tick()
+		d.scheduleAdvance()
 	}
 }
 
-// Report takes what became of a grant.
+// Report records what became of a grant and gives the result to the core.
 func (d *Desk) Report(caller string, id uint64, fate grant.Fate, result core.Result, over bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -396,55 +398,54 @@
 	if err := d.table.Report(now, caller, id, fate, false); err != nil {
 		return err
 	}
-	s := d.sessions[g.Request()]
+	s := d.delegations[g.Request()]
 	if s == nil {
 		return nil
 	}
-	if o := s.out; o != nil && o.grant == g {
-		s.out = nil
+	if o := s.grantedOffer; o != nil && o.grant == g {
+		s.grantedOffer = nil
 		if fate == grant.Begun {
-			s.begun = id
+			s.startedGrant = id
 			d.streams[id] = &stream{caller: caller}
 		}
 		o.result <- result
 	}
 	if over && fate != grant.Begun {
-		d.forget(s, ErrGone)
+		d.abandon(s, ErrGone)
 	}
-	d.tick()
+	d.scheduleAdvance()
 	return nil
 }
 
-// forget ends a request whose caller wants nothing more.
-func (d *Desk) forget(s *session, why error) {
-	if d.sessions[s.id] == s {
-		delete(d.sessions, s.id)
+// abandon ends a request whose caller wants nothing more.
+func (d *Desk) abandon(s *delegation, why error) {
+	if d.delegations[s.id] == s {
+		delete(d.delegations, s.id)
 		d.table.End(d.now(), s.id)
 	}
-	s.stop(why)
+	s.cancel(why)
 }
 
-// Leave says that an attached caller is gone: what is held for the request goes at once.
+// CallerLeft ends a request whose attached caller has left. What is held for it is released at once.
 func (d *Desk) Leave(request string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if s := d.sessions[request]; s != nil {
-		d.forget(s, ErrGone)
+	if s := d.delegations[request]; s != nil {
+		d.abandon(s, ErrGone)
 	}
 }
 
-// TakeUp notes that the caller sends, Renew that what is held for a grant is wanted. They return the grant as it
-// stands then.
+// TakeUp records that the caller has begun to send, and returns the updated grant.
 func (d *Desk) TakeUp(caller string, id uint64) (grant.Grant, error) {
-	return d.step(id, func(now time.Duration) error { return d.table.TakeUp(now, caller, id) })
+	return d.updateGrant(id, func(now time.Duration) error { return d.table.TakeUp(now, caller, id) })
 }
 
-// Renew is described at TakeUp.
+// Renew records that the caller still wants what is held for a grant, and returns the updated grant.
 func (d *Desk) Renew(caller string, id uint64) (grant.Grant, error) {
-	return d.step(id, func(now time.Duration) error { return d.table.Renew(now, caller, id) })
+	return d.updateGrant(id, func(now time.Duration) error { return d.table.Renew(now, caller, id) })
 }
 
-func (d *Desk) step(id uint64, do func(time.Duration) error) (grant.Grant, error) {
+func (d *Desk) updateGrant(id uint64, do func(time.Duration) error) (grant.Grant, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := do(d.now()); err != nil {
@@ -453,116 +454,117 @@
 	return *d.table.Grant(id), nil
 }
 
-// Valid is for how long, counted from a call, what the Table says until a time holds.
+// Valid returns how long, counted from a call, the caller may begin to act on a grant.
 func (d *Desk) Valid(g grant.Grant, called time.Time) time.Duration {
 	return g.Valid(called.Sub(d.start))
 }
 
-// Within is for how long, counted from a call, the attempt may go on.
+// Within returns how long, counted from a call, the attempt may take.
 func (d *Desk) Within(g grant.Grant, called time.Time) time.Duration {
 	return max(0, g.Ends-called.Sub(d.start))
 }
 
-// tick sees to it that what is due is handed out, for as long as anything can be.
-func (d *Desk) tick() {
-	if d.ticking {
+// scheduleAdvance arranges the next advance of the Table unless one is scheduled. Advances go on while anything is due.
+func (d *Desk) scheduleAdvance() {
+	if d.advanceScheduled {
 		return
 	}
-	d.ticking = true
-	time.AfterFunc(d.terms.Tick, d.advance)
+	d.advanceScheduled = true
+	time.AfterFunc(d.config.Tick, d.advance)
 }
 
 func (d *Desk) advance() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ticking = false
+	d.advanceScheduled = false
 	for _, a := range d.table.Advance(d.now()) {
-		s := d.sessions[a.Request]
+		s := d.delegations[a.Request]
 		switch {
 		case a.Kind == grant.Sweep:
-			go d.sweep(a.Request)
+			go d.releaseLeftover(a.Request)
 		case s == nil:
 		case a.Kind == grant.Lapse:
-			if o := s.out; o != nil && o.grant == a.Grant {
-				s.out = nil
+			if o := s.grantedOffer; o != nil && o.grant == a.Grant {
+				s.grantedOffer = nil
 				o.result <- core.Result{Status: decide.TimedOut}
 			}
 		case a.Kind == grant.Forsake:
 			d.log.Info("forsaken", "caller", s.caller, "request", s.id)
-			delete(d.sessions, s.id)
-			s.stop(errSilent)
+			delete(d.delegations, s.id)
+			s.cancel(errCallerSilent)
 		}
 	}
 	if d.table.Busy() {
-		d.tick()
+		d.scheduleAdvance()
 	}
 }
 
-// sweep lets go, at any worker, of a state that a read of unknown fate may have left after its request was over.
-func (d *Desk) sweep(id string) {
-	d.core.ReleaseAnywhere(sweepWait, func(ctx context.Context, at core.Worker) error { return d.workers.Release(ctx, at, id) })
+// releaseLeftover releases, at any worker, the state that a read with an unknown result may have left after its request
+// ended.
+func (d *Desk) releaseLeftover(id string) {
+	d.core.ReleaseAnywhere(leftoverReleaseTimeout, func(ctx context.Context, at core.Worker) error { return d.workers.Release(ctx, at, id) })
 }
 
-// relays has an answer that a caller relays count at its writer until its end, or as long as it is likely to take.
-func (d *Desk) relays(s *session, answer core.Answer) {
-	id := s.begun
+// trackStream counts a response relayed by a caller at its writer until it ends, or for its expected duration.
+func (d *Desk) trackStream(s *delegation, answer core.Answer) {
+	id := s.startedGrant
 	x := d.streams[id]
-	if x.over != 0 {
+	if x.endStatus != 0 {
 		delete(d.streams, id)
-		go answer.Ended(x.over)
+		go answer.Ended(x.endStatus)
 		return
 	}
-	long := min(s.first, longestHint)
-	if s.oneWrite { // its wire tells
-		long = time.Hour
-	} else if len(d.streams) > d.terms.Open { // guards the memory against callers that never say that answers end
+	lifetime := min(s.estimate, maxStreamEstimate)
+	if s.singleWrite { // its transport reports the end
+		lifetime = time.Hour
+	} else if len(d.streams) > d.config.Open { // bounds the memory if callers never report the ends of their responses
 		delete(d.streams, id)
 		go answer.Ended(decide.Served)
 		return
 	}
-	x.ended = answer.Ended
-	x.timer = time.AfterFunc(long, func() { d.Ended(s.caller, id, decide.Served) })
+	x.onEnd = answer.Ended
+	x.timer = time.AfterFunc(lifetime, func() { d.Ended(s.caller, id, decide.Served) })
 }
 
-// Ended takes the news of how an answer has come to its end.
-func (d *Desk) Ended(caller string, id uint64, how decide.Status) error {
+// Ended records how a response that a caller relays has ended.
+func (d *Desk) Ended(caller string, id uint64, status decide.Status) error {
 	d.mu.Lock()
 	x := d.streams[id]
-	if x == nil || x.caller != caller || x.over != 0 {
+	if x == nil || x.caller != caller || x.endStatus != 0 {
 		d.mu.Unlock()
 		return grant.ErrUnknown
 	}
-	if x.ended == nil { // the core has not heard of its beginning yet: relays sees to the end
-		x.over = how
+	if x.onEnd == nil { // the core has not learned of the start yet; trackStream will handle the end
+		x.endStatus = status
 		d.mu.Unlock()
 		return nil
 	}
 	delete(d.streams, id)
 	d.mu.Unlock()
 	x.timer.Stop()
-	x.ended(how)
+	x.onEnd(status)
 	return nil
 }
 
-// Table gives f the Table, which it must not keep.
+// Table calls f with the Table and the current time under the lock. f must not keep the Table.
 func (d *Desk) Table(f func(now time.Duration, t *grant.Table)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.now(), d.table)
 }
 
-// carrier leaves attempts to the caller, but for reads that the router is to make itself.
+// carrier leaves attempts to the caller, except for reads that the router carries itself.
 type carrier struct {
 	*httpfront.Exchange
-	desk    *Desk
-	session *session
+	coordinator *Desk
+	delegation  *delegation
 }
 
 // Try implements core.Carrier.
 func (c *carrier) Try(ctx context.Context, a core.Attempt) core.Result {
-	_, span := c.desk.seen.Tracer.Start(trace.ContextWithSpan(ctx, c.session.span), "attempt", trace.WithAttributes(
+	_, span := c.coordinator.observer.Tracer.Start(trace.ContextWithSpan(ctx, c.delegation.span), "attempt", trace.WithAttributes(
 		attribute.Int("attempt", a.Number), attribute.String("worker", a.To.ID), attribute.String("stage", stageName(a.Read)),
-		attribute.Bool("here", a.Read && c.session.readHere)))
+		attribute.Bool("here", a.Read && c.delegation.readHere)))
 	defer span.End()
 	r := c.try(ctx, a)
 	span.SetAttributes(attribute.Int("status", int(r.Status)))
@@ -573,18 +575,18 @@
 }
 
 func (c *carrier) try(ctx context.Context, a core.Attempt) core.Result {
-	d, s := c.desk, c.session
+	d, s := c.coordinator, c.delegation
 	if a.Read && s.readHere {
 		return c.Exchange.Try(ctx, a)
 	}
 	o := &offer{Attempt: a, result: make(chan core.Result, 1)}
 	d.mu.Lock()
-	if s.oneWrite && d.table.Latest(s.id) != nil { // the caller has let go of the request with its first write
+	if s.singleWrite && d.table.Latest(s.id) != nil { // the caller can carry no other write
 		d.mu.Unlock()
 		return core.Result{Status: decide.Moot}
 	}
-	s.next = o
-	d.pump(s)
+	s.chosenOffer = o
+	d.offerPending(s)
 	d.mu.Unlock()
 	select {
 	case r := <-o.result:
@@ -596,17 +598,17 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if s.next == o {
-		s.next = nil
+	if s.chosenOffer == o {
+		s.chosenOffer = nil
 	}
-	if s.out == o {
-		s.out = nil
+	if s.grantedOffer == o {
+		s.grantedOffer = nil
 	}
 	if o.grant == nil {
 		return core.Result{Status: decide.Moot}
 	}
 	select {
-	case r := <-o.result: // it came with the end
+	case r := <-o.result: // the result arrived together with the cancellation
 		if r.Status == 0 {
 			r.Stream = o
 		}
@@ -614,13 +616,13 @@
 	default:
 	}
 	d.table.Withdraw(d.now(), o.grant.ID)
-	d.tick()
+	d.scheduleAdvance()
 	return core.Result{Status: decide.Cancelled}
 }
 
 // Reason names why a call was refused, in one word for metrics and logs.
 func Reason(err error) string {
-	for is, name := range reasons {
+	for is, name := range reasonNames {
 		if errors.Is(err, is) {
 			return name
 		}
@@ -632,7 +634,7 @@
 	return "other"
 }
 
-var reasons = map[error]string{grant.ErrID: "id", grant.ErrUnknown: "unknown", grant.ErrOther: "another_caller", grant.ErrOrder: "order",
+var reasonNames = map[error]string{grant.ErrID: "id", grant.ErrUnknown: "unknown", grant.ErrOther: "another_caller", grant.ErrOrder: "order",
 	grant.ErrPending: "pending", grant.ErrState: "state", grant.ErrMayHaveRun: "may_have_run", grant.ErrDraining: "draining",
 	grant.ErrBusy: "busy", grant.ErrCallers: "callers", grant.ErrLedger: "ledger", grant.ErrClass: "class",
 	ErrFailed: "failed", ErrGone: "gone"}
--- a/internal/decisions/server.go
+++ b/internal/decisions/server.go
@@ -1,8 +1,5 @@
 package decisions
 
-// This file owns rowanyard.v1.Decisions, the service of our own: reading calls, naming refusals, and the streams of
-// revocations. It must never hold state of its own beside the Desk's.
-
 import (
 	"context"
 	"errors"
@@ -29,50 +26,50 @@
 	"rowanyard/internal/httpfront"
 )
 
-// MetaCaller is the metadata that names a caller.
+// CallerMetadataKey is the metadata key under which a caller sends its name.
 const MetaCaller = "rowanyard-caller"
 
 const (
-	maxMessage = 256<<10 + 4<<10
-	maxTokens  = 1 << 30
-	maxWait    = 10 * time.Minute
-	maxGrants  = 1000 // in one message
+	maxMessageBytes     = 256<<10 + 4<<10
+	maxTokens           = 1 << 30
+	maxTimeout          = 10 * time.Minute
+	maxGrantsPerMessage = 1000
 )
 
-// Server is the service.
+// Server implements the gRPC service rowanyard.v1.Decisions. All its state is in the Coordinator.
 type Server struct {
 	pb.UnimplementedDecisionsServer
 	Desk     *Desk
 	Classes  httpfront.Classes
-	Names    []string                // of the classes, by number
-	Settings func() *decide.Settings // those in force
+	Names    []string                // names of the classes, by number
+	Settings func() *decide.Settings // returns the settings in force
 	Routes   *describe.Routes
 	Log      *slog.Logger
 }
 
 // GRPC returns a gRPC server with the service registered.
 func (s *Server) GRPC() *grpc.Server {
-	guard := func(err *error) {
+	recoverPanic := func(err *error) {
 		if p := recover(); p != nil {
 			s.Log.Error("call panicked", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 			*err = status.Error(codes.Internal, "failed")
 		}
 	}
-	g := grpc.NewServer(append(grpcfront.Bounds(maxMessage),
+	g := grpc.NewServer(append(grpcfront.Bounds(maxMessageBytes),
 		grpc.UnaryInterceptor(func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (res any, err error) {
-			defer guard(&err)
+			defer recoverPanic(&err)
 			return next(ctx, req)
 		}),
 		grpc.StreamInterceptor(func(srv any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) (err error) {
-			defer guard(&err)
+			defer recoverPanic(&err)
 			return next(srv, ss)
 		}))...)
 	pb.RegisterDecisionsServer(g, s)
 	return g
 }
 
-// codeOf is the status of a refusal.
-func codeOf(err error) codes.Code {
+// statusCode returns the code of the status for an error of the Coordinator.
+func statusCode(err error) codes.Code {
 	for _, x := range []struct {
 		is   error
 		code codes.Code
@@ -88,11 +85,11 @@
 	return codes.Internal
 }
 
-// refusal turns an error of the Desk into a status.
-func refusal(err error) error {
+// statusError converts an error of the Coordinator into a gRPC status with a retry delay where there is one.
+func statusError(err error) error {
 	var busy *grant.Busy
 	var no *Refused
-	code, after := codeOf(err), time.Duration(0)
+	code, after := statusCode(err), time.Duration(0)
 	switch {
 	case errors.As(err, &busy):
 		code, after = codes.ResourceExhausted, busy.After
@@ -108,7 +105,7 @@
 	return st.Err()
 }
 
-func callerOf(ctx context.Context) (string, error) {
+func callerName(ctx context.Context) (string, error) {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if v := md.Get(MetaCaller); len(v) == 1 && httpfront.ValidID(v[0]) {
 		return v[0], nil
@@ -119,11 +116,11 @@
 // Choose implements the service.
 func (s *Server) Choose(ctx context.Context, r *pb.ChooseRequest) (*pb.Choice, error) {
 	called := time.Now()
-	caller, err := callerOf(ctx)
+	caller, err := callerName(ctx)
 	if err != nil {
 		return nil, err
 	}
-	class, q, err := s.parse(ctx, r)
+	class, q, err := s.parseRequest(ctx, r)
 	if err != nil {
 		s.Log.Info("bad request", "caller", caller, "err", err)
 		return nil, status.Error(codes.InvalidArgument, err.Error())
@@ -133,7 +130,7 @@
 	if len(r.Body) > 0 {
 		q.Kept = s.Desk.core.Kept(func() []byte { return httpfront.Prompt(r.Body) })
 	}
-	q.Leased = true // a caller's renewals are what it is held for, see grant.Terms
+	q.Leased = true // state is held for as long as the caller renews; see grant.Config
 	path := r.Path
 	if path == "" {
 		path = httpfront.PathChat
@@ -143,12 +140,12 @@
 		Exchange: &httpfront.Exchange{Workers: s.Desk.workers, Method: http.MethodPost, URI: path, Head: head, Body: r.Body}}
 	g, to, err := s.Desk.Choose(ctx, a)
 	if err != nil {
-		return nil, refusal(err)
+		return nil, statusError(err)
 	}
 	switch g.State {
 	case grant.Offered, grant.TakenUp:
 	default:
-		return nil, refusal(fmt.Errorf("%w: the grant is %v", grant.ErrState, g.State))
+		return nil, statusError(fmt.Errorf("%w: the grant is %v", grant.ErrState, g.State))
 	}
 	stage := pb.Stage_STAGE_WRITE
 	if g.Read {
@@ -161,8 +158,8 @@
 		Within: durationpb.New(s.Desk.Within(g, called)), Watched: watched}, nil
 }
 
-// parse reads what a request tells of itself. The class comes from the request, or from the descriptions.
-func (s *Server) parse(ctx context.Context, r *pb.ChooseRequest) (int, decide.Request, error) {
+// parseRequest checks and converts a request. Its class comes from the request itself or from the API descriptions.
+func (s *Server) parseRequest(ctx context.Context, r *pb.ChooseRequest) (int, decide.Request, error) {
 	var q decide.Request
 	name := r.Class
 	if r.Method != "" || r.Path != "" {
@@ -200,7 +197,7 @@
 		left = min(left, time.Until(end))
 	}
 	hint := r.Estimate.AsDuration()
-	if left < 0 || left > maxWait || hint < 0 || hint > time.Hour {
+	if left < 0 || left > maxTimeout || hint < 0 || hint > time.Hour {
 		return 0, q, errors.New("first_token_within or estimate: out of range")
 	}
 	return class, decide.Request{Label: r.Request, Class: class, TimeLeft: left, Session: r.Session, Prefix: r.Prefix, Prompt: int(r.PromptTokens),
@@ -210,12 +207,12 @@
 // Renew implements the service.
 func (s *Server) Renew(ctx context.Context, r *pb.RenewRequest) (*pb.RenewReply, error) {
 	called := time.Now()
-	caller, err := callerOf(ctx)
+	caller, err := callerName(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if len(r.Grants)+len(r.TakenUp) > maxGrants {
-		return nil, status.Errorf(codes.InvalidArgument, "grants: %d, %d at most", len(r.Grants)+len(r.TakenUp), maxGrants)
+	if len(r.Grants)+len(r.TakenUp) > maxGrantsPerMessage {
+		return nil, status.Errorf(codes.InvalidArgument, "grants: %d, %d at most", len(r.Grants)+len(r.TakenUp), maxGrantsPerMessage)
 	}
 	reply := &pb.RenewReply{}
 	add := func(id uint64, g grant.Grant, err error) {
@@ -240,7 +237,7 @@
 
 // Report implements the service.
 func (s *Server) Report(ctx context.Context, r *pb.ReportRequest) (*pb.ReportReply, error) {
-	caller, err := callerOf(ctx)
+	caller, err := callerName(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -250,20 +247,20 @@
 	if r.Fate == pb.Fate_FATE_ENDED {
 		err = s.Desk.Ended(caller, r.Grant, decide.Served)
 	} else {
-		fate, result, ok := resultOf(r)
+		fate, result, ok := resultOfReport(r)
 		if !ok {
 			return nil, status.Errorf(codes.InvalidArgument, "fate: %v", r.Fate)
 		}
 		err = s.Desk.Report(caller, r.Grant, fate, result, r.Over)
 	}
 	if err != nil {
-		return nil, refusal(err)
+		return nil, statusError(err)
 	}
 	return &pb.ReportReply{}, nil
 }
 
-// resultOf turns a report into the Table's form and the core's.
-func resultOf(r *pb.ReportRequest) (grant.Fate, core.Result, bool) {
+// resultOfReport converts a report to the forms of the Table and of the core.
+func resultOfReport(r *pb.ReportRequest) (grant.Fate, core.Result, bool) {
 	switch r.Fate {
 	case pb.Fate_FATE_NOT_SENT:
 		if r.Errored {
@@ -290,13 +287,13 @@
 
 // Watch implements the service.
 func (s *Server) Watch(stream grpc.BidiStreamingServer[pb.Ping, pb.Watching]) error {
-	caller, err := callerOf(stream.Context())
+	caller, err := callerName(stream.Context())
 	if err != nil {
 		return err
 	}
 	w, err := s.Desk.Watch(caller)
 	if err != nil {
-		return refusal(err)
+		return statusError(err)
 	}
 	defer w.Close()
 	pings := make(chan uint64, 1)
@@ -308,7 +305,7 @@
 				ended <- err
 				return
 			}
-			select { // a caller that pings faster than it reads is answered for the latest
+			select { // a caller that pings faster than it reads gets only the latest ping answered
 			case pings <- p.Number:
 			default:
 				select {
@@ -322,7 +319,7 @@
 			}
 		}
 	}()
-	heard := durationpb.New(s.Desk.terms.Heard)
+	heard := durationpb.New(s.Desk.config.Heard)
 	if err := stream.Send(&pb.Watching{Seq: w.Seq, Heard: heard}); err != nil {
 		return err
 	}
@@ -356,8 +353,8 @@
 // Grants implements the service.
 func (s *Server) Grants(_ context.Context, r *pb.GrantsRequest) (*pb.GrantsReply, error) {
 	most := int(r.Most)
-	if most <= 0 || most > maxGrants {
-		most = maxGrants
+	if most <= 0 || most > maxGrantsPerMessage {
+		most = maxGrantsPerMessage
 	}
 	reply := &pb.GrantsReply{}
 	s.Desk.Table(func(now time.Duration, t *grant.Table) {
--- a/internal/decisions/watch.go
+++ b/internal/decisions/watch.go
@@ -1,62 +1,60 @@
 package decisions
 
-// This file owns a caller's stream of revocations as the Desk sees it. It must never tell a caller more than the Table
-// gives out, nor keep a stream that a newer one has replaced.
-
 import "rowanyard/internal/grant"
 
-// Watching is one stream of revocations.
+// Subscription is a caller's stream of revocations. Opening a newer one for the same caller ends it.
 type Watching struct {
-	Seq    uint64        // it begins after this
-	Wake   chan struct{} // there may be something to tell
-	desk   *Desk
-	caller string
-	number uint64
+	Seq         uint64        // the stream begins after this sequence number
+	Wake        chan struct{} // signals that Next may have something to return
+	coordinator *Desk
+	caller      string
+	streamID    uint64
 }
 
-// Watch opens a caller's stream; an older one of the same caller ends.
+// Watch opens a stream of revocations for a caller, replacing any older one.
 func (d *Desk) Watch(caller string) (*Watching, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	number, seq, err := d.table.Watch(d.now(), caller)
+	streamID, seq, err := d.table.Watch(d.now(), caller)
 	if err != nil {
 		return nil, err
 	}
-	if old := d.watchers[caller]; old != nil { // it wakes to find that it is over
+	if old := d.watchers[caller]; old != nil { // wake the older stream so that it notices its end
 		select {
 		case old <- struct{}{}:
 		default:
 		}
 	}
-	w := &Watching{Seq: seq, Wake: make(chan struct{}, 1), desk: d, caller: caller, number: number}
+	w := &Watching{Seq: seq, Wake: make(chan struct{}, 1), coordinator: d, caller: caller, streamID: streamID}
 	d.watchers[caller] = w.Wake
 	return w, nil
 }
 
-// Next takes what there is to tell, and the number that the stream has reached.
-func (w *Watching) Next() (told []grant.Revocation, seq uint64, ended bool) {
-	d := w.desk
+// Next returns the queued revocations and the sequence number that the stream has reached. ended reports that the stream
+// has been closed or replaced.
+func (w *Watching) Next() (revocations []grant.Revocation, seq uint64, ended bool) {
+	d := w.coordinator
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	told, seq, ended = w.desk.table.Next(w.caller, w.number)
-	if d.seen.Revoked != nil {
-		for _, r := range told {
-			d.seen.Revoked(d.now() - r.At)
+	revocations, seq, ended = w.coordinator.table.Next(w.caller, w.streamID)
+	if d.observer.Revoked != nil {
+		for _, r := range revocations {
+			d.observer.Revoked(d.now() - r.At)
 		}
 	}
-	return told, seq, ended
+	return revocations, seq, ended
 }
 
 // Close ends the stream.
 func (w *Watching) Close() {
-	d := w.desk
+	d := w.coordinator
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.table.Unwatch(d.now(), w.caller, w.number)
+	d.table.Unwatch(d.now(), w.caller, w.streamID)
 	if d.watchers[w.caller] == w.Wake {
 		delete(d.watchers, w.caller)
 	}
 	if d.table.Busy() {
-		d.tick()
+		d.scheduleAdvance()
 	}
 }
