--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -1,11 +1,11 @@
-// Package extproc is the external processor: proxies that speak Envoy's ext_proc v3 protocol call it for each request.
-// The processor has the prompt read, tells the proxy which writer to go to, and is told by the proxy how the writer's
-// answer begins and ends. Requests, attempts and outcomes are the same core's as those of the other fronts, and what a
-// proxy may act on is a grant of the same desk's as for other callers.
+// Package extproc implements Envoy's ext_proc v3 protocol: proxies call this external processor for each HTTP request. The
+// processor carries the read itself, tells the proxy which writer to send the request to, and learns from the proxy how
+// the writer's response starts and ends. Requests, attempts and outcomes are handled by the same core as those of the other
+// fronts, and what a proxy may act on is a grant from the same Coordinator as for other callers.
 //
-// It must never touch what passes through the proxy but for the headers that name the writer and the time that is
-// left, and never let the proxy carry a request's second write: a proxy can't take back the first. It is off unless an
-// operator's file turns it on.
+// Traffic passes through the proxy unmodified except for the headers that carry the chosen writer, the remaining time, and
+// the id and class of the request. A proxy never carries a second write of a request, because it cannot take back the
+// first. The processor is disabled unless the operator's file enables it.
 package extproc
 
 import (
@@ -42,77 +42,77 @@
 	"rowanyard/internal/httpfront"
 )
 
-// What the endpoint picker convention names.
+// Names from the endpoint picker convention.
 const (
-	// DestinationHeader is the header that tells a proxy where to go, unless the operator names another.
+	// DestinationHeader is the default name of the header that tells a proxy which endpoint to use.
 	DestinationHeader = "x-gateway-destination-endpoint"
-	// MetadataSpace is where the same is told as dynamic metadata.
+	// MetadataNamespace is the namespace of the dynamic metadata that carries the same endpoint.
 	MetadataSpace = "envoy.lb"
-	// ServedKey is the metadata, in the same space, with which a proxy says who has served.
+	// ServedEndpointKey is the metadata key, in the same namespace, under which a proxy reports the endpoint that served.
 	ServedKey = "x-gateway-destination-endpoint-served"
 )
 
 const (
-	maxBody    = 256 << 10
-	maxMessage = maxBody + 64<<10 // a buffered body and the heads
-	maxChunk   = 60 << 10         // of a body that is streamed back
-	charsToken = 4                // a token is about so many characters, where the client tells no length
-	headID     = "X-Request-Id"   // names the request where the client has not
+	maxBodyBytes    = 256 << 10
+	maxMessageBytes = maxBodyBytes + 64<<10 // a buffered body and the headers
+	maxChunkBytes   = 60 << 10              // per message of a body that is streamed back
+	charsPerToken   = 4                     // to estimate the prompt length where the client gives none
+	requestIDHeader = "X-Request-Id"        // gives the request's id where the client sends no X-Txn
 )
 
-// Server answers proxies.
+// Server implements the external processor service.
 type Server struct {
 	extprocv3.UnimplementedExternalProcessorServer
 	Core        *core.Core
 	Desk        *decisions.Desk
 	Workers     *httpfront.Workers
 	Classes     httpfront.Classes
-	Settings    func() *decide.Settings // those in force
-	Routes      *describe.Routes        // what the operator's descriptions say; nil: all requests are ours
-	Destination string                  // the header that names the writer
-	Override    bool                    // proxies let the processor change their processing mode
-	MaxOpen     int64                   // requests open at once
+	Settings    func() *decide.Settings // returns the settings in force
+	Routes      *describe.Routes        // operations of the operator's API descriptions; nil matches all requests
+	Destination string                  // name of the header that carries the writer's address
+	Override    bool                    // proxies allow the processor to change their processing mode
+	MaxOpen     int64                   // limit of concurrent requests
 	Log         *slog.Logger
 	open        atomic.Int64
 }
 
 // GRPC returns a gRPC server with the processor registered.
 func (s *Server) GRPC() *grpc.Server {
-	g := grpc.NewServer(grpcfront.Bounds(maxMessage)...)
+	g := grpc.NewServer(grpcfront.Bounds(maxMessageBytes)...)
 	extprocv3.RegisterExternalProcessorServer(g, s)
 	return g
 }
 
-// call is one HTTP request of a proxy.
+// call is the processing of one HTTP request of a proxy.
 type call struct {
 	*Server
 	sequence
-	stream extprocv3.ExternalProcessor_ProcessServer
-	in     chan *extprocv3.ProcessingRequest
-	caller string
-	route  describe.Route
-	ours   bool // a route of the descriptions
-	hold   bool // the head is answered once the body is whole
-	method string
-	uri    string
-	head   http.Header
-	body   []byte
-	id     string       // of the request, once it is at the desk
-	grant  grant.Grant  // the write that the proxy carries, if ID is set
-	over   <-chan error // how the request ends
-	begun  bool         // the answer streams
-	to     core.Worker  // where it goes
-	parts  []part       // what came and is not answered
+	stream      extprocv3.ExternalProcessor_ProcessServer
+	messages    chan *extprocv3.ProcessingRequest
+	caller      string
+	route       describe.Route
+	matched     bool // the API descriptions have a route for it
+	holdHeaders bool // the headers are answered only once the body is complete
+	method      string
+	uri         string
+	header      http.Header
+	body        []byte
+	id          string              // id of the request once the Coordinator has it
+	grant       grant.Grant         // the write that the proxy carries, if ID is set
+	outcome     <-chan error        // receives how the request ends
+	streaming   bool                // the response has started and not ended
+	worker      core.Worker         // the chosen writer
+	unanswered  []unansweredMessage // messages received and not yet answered
 }
 
-// part is a message of the request's that waits for its answer.
-type part struct {
+// unansweredMessage is a message of the request that waits for its answer.
+type unansweredMessage struct {
 	kind step
-	size int // of a part of the body
+	size int // bytes of a body chunk
 	last bool
 }
 
-// Process is the life of one HTTP request at a proxy, from its head to the end of its answer.
+// Process handles one HTTP request of a proxy, from its headers to the end of its response.
 func (s *Server) Process(stream extprocv3.ExternalProcessor_ProcessServer) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -121,36 +121,36 @@
 		}
 	}()
 	defer s.open.Add(-1)
-	c := &call{Server: s, stream: stream, in: make(chan *extprocv3.ProcessingRequest), caller: callerOf(stream.Context()),
-		sequence: sequence{most: maxBody, modes: modes{request: modev3.ProcessingMode_BUFFERED, answer: modev3.ProcessingMode_STREAMED}}}
-	if s.open.Add(1) > s.MaxOpen { // guards the memory limit; the client is told when to come back
-		return c.turnBack(&decisions.Refused{After: s.Core.Busy()})
+	c := &call{Server: s, stream: stream, messages: make(chan *extprocv3.ProcessingRequest), caller: callerName(stream.Context()),
+		sequence: sequence{maxBody: maxBodyBytes, modes: modes{requestMode: modev3.ProcessingMode_BUFFERED, responseMode: modev3.ProcessingMode_STREAMED}}}
+	if s.open.Add(1) > s.MaxOpen { // bounds the memory; the client is told when to retry
+		return c.sendFinal(&decisions.Refused{After: s.Core.Busy()})
 	}
 	ctx, stop := context.WithCancel(stream.Context())
 	defer stop()
 	go c.receive(ctx)
-	defer c.leave() // however the proxy leaves
+	defer c.release() // however the stream ends
 	for {
 		select {
-		case msg, open := <-c.in:
+		case msg, open := <-c.messages:
 			if !open {
 				return nil
 			}
-			done, err := c.take(ctx, msg)
+			done, err := c.handle(ctx, msg)
 			if done || err != nil {
 				return err
 			}
-		case err := <-c.over: // while the proxy waits for the writer: it can only be a refusal or a failure
-			c.over = nil
+		case err := <-c.outcome: // while the proxy waits for the writer: only a refusal or a failure can come
+			c.outcome = nil
 			if err != nil {
-				return c.turnBack(err)
+				return c.sendFinal(err)
 			}
 		}
 	}
 }
 
-// callerOf names a proxy: as it names itself, or by its host.
-func callerOf(ctx context.Context) string {
+// callerName returns the name that a proxy sends, or its host.
+func callerName(ctx context.Context) string {
 	if md, ok := metadata.FromIncomingContext(ctx); ok {
 		if v := md.Get(decisions.MetaCaller); len(v) == 1 && httpfront.ValidID(v[0]) {
 			return v[0]
@@ -164,138 +164,138 @@
 	return "proxy"
 }
 
-// receive reads what the proxy says.
+// receive forwards the proxy's messages to c.messages until the stream ends.
 func (c *call) receive(ctx context.Context) {
-	defer close(c.in)
+	defer close(c.messages)
 	for {
 		msg, err := c.stream.Recv()
 		if err != nil {
 			return
 		}
 		select {
-		case c.in <- msg:
+		case c.messages <- msg:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// leave lets go of what the request holds: its stream has ended.
-func (c *call) leave() {
+// release ends the request at the Coordinator when the proxy's stream has ended, so that nothing stays held for it.
+func (c *call) release() {
 	switch {
-	case c.begun:
+	case c.streaming:
 		c.Desk.Ended(c.caller, c.grant.ID, decide.Cancelled)
 	case c.id != "":
 		c.Desk.Leave(c.id)
 	}
 }
 
-// take answers one message of the proxy. done says that the processor has no more to say.
-func (c *call) take(ctx context.Context, msg *extprocv3.ProcessingRequest) (done bool, err error) {
-	what, err := c.sequence.take(msg)
+// handle answers one message of the proxy. done reports that the processor has nothing more to say.
+func (c *call) handle(ctx context.Context, msg *extprocv3.ProcessingRequest) (done bool, err error) {
+	kind, err := c.sequence.handle(msg)
 	switch {
-	case errors.Is(err, errTooLong), errors.Is(err, errPartial):
-		return true, c.immediate(http.StatusRequestEntityTooLarge, nil, err.Error())
-	case errors.Is(err, errKind):
+	case errors.Is(err, errBodyTooLong), errors.Is(err, errBodyTruncated):
+		return true, c.sendImmediate(http.StatusRequestEntityTooLarge, nil, err.Error())
+	case errors.Is(err, errUnknownMessage):
 		return true, status.Error(codes.Unimplemented, err.Error())
 	case err != nil:
 		c.Log.Info("bad message", "caller", c.caller, "err", err)
 		return true, status.Error(codes.FailedPrecondition, err.Error())
 	}
-	switch what {
-	case stepHead:
-		return c.takeHead(msg.GetRequestHeaders())
-	case stepBody, stepTrailers:
-		if !c.ours {
-			return false, c.pass(what, msg.GetRequestBody(), c.request)
+	switch kind {
+	case stepRequestHeaders:
+		return c.handleRequestHeaders(msg.GetRequestHeaders())
+	case stepRequestBody, stepRequestTrailers:
+		if !c.matched {
+			return false, c.passThrough(kind, msg.GetRequestBody(), c.requestMode)
 		}
 		body := msg.GetRequestBody()
 		c.body = append(c.body, body.GetBody()...)
-		c.parts = append(c.parts, part{what, len(body.GetBody()), body.GetEndOfStream()})
-		if c.grant.ID != 0 || !c.whole { // trailers after a body that was whole, or more is to come
-			return false, c.answerParts()
+		c.unanswered = append(c.unanswered, unansweredMessage{kind, len(body.GetBody()), body.GetEndOfStream()})
+		if c.grant.ID != 0 || !c.requestComplete { // trailers after a complete body, or more is to come
+			return false, c.answerPending()
 		}
-		return c.begin(ctx)
-	case stepAnswer:
+		return c.start(ctx)
+	case stepResponseHeaders:
 		if c.grant.ID != 0 {
-			if done, err := c.began(msg); done || err != nil {
+			if done, err := c.handleResponseHeaders(msg); done || err != nil {
 				return done, err
 			}
-		} else if c.ours {
-			return true, status.Error(codes.FailedPrecondition, errHeads.Error())
+		} else if c.matched {
+			return true, status.Error(codes.FailedPrecondition, errNoRequestBody.Error())
 		}
-		c.ends()
-		return false, c.say(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseHeaders{
+		c.reportEnd()
+		return false, c.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ResponseHeaders{
 			ResponseHeaders: &extprocv3.HeadersResponse{Response: &extprocv3.CommonResponse{}}}})
 	}
-	c.ends()
-	return false, c.pass(what, msg.GetResponseBody(), c.answer)
+	c.reportEnd()
+	return false, c.passThrough(kind, msg.GetResponseBody(), c.responseMode)
 }
 
-// ends tells the desk once the answer has come to its end.
-func (c *call) ends() {
-	if c.begun && c.ended {
-		c.begun, c.id = false, ""
+// reportEnd tells the Coordinator that the response has ended, once it has.
+func (c *call) reportEnd() {
+	if c.streaming && c.responseComplete {
+		c.streaming, c.id = false, ""
 		c.Desk.Ended(c.caller, c.grant.ID, decide.Served)
 	}
 }
 
-// pass lets a message pass as it is.
-func (c *call) pass(what step, body *extprocv3.HttpBody, mode modev3.ProcessingMode_BodySendMode) error {
+// passThrough lets a message pass unchanged.
+func (c *call) passThrough(kind step, body *extprocv3.HttpBody, mode modev3.ProcessingMode_BodySendMode) error {
 	r := &extprocv3.ProcessingResponse{}
 	text := &extprocv3.BodyResponse{Response: &extprocv3.CommonResponse{}}
 	if mode == modev3.ProcessingMode_FULL_DUPLEX_STREAMED && body != nil {
-		text.Response = &extprocv3.CommonResponse{BodyMutation: streamed(body.Body, body.EndOfStream)}
+		text.Response = &extprocv3.CommonResponse{BodyMutation: streamedMutation(body.Body, body.EndOfStream)}
 	}
-	switch what {
-	case stepBody:
+	switch kind {
+	case stepRequestBody:
 		r.Response = &extprocv3.ProcessingResponse_RequestBody{RequestBody: text}
-	case stepAnswerBody:
+	case stepResponseBody:
 		r.Response = &extprocv3.ProcessingResponse_ResponseBody{ResponseBody: text}
-	case stepTrailers:
+	case stepRequestTrailers:
 		r.Response = &extprocv3.ProcessingResponse_RequestTrailers{RequestTrailers: &extprocv3.TrailersResponse{}}
 	default:
 		r.Response = &extprocv3.ProcessingResponse_ResponseTrailers{ResponseTrailers: &extprocv3.TrailersResponse{}}
 	}
-	return c.say(r)
+	return c.send(r)
 }
 
-func streamed(body []byte, end bool) *extprocv3.BodyMutation {
+func streamedMutation(body []byte, end bool) *extprocv3.BodyMutation {
 	return &extprocv3.BodyMutation{Mutation: &extprocv3.BodyMutation_StreamedResponse{
 		StreamedResponse: &extprocv3.StreamedBodyResponse{Body: body, EndOfStream: end}}}
 }
 
-// takeHead takes a request's head and finds its route.
-func (c *call) takeHead(h *extprocv3.HttpHeaders) (bool, error) {
-	c.readHead(h)
+// handleRequestHeaders takes a request's headers, finds its route and decides how the body is obtained.
+func (c *call) handleRequestHeaders(h *extprocv3.HttpHeaders) (bool, error) {
+	c.parseRequestHeaders(h)
 	r := &extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestHeaders{
 		RequestHeaders: &extprocv3.HeadersResponse{Response: &extprocv3.CommonResponse{}}}}
-	if !c.ours {
-		return false, c.say(r)
+	if !c.matched {
+		return false, c.send(r)
 	}
-	if c.whole {
-		return true, c.immediate(http.StatusBadRequest, nil, "body: missing")
+	if c.requestComplete {
+		return true, c.sendImmediate(http.StatusBadRequest, nil, "body: missing")
 	}
-	hold, override, err := c.asks(c.Override)
+	holdHeaders, override, err := c.headerAction(c.Override)
 	if err != nil {
 		c.Log.Warn("processing mode", "caller", c.caller, "err", err)
-		return true, c.immediate(http.StatusInternalServerError, nil, err.Error())
+		return true, c.sendImmediate(http.StatusInternalServerError, nil, err.Error())
 	}
-	if c.hold = hold; hold {
-		c.parts = append(c.parts, part{kind: stepHead})
+	if c.holdHeaders = holdHeaders; holdHeaders {
+		c.unanswered = append(c.unanswered, unansweredMessage{kind: stepRequestHeaders})
 		return false, nil
 	}
 	if override {
-		c.request = modev3.ProcessingMode_BUFFERED
+		c.requestMode = modev3.ProcessingMode_BUFFERED
 		r.ModeOverride = &modev3.ProcessingMode{RequestHeaderMode: modev3.ProcessingMode_SEND, ResponseHeaderMode: modev3.ProcessingMode_SEND,
-			RequestBodyMode: modev3.ProcessingMode_BUFFERED, ResponseBodyMode: c.answer}
+			RequestBodyMode: modev3.ProcessingMode_BUFFERED, ResponseBodyMode: c.responseMode}
 	}
-	return false, c.say(r)
+	return false, c.send(r)
 }
 
-// readHead reads a request's head.
-func (c *call) readHead(h *extprocv3.HttpHeaders) {
-	c.head = http.Header{}
+// parseRequestHeaders reads a request's headers.
+func (c *call) parseRequestHeaders(h *extprocv3.HttpHeaders) {
+	c.header = http.Header{}
 	for _, v := range h.GetHeaders().GetHeaders() {
 		value := v.Value
 		if len(v.RawValue) > 0 {
@@ -308,66 +308,65 @@
 			c.uri = value
 		default:
 			if !strings.HasPrefix(v.Key, ":") {
-				c.head.Add(v.Key, value)
+				c.header.Add(v.Key, value)
 			}
 		}
 	}
 	path, _, _ := strings.Cut(c.uri, "?")
-	c.route, c.ours = c.Routes.Find(c.method, path)
+	c.route, c.matched = c.Routes.Find(c.method, path)
 }
 
-// begin reads the request, hands it to the desk and tells the proxy what the core says first: where to go, or the
-// final answer.
-func (c *call) begin(ctx context.Context) (bool, error) {
+// start parses the request, asks the Coordinator for a writer and sends the proxy the destination or the final answer.
+func (c *call) start(ctx context.Context) (bool, error) {
 	called := time.Now()
 	if len(c.body) == 0 {
-		return true, c.immediate(http.StatusBadRequest, nil, "body: missing")
+		return true, c.sendImmediate(http.StatusBadRequest, nil, "body: missing")
 	}
-	c.fill()
-	q, code, err := c.Classes.Parse(c.head, c.body)
+	c.setDefaults()
+	q, code, err := c.Classes.Parse(c.header, c.body)
 	if err != nil {
 		c.Log.Info("bad request", "status", code, "err", err)
-		return true, c.immediate(code, nil, err.Error())
+		return true, c.sendImmediate(code, nil, err.Error())
 	}
 	q.Kept = c.Core.Kept(func() []byte { return httpfront.Prompt(c.body) })
-	id := c.head.Get("X-Txn")
+	id := c.header.Get("X-Txn")
 	q.Label = id
-	g, to, err := c.Desk.Choose(ctx, decisions.Ask{Called: called, Query: q, ReadHere: true, Attached: true, OneWrite: true,
+	g, worker, err := c.Desk.Choose(ctx, decisions.Ask{Called: called, Query: q, ReadHere: true, Attached: true, OneWrite: true,
 		Ask:      grant.Ask{Caller: c.caller, Request: id, Class: q.Class, Once: c.Settings().Classes[q.Class].Effect == decide.Unsafe},
 		Fresh:    true,
-		Exchange: &httpfront.Exchange{Workers: c.Workers, Method: c.method, URI: c.uri, Head: c.head, Body: c.body}})
+		Exchange: &httpfront.Exchange{Workers: c.Workers, Method: c.method, URI: c.uri, Head: c.header, Body: c.body}})
 	if err != nil {
-		return true, c.turnBack(err)
+		return true, c.sendFinal(err)
 	}
-	c.id, c.grant, c.to, c.over = id, g, to, c.Desk.Over(id)
-	if _, err := c.Desk.TakeUp(c.caller, g.ID); err != nil { // it was revoked since
-		return true, c.turnBack(&decisions.Refused{After: c.Core.Busy()})
+	c.id, c.grant, c.worker, c.outcome = id, g, worker, c.Desk.Over(id)
+	if _, err := c.Desk.TakeUp(c.caller, g.ID); err != nil { // it has been revoked in the meantime
+		return true, c.sendFinal(&decisions.Refused{After: c.Core.Busy()})
 	}
-	return false, c.answerParts()
+	return false, c.answerPending()
 }
 
-// answerParts answers what has come of the request, as far as it can be: what names the writer goes out with the first
-// answer that can carry it.
-func (c *call) answerParts() error {
-	for len(c.parts) > 0 && (c.grant.ID != 0 || !c.hold) {
-		p := c.parts[0]
-		c.parts = c.parts[1:]
+// answerPending answers the messages received so far, as far as possible. The first answer that can carry the destination
+// carries it.
+func (c *call) answerPending() error {
+	for len(c.unanswered) > 0 && (c.grant.ID != 0 || !c.holdHeaders) {
+		p := c.unanswered[0]
+		c.unanswered = c.unanswered[1:]
 		common := &extprocv3.CommonResponse{}
-		carries := c.grant.ID != 0 && (p.kind == stepHead || !c.hold && p.kind == stepBody)
+		carries := c.grant.ID != 0 && (p.kind == stepRequestHeaders || !c.holdHeaders && p.kind == stepRequestBody)
 		if carries {
-			common.HeaderMutation, common.ClearRouteCache = mutation(c.destination()), true
+			common.HeaderMutation, common.ClearRouteCache = headerMutation(c.destinationHeaders()), true
 		}
 		r := &extprocv3.ProcessingResponse{}
 		switch p.kind {
-		case stepHead:
+		case stepRequestHeaders:
 			r.Response = &extprocv3.ProcessingResponse_RequestHeaders{RequestHeaders: &extprocv3.HeadersResponse{Response: common}}
-		case stepTrailers:
+		case stepRequestTrailers:
 			r.Response = &extprocv3.ProcessingResponse_RequestTrailers{RequestTrailers: &extprocv3.TrailersResponse{}}
-		case stepBody:
+		case stepRequestBody:
 			text := c.body[:min(p.size, len(c.body))]
 			c.body = c.body[len(text):]
-			if c.request == modev3.ProcessingMode_FULL_DUPLEX_STREAMED {
-				if err := c.sendBack(text, p.last); err != nil {
+			if c.requestMode == modev3.ProcessingMode_FULL_DUPLEX_STREAMED {
+				if err := c.streamBody(text, p.last); err != nil {
 					return err
 				}
 				continue
@@ -377,64 +376,65 @@
 		if carries {
 			r.DynamicMetadata = c.metadata()
 		}
-		if err := c.say(r); err != nil {
+		if err := c.send(r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// sendBack streams a part of the body on.
-func (c *call) sendBack(text []byte, last bool) error {
+// streamBody streams a part of the body back to the proxy, in chunks.
+func (c *call) streamBody(text []byte, last bool) error {
 	for first := true; first || len(text) > 0; first = false {
-		some := text[:min(maxChunk, len(text))]
-		text = text[len(some):]
-		if err := c.say(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{RequestBody: &extprocv3.BodyResponse{
-			Response: &extprocv3.CommonResponse{BodyMutation: streamed(some, last && len(text) == 0)}}}}); err != nil {
+		chunk := text[:min(maxChunkBytes, len(text))]
+		text = text[len(chunk):]
+		if err := c.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_RequestBody{RequestBody: &extprocv3.BodyResponse{
+			Response: &extprocv3.CommonResponse{BodyMutation: streamedMutation(chunk, last && len(text) == 0)}}}}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// destination is the headers that tell the proxy, and the writer, of the choice.
-func (c *call) destination() map[string]string {
+// destinationHeaders returns the headers that tell the proxy and the writer of the choice.
+func (c *call) destinationHeaders() map[string]string {
 	wait := max(1, c.grant.Ends-c.grant.Offered)
-	set := map[string]string{c.Destination: c.to.Addr, "x-remaining-ms": strconv.FormatInt(max(1, wait.Milliseconds()), 10)}
+	headers := map[string]string{c.Destination: c.worker.Addr, "x-remaining-ms": strconv.FormatInt(max(1, wait.Milliseconds()), 10)}
 	for _, name := range []string{"X-Txn", "X-Lane"} {
-		set[strings.ToLower(name)] = c.head.Get(name)
+		headers[strings.ToLower(name)] = c.header.Get(name)
 	}
-	return set
+	return headers
 }
 
-// metadata tells the same where proxies pick endpoints by it, and the class.
+// metadata returns the destination and the class as dynamic metadata, for proxies that select endpoints by it.
 func (c *call) metadata() *structpb.Struct {
 	return &structpb.Struct{Fields: map[string]*structpb.Value{MetadataSpace: structpb.NewStructValue(&structpb.Struct{
-		Fields: map[string]*structpb.Value{c.Destination: structpb.NewStringValue(c.to.Addr),
-			"x-rowanyard-class": structpb.NewStringValue(c.head.Get("X-Lane"))}})}}
+		Fields: map[string]*structpb.Value{c.Destination: structpb.NewStringValue(c.worker.Addr),
+			"x-rowanyard-class": structpb.NewStringValue(c.header.Get("X-Lane"))}})}}
 }
 
-// fill adds what the core needs and a client of another API may not tell: the class comes from the route, the rest is
-// what is usual.
-func (c *call) fill() {
+// setDefaults adds headers that the core needs and a client of another API may not send: the class comes from the route,
+// the others get defaults.
+func (c *call) setDefaults() {
 	def := func(name, value string) {
-		if c.head.Get(name) == "" {
-			c.head.Set(name, value)
+		if c.header.Get(name) == "" {
+			c.header.Set(name, value)
 		}
 	}
 	if c.route.Class != "" {
 		def("X-Lane", c.route.Class)
 	}
-	def("X-Txn", c.head.Get(headID))
-	def("X-Labels", fmt.Sprintf("prompt_len=%d", len(c.body)/charsToken))
-	if class, ok := c.Classes[c.head.Get("X-Lane")]; ok && class < len(c.Settings().Classes) {
+	def("X-Txn", c.header.Get(requestIDHeader))
+	def("X-Labels", fmt.Sprintf("prompt_len=%d", len(c.body)/charsPerToken))
+	if class, ok := c.Classes[c.header.Get("X-Lane")]; ok && class < len(c.Settings().Classes) {
 		def("X-Remaining-Ms", strconv.FormatInt(c.Settings().Classes[class].Deadline.Milliseconds(), 10))
 	}
 }
 
-// began takes the head of the writer's answer and, where the core does not let it pass, answers in its place.
-func (c *call) began(msg *extprocv3.ProcessingRequest) (bool, error) {
-	code, away := 0, false
+// handleResponseHeaders takes the headers of the writer's response. If the core does not accept them, it sends the final
+// answer in their place.
+func (c *call) handleResponseHeaders(msg *extprocv3.ProcessingRequest) (bool, error) {
+	code, turnedAway := 0, false
 	for _, v := range msg.GetResponseHeaders().GetHeaders().GetHeaders() {
 		value := v.Value
 		if len(v.RawValue) > 0 {
@@ -444,14 +444,14 @@
 		case ":status":
 			code, _ = strconv.Atoi(value)
 		case "x-turned-away":
-			away = value != ""
+			turnedAway = value != ""
 		}
 	}
-	result, fate := httpfront.Judge(code, away), grant.Begun
+	result, fate := httpfront.Judge(code, turnedAway), grant.Begun
 	space := msg.GetMetadataContext().GetFilterMetadata()[MetadataSpace]
-	if served := space.GetFields()[ServedKey].GetStringValue(); served != "" && served != c.to.Addr {
-		// The proxy has gone elsewhere: what ran there, and whether something runs here, nobody can say.
-		c.Log.Error("another endpoint has served", "caller", c.caller, "granted", c.to.Addr, "served", served)
+	if served := space.GetFields()[ServedKey].GetStringValue(); served != "" && served != c.worker.Addr {
+		// The proxy has used another endpoint, so it is unknown what ran there and whether anything runs at the granted one.
+		c.Log.Error("another endpoint has served", "caller", c.caller, "granted", c.worker.Addr, "served", served)
 		result = core.Result{Status: decide.Reset, Err: errors.New("another endpoint has served")}
 	}
 	switch result.Status {
@@ -461,54 +461,54 @@
 	default:
 		fate = grant.Ran
 	}
-	over := c.over
-	if over == nil {
-		return true, c.turnBack(decisions.ErrFailed)
+	outcome := c.outcome
+	if outcome == nil {
+		return true, c.sendFinal(decisions.ErrFailed)
 	}
-	c.over = nil
+	c.outcome = nil
 	if err := c.Desk.Report(c.caller, c.grant.ID, fate, result, false); err != nil {
-		c.Log.Info("the answer came too late", "caller", c.caller, "err", err)
+		c.Log.Info("report of the answer was rejected", "caller", c.caller, "err", err)
 	}
-	if err := <-over; err != nil {
-		return true, c.turnBack(err)
+	if err := <-outcome; err != nil {
+		return true, c.sendFinal(err)
 	}
-	c.begun = true
+	c.streaming = true
 	return false, nil
 }
 
-// turnBack gives the final answer in place of a writer's.
-func (c *call) turnBack(err error) error {
-	var no *decisions.Refused
+// sendFinal sends the final answer in place of a writer's response.
+func (c *call) sendFinal(err error) error {
+	var refused *decisions.Refused
 	var busy *grant.Busy
 	after := time.Duration(0)
 	switch {
-	case errors.As(err, &no):
-		after = no.After
+	case errors.As(err, &refused):
+		after = refused.After
 	case errors.As(err, &busy):
 		after = busy.After
 	case errors.Is(err, decisions.ErrGone):
 		return nil
 	case errors.Is(err, grant.ErrOther), errors.Is(err, grant.ErrMayHaveRun), errors.Is(err, grant.ErrPending), errors.Is(err, grant.ErrClass):
-		return c.immediate(http.StatusConflict, nil, "X-Txn: "+err.Error())
+		return c.sendImmediate(http.StatusConflict, nil, "X-Txn: "+err.Error())
 	case errors.Is(err, grant.ErrID):
-		return c.immediate(http.StatusBadRequest, nil, "X-Txn: "+err.Error())
+		return c.sendImmediate(http.StatusBadRequest, nil, "X-Txn: "+err.Error())
 	default:
-		return c.immediate(http.StatusBadGateway, nil, "failed, it may have run")
+		return c.sendImmediate(http.StatusBadGateway, nil, "failed, it may have run")
 	}
-	set := map[string]string{}
+	headers := map[string]string{}
 	if after > 0 {
-		set["retry-after"] = strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
+		headers["retry-after"] = strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
 	}
-	return c.immediate(http.StatusServiceUnavailable, set, "refused, nothing has run")
+	return c.sendImmediate(http.StatusServiceUnavailable, headers, "refused, nothing has run")
 }
 
-func (c *call) immediate(code int, set map[string]string, text string) error {
-	return c.say(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ImmediateResponse{
+func (c *call) sendImmediate(code int, headers map[string]string, text string) error {
+	return c.send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ImmediateResponse{
 		ImmediateResponse: &extprocv3.ImmediateResponse{Status: &typev3.HttpStatus{Code: typev3.StatusCode(code)},
-			Headers: mutation(set), Body: []byte(text), Details: "rowanyard"}}})
+			Headers: headerMutation(headers), Body: []byte(text), Details: "rowanyard"}}})
 }
 
-func (c *call) say(r *extprocv3.ProcessingResponse) error {
+func (c *call) send(r *extprocv3.ProcessingResponse) error {
 	err := c.stream.Send(r)
 	if err == io.EOF {
 		return nil
@@ -516,9 +516,9 @@
 	return err
 }
 
-func mutation(set map[string]string) *extprocv3.HeaderMutation {
+func headerMutation(headers map[string]string) *extprocv3.HeaderMutation {
 	m := &extprocv3.HeaderMutation{}
-	for k, v := range set {
+	for k, v := range headers {
 		if v != "" {
 			m.SetHeaders = append(m.SetHeaders, &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: k, RawValue: []byte(v)},
 				AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD})
--- a/internal/extproc/sequence.go
+++ b/internal/extproc/sequence.go
@@ -1,8 +1,5 @@
 package extproc
 
-// This file owns the order of a proxy's messages: which may come when, in each of ext_proc's processing modes, and how
-// much of a body. It must never answer a message nor look at what a request says: it does no I/O and knows no clock.
-
 import (
 	"errors"
 	"fmt"
@@ -11,55 +8,55 @@
 	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 )
 
-// step is what a message is, in its place.
+// step is the kind of a message in the sequence of a request. Steps are ordered.
 type step int
 
 const (
 	stepNone step = iota
-	stepHead
-	stepBody     // a part of the request's body, its last one where sequence.whole says so
-	stepTrailers // of the request
-	stepAnswer   // the head of the answer
-	stepAnswerBody
-	stepAnswerTrailers
+	stepRequestHeaders
+	stepRequestBody     // a chunk of the request's body; the last one if sequence.requestComplete is set
+	stepRequestTrailers // trailers of the request
+	stepResponseHeaders // headers of the response
+	stepResponseBody
+	stepResponseTrailers
 )
 
-// Why a message is refused.
+// Reasons for rejecting a message.
 var (
-	errObserves = errors.New("observability_mode: what only observes can't be told where to go")
-	errOrder    = errors.New("a message out of order")
-	errKind     = errors.New("a message of a kind that is not known")
-	errTooLong  = errors.New("the body is too long")
-	errPartial  = errors.New("the proxy has cut the body off")
-	errHeads    = errors.New("request_body_mode: the prompt is needed to have it read, and the mode can't be overridden")
-	errEarly    = errors.New("request_body_mode STREAMED: the head goes out before the prompt has come, unless " +
+	errObservability  = errors.New("observability_mode: what only observes can't be told where to go")
+	errOrder          = errors.New("a message out of order")
+	errUnknownMessage = errors.New("a message of a kind that is not known")
+	errBodyTooLong    = errors.New("the body is too long")
+	errBodyTruncated  = errors.New("the proxy has cut the body off")
+	errNoRequestBody  = errors.New("request_body_mode: the prompt is needed to have it read, and the mode can't be overridden")
+	errHeadersFirst   = errors.New("request_body_mode STREAMED: the head goes out before the prompt has come, unless " +
 		"send_body_without_waiting_for_header_response is set or the mode can be overridden")
-	errMode = errors.New("a processing mode that is not known")
+	errUnknownMode = errors.New("a processing mode that is not known")
 )
 
-// modes is how a proxy sends bodies.
+// modes describes how a proxy sends bodies.
 type modes struct {
-	request, answer modev3.ProcessingMode_BodySendMode
-	early           bool // the body comes before the head is answered
+	requestMode, responseMode modev3.ProcessingMode_BodySendMode
+	earlyBody                 bool // the body is sent without waiting for the answer to the headers
 }
 
-// asks says how the head has to be answered so that the prompt comes before the request goes on: at once or held
-// back until the body is whole, or with another mode.
-func (m modes) asks(mayOverride bool) (hold, override bool, err error) {
-	switch m.request {
+// headerAction returns how to answer the request's headers so that the body arrives before the request is forwarded: at
+// once, only after the whole body (hold), or with a change of the processing mode (override).
+func (m modes) headerAction(mayOverride bool) (hold, override bool, err error) {
+	switch m.requestMode {
 	case modev3.ProcessingMode_BUFFERED, modev3.ProcessingMode_BUFFERED_PARTIAL:
 		return false, false, nil
 	case modev3.ProcessingMode_FULL_DUPLEX_STREAMED:
 		return true, false, nil
 	case modev3.ProcessingMode_STREAMED:
-		if m.early {
+		if m.earlyBody {
 			return true, false, nil
 		}
-		err = errEarly
+		err = errHeadersFirst
 	case modev3.ProcessingMode_NONE:
-		err = errHeads
+		err = errNoRequestBody
 	default:
-		return false, false, fmt.Errorf("%w: %v", errMode, m.request)
+		return false, false, fmt.Errorf("%w: %v", errUnknownMode, m.requestMode)
 	}
 	if mayOverride {
 		return false, true, nil
@@ -67,24 +64,25 @@
 	return false, false, err
 }
 
-// sequence follows the messages of one request.
+// sequence checks the order of a proxy's messages for one request in each of ext_proc's processing modes, and the size of
+// the request's body. It does no I/O, sends no answers and reads no clock.
 type sequence struct {
 	modes
-	most    int // bytes of a request's body
-	last    step
-	whole   bool // the request's body has come whole
-	ended   bool // the answer has come to its end
-	size    int
-	chunks  int
-	started bool
+	maxBody          int // limit of the request's body in bytes
+	lastStep         step
+	requestComplete  bool // the request's body is complete
+	responseComplete bool // the response is complete
+	bodyBytes        int
+	chunks           int
+	started          bool
 }
 
-// take says what a message is, or why it can't be in its place.
-func (q *sequence) take(msg *extprocv3.ProcessingRequest) (step, error) {
+// handle returns the step of a message, or an error if the message is not allowed at this point.
+func (q *sequence) handle(msg *extprocv3.ProcessingRequest) (step, error) {
 	if msg.GetObservabilityMode() {
-		return stepNone, errObserves
+		return stepNone, errObservability
 	}
-	if c := msg.GetProtocolConfig(); c != nil && !q.started { // it comes with the first message
+	if c := msg.GetProtocolConfig(); c != nil && !q.started { // sent with the first message
 		q.modes = modes{c.RequestBodyMode, c.ResponseBodyMode, c.SendBodyWithoutWaitingForHeaderResponse}
 	}
 	next := stepNone
@@ -93,56 +91,56 @@
 		if q.started {
 			return stepNone, fmt.Errorf("%w: a second head", errOrder)
 		}
-		next = stepHead
-		q.whole = m.RequestHeaders.GetEndOfStream()
+		next = stepRequestHeaders
+		q.requestComplete = m.RequestHeaders.GetEndOfStream()
 	case *extprocv3.ProcessingRequest_RequestBody:
-		if q.last != stepHead && q.last != stepBody || q.whole {
+		if q.lastStep != stepRequestHeaders && q.lastStep != stepRequestBody || q.requestComplete {
 			return stepNone, fmt.Errorf("%w: a part of the request's body", errOrder)
 		}
-		if q.size += len(m.RequestBody.GetBody()); q.size > q.most {
-			return stepNone, errTooLong
+		if q.bodyBytes += len(m.RequestBody.GetBody()); q.bodyBytes > q.maxBody {
+			return stepNone, errBodyTooLong
 		}
 		q.chunks++
-		next = stepBody
-		q.whole = m.RequestBody.GetEndOfStream()
-		switch q.request {
-		case modev3.ProcessingMode_BUFFERED: // the only one; trailers may follow
-			q.whole = true
+		next = stepRequestBody
+		q.requestComplete = m.RequestBody.GetEndOfStream()
+		switch q.requestMode {
+		case modev3.ProcessingMode_BUFFERED: // there is a single chunk; trailers may follow
+			q.requestComplete = true
 		case modev3.ProcessingMode_BUFFERED_PARTIAL:
-			if !q.whole {
-				return stepNone, errPartial
+			if !q.requestComplete {
+				return stepNone, errBodyTruncated
 			}
 		}
 	case *extprocv3.ProcessingRequest_RequestTrailers:
-		if q.last != stepHead && q.last != stepBody {
+		if q.lastStep != stepRequestHeaders && q.lastStep != stepRequestBody {
 			return stepNone, fmt.Errorf("%w: the request's trailers", errOrder)
 		}
-		next = stepTrailers
-		q.whole = true
+		next = stepRequestTrailers
+		q.requestComplete = true
 	case *extprocv3.ProcessingRequest_ResponseHeaders:
-		if !q.started || q.last >= stepAnswer {
+		if !q.started || q.lastStep >= stepResponseHeaders {
 			return stepNone, fmt.Errorf("%w: the answer's head", errOrder)
 		}
-		next = stepAnswer
-		q.ended = m.ResponseHeaders.GetEndOfStream()
+		next = stepResponseHeaders
+		q.responseComplete = m.ResponseHeaders.GetEndOfStream()
 	case *extprocv3.ProcessingRequest_ResponseBody:
-		if q.last != stepAnswer && q.last != stepAnswerBody || q.ended {
+		if q.lastStep != stepResponseHeaders && q.lastStep != stepResponseBody || q.responseComplete {
 			return stepNone, fmt.Errorf("%w: a part of the answer", errOrder)
 		}
-		next = stepAnswerBody
-		q.ended = m.ResponseBody.GetEndOfStream()
+		next = stepResponseBody
+		q.responseComplete = m.ResponseBody.GetEndOfStream()
 	case *extprocv3.ProcessingRequest_ResponseTrailers:
-		if q.last != stepAnswer && q.last != stepAnswerBody || q.ended {
+		if q.lastStep != stepResponseHeaders && q.lastStep != stepResponseBody || q.responseComplete {
 			return stepNone, fmt.Errorf("%w: the answer's trailers", errOrder)
 		}
-		next = stepAnswerTrailers
-		q.ended = true
+		next = stepResponseTrailers
+		q.responseComplete = true
 	default:
-		return stepNone, errKind
+		return stepNone, errUnknownMessage
 	}
-	if !q.started && next != stepHead {
+	if !q.started && next != stepRequestHeaders {
 		return stepNone, fmt.Errorf("%w: the first is no head", errOrder)
 	}
-	q.started, q.last = true, next
+	q.started, q.lastStep = true, next
 	return next, nil
 }
--- a/internal/extproc/sequence_test.go
+++ b/internal/extproc/sequence_test.go
@@ -40,26 +40,26 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		const most = 100
-		q := sequence{most: most}
-		last, bytes, whole, ended := stepNone, 0, false, false
+		const maxBody = 100
+		q := sequence{maxBody: maxBody}
+		last, bytes, requestComplete, responseComplete := stepNone, 0, false, false
 		for ; len(text) >= 2; text = text[2:] {
 			m := message(text[0], text[1])
-			got, err := q.take(m)
+			got, err := q.handle(m)
 			if err != nil {
 				return // the call is over
 			}
-			if got < last || got == stepHead && last != stepNone || last == stepNone && got != stepHead || got == last && got != stepBody && got != stepAnswerBody {
+			if got < last || got == stepRequestHeaders && last != stepNone || last == stepNone && got != stepRequestHeaders || got == last && got != stepRequestBody && got != stepResponseBody {
 				t.Fatalf("%d after %d", got, last)
 			}
-			if got == stepBody && whole || got > stepAnswer && ended {
+			if got == stepRequestBody && requestComplete || got > stepResponseHeaders && responseComplete {
 				t.Fatalf("%d after the end", got)
 			}
-			if bytes += len(m.GetRequestBody().GetBody()); bytes > most {
+			if bytes += len(m.GetRequestBody().GetBody()); bytes > maxBody {
 				t.Fatalf("%d bytes", bytes)
 			}
-			last, whole, ended = got, q.whole, q.ended
-			if hold, override, err := q.asks(text[1]&2 != 0); err != nil && (hold || override) {
+			last, requestComplete, responseComplete = got, q.requestComplete, q.responseComplete
+			if hold, override, err := q.headerAction(text[1]&2 != 0); err != nil && (hold || override) {
 				t.Fatalf("%v, yet %v %v", err, hold, override)
 			}
 		}
