--- a/internal/grant/explore_test.go
+++ b/internal/grant/explore_test.go
@@ -1,9 +1,9 @@
 package grant
 
-// A world of scripted callers and workers round a Table and a decide.Router, on a virtual clock and from a seed: the
-// same seed gives the same run. Callers stall, repeat, cache, reconnect, crash, forget, lose and reorder what they
-// say; workers drain, die, turn away and reset. What happens is checked against the rules. The callers keep the
-// promises of the operators' page and no more.
+// The tests in this file run scripted callers and workers against a Table and a decide.Router on a virtual clock, with all
+// randomness drawn from a seed, so that a seed always gives the same run. Callers stall, repeat calls, cache answers,
+// reconnect, crash, forget requests, and lose and reorder messages; workers drain, die, reject requests and reset
+// connections. The events are checked by package rules. Callers do exactly what the operators' documentation requires.
 
 import (
 	"cmp"
@@ -24,32 +24,32 @@
 
 const ms = time.Millisecond
 
-var exploreTerms = Terms{Drain: 500 * ms, Delivery: 50 * ms, Hold: 300 * ms, Heard: 300 * ms, Remember: 30 * time.Second,
+var testConfig = Terms{Drain: 500 * ms, Delivery: 50 * ms, Hold: 300 * ms, Heard: 300 * ms, Remember: 30 * time.Second,
 	MaxWait: 500 * ms, Tick: 5 * ms, Open: 64, Callers: 8, Effects: 4096, Longest: 64, FeedDepth: 8}
 
-type world struct {
-	now     time.Duration
-	todo    todo
-	n       int
-	rng     *rand.Rand
-	table   *Table
-	router  *decide.Router
-	broken  string // the variant that is deliberately wrong, "" = none
-	log     []rules.Event
-	trace   []string
-	boxes   []*box
-	callers []*peer
-	lives   map[decide.RequestID]*life
-	named   map[string]*life
-	states  map[string]int // held, by request
-	ran     map[string]bool
-	lastID  decide.RequestID
-	calls   int
-	asked   int // requests
-	begun   int
-}
-
-type todo []task
+type sim struct {
+	now        time.Duration
+	taskQueue  taskQueue
+	taskCount  int
+	rng        *rand.Rand
+	table      *Table
+	router     *decide.Router
+	variant    string // the deliberately broken variant, empty if none
+	log        []rules.Event
+	trace      []string
+	workers    []*fakeWorker
+	callers    []*fakeCaller
+	byID       map[decide.RequestID]*routedRequest
+	byName     map[string]*routedRequest
+	heldStates map[string]int // number of states held, by request
+	ran        map[string]bool
+	lastID     decide.RequestID
+	callCount  int
+	asked      int // requests made
+	begun      int // requests served
+}
+
+type taskQueue []task
 
 type task struct {
 	at time.Duration
@@ -57,74 +57,74 @@
 	do func()
 }
 
-func (t todo) Len() int { return len(t) }
-func (t todo) Less(i, j int) bool {
+func (t taskQueue) Len() int { return len(t) }
+func (t taskQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(t[i].at, t[j].at), cmp.Compare(t[i].n, t[j].n)) < 0
 }
-func (t todo) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *todo) Push(x any)   { *t = append(*t, x.(task)) }
-func (t *todo) Pop() any {
+func (t taskQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *taskQueue) Push(x any)   { *t = append(*t, x.(task)) }
+func (t *taskQueue) Pop() any {
 	x := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return x
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.n++
-	heap.Push(&w.todo, task{w.now + max(0, d), w.n, do})
+func (w *sim) after(d time.Duration, do func()) {
+	w.taskCount++
+	heap.Push(&w.taskQueue, task{w.now + max(0, d), w.taskCount, do})
 }
 
-func (w *world) upTo(d time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(d) + 1)) }
-func (w *world) chance(p float64) bool              { return w.rng.Float64() < p }
+func (w *sim) upTo(d time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(d) + 1)) }
+func (w *sim) chance(p float64) bool              { return w.rng.Float64() < p }
 
-// way is how long a message takes: mostly little, at times a stall.
-func (w *world) way() time.Duration {
+// latency is the delay of a message: usually short, sometimes a stall of up to 1.5 s.
+func (w *sim) latency() time.Duration {
 	if w.chance(0.06) {
 		return w.upTo(1500 * ms)
 	}
 	return w.upTo(8 * ms)
 }
 
-func (w *world) note(kind rules.Kind, request, worker string, call int, once bool) {
+func (w *sim) record(kind rules.Kind, request, worker string, call int, once bool) {
 	w.log = append(w.log, rules.Event{At: w.now, Kind: kind, Request: request, Worker: worker, Call: call, Once: once})
 }
 
-// box is a stand-in worker.
-type box struct {
+// fakeWorker is a simulated worker.
+type fakeWorker struct {
 	id    string
 	kind  int
 	state decide.ServerState
 	dead  bool
 }
 
-func (w *world) list() decide.ServerList {
+func (w *sim) serverList() decide.ServerList {
 	l := decide.ServerList{Whole: true}
-	for _, b := range w.boxes {
+	for _, b := range w.workers {
 		l.Servers = append(l.Servers, decide.Server{ID: b.id, Kind: b.kind, State: b.state, Weight: 1})
 	}
 	return l
 }
 
-// life is the desk's side of a request: what core is in the program.
-type life struct {
-	id      string
-	num     decide.RequestID
-	once    bool
-	waiting []call // for the choice that is under way
-	sends   []send // chosen and not granted
-	out     *send  // granted and not ended
-	sent    int    // by the module
-	begun   bool
-	over    bool
+// routedRequest is the router's state of a request, which package core keeps in the program.
+type routedRequest struct {
+	id       string
+	num      decide.RequestID
+	once     bool
+	waiting  []call          // calls that wait for the pending choice
+	chosen   []chosenAttempt // chosen but not granted
+	current  *chosenAttempt  // granted and not ended
+	attempts int             // attempts chosen by the decide.Router
+	begun    bool
+	over     bool
 }
 
-type send struct {
-	n      int
-	server string
-	wait   time.Duration
-	cut    bool
-	grant  *Grant
-	at     time.Duration
+type chosenAttempt struct {
+	n         int
+	server    string
+	wait      time.Duration
+	cancelled bool
+	grant     *Grant
+	grantedAt time.Duration
 }
 
 type call struct {
@@ -135,23 +135,23 @@
 }
 
 type answer struct {
-	grant  uint64
-	n      int
-	worker string
-	read   bool
-	valid  time.Duration
-	wait   time.Duration
-	state  State
-	watch  bool
-	err    error
-	again  time.Duration // refused: come back
-}
-
-func newWorld(seed uint64, broken string) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 99)), broken: broken, lives: make(map[decide.RequestID]*life),
-		named: make(map[string]*life), states: make(map[string]int), ran: make(map[string]bool)}
+	grant      uint64
+	n          int
+	worker     string
+	read       bool
+	valid      time.Duration
+	timeLeft   time.Duration
+	state      State
+	watch      bool
+	err        error
+	retryAfter time.Duration // for a refusal
+}
+
+func newSimulation(seed uint64, variant string) *sim {
+	w := &sim{rng: rand.New(rand.NewPCG(seed, 99)), variant: variant, byID: make(map[decide.RequestID]*routedRequest),
+		byName: make(map[string]*routedRequest), heldStates: make(map[string]int), ran: make(map[string]bool)}
 	var err error
-	if w.table, err = New(exploreTerms, 0, func(e Event) { w.trace = append(w.trace, fmt.Sprint(e)) }); err != nil {
+	if w.table, err = New(testConfig, 0, func(e Event) { w.trace = append(w.trace, fmt.Sprint(e)) }); err != nil {
 		panic(err)
 	}
 	class := decide.Class{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}
@@ -159,24 +159,24 @@
 	message.Effect = decide.Unsafe
 	set := decide.Settings{Fronts: 1, Classes: []decide.Class{class, message}, MaxAttempts: 6, CanCancel: true, Tick: 2 * ms,
 		Kinds: []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer}}, PinLimit: 500 * ms, MaxRetryAfter: time.Second}
-	if w.router, err = decide.New(set, seed, (*frontOf)(w)); err != nil {
+	if w.router, err = decide.New(set, seed, (*routerActions)(w)); err != nil {
 		panic(err)
 	}
 	for i := range 2 + w.rng.IntN(2) {
-		w.boxes = append(w.boxes, &box{id: fmt.Sprintf("r%d", i)})
+		w.workers = append(w.workers, &fakeWorker{id: fmt.Sprintf("r%d", i)})
 	}
 	for i := range 2 + w.rng.IntN(3) {
-		w.boxes = append(w.boxes, &box{id: fmt.Sprintf("w%d", i), kind: 1})
+		w.workers = append(w.workers, &fakeWorker{id: fmt.Sprintf("w%d", i), kind: 1})
 	}
-	w.router.Servers(0, w.list())
+	w.router.Servers(0, w.serverList())
 	for i := range 1 + w.rng.IntN(4) {
-		w.callers = append(w.callers, &peer{w: w, name: fmt.Sprintf("c%d", i), watches: w.chance(0.5), cached: make(map[uint64]bool)})
+		w.callers = append(w.callers, &fakeCaller{w: w, name: fmt.Sprintf("c%d", i), watches: w.chance(0.5), void: make(map[uint64]bool)})
 	}
 	return w
 }
 
-// run plays a world to its end and returns what it breaks.
-func (w *world) run() []rules.Broken {
+// run plays the simulation to its end and returns the violations.
+func (w *sim) run() []rules.Broken {
 	const long = 6 * time.Second
 	for _, p := range w.callers {
 		if p.watches {
@@ -187,7 +187,7 @@
 		}
 	}
 	for range w.rng.IntN(6) {
-		w.after(w.upTo(long), w.trouble)
+		w.after(w.upTo(long), w.disturbWorker)
 	}
 	var tick func()
 	tick = func() {
@@ -197,17 +197,17 @@
 		}
 	}
 	w.after(0, tick)
-	for len(w.todo) > 0 {
-		t := heap.Pop(&w.todo).(task)
+	for len(w.taskQueue) > 0 {
+		t := heap.Pop(&w.taskQueue).(task)
 		w.now = t.at
 		t.do()
 	}
-	return rules.Check(w.log, rules.Limits{Drain: exploreTerms.Drain, Hold: exploreTerms.Hold + 30*ms}, w.now)
+	return rules.Check(w.log, rules.Limits{Drain: testConfig.Drain, Hold: testConfig.Hold + 30*ms}, w.now)
 }
 
-// trouble befalls one worker.
-func (w *world) trouble() {
-	b := w.boxes[w.rng.IntN(len(w.boxes))]
+// disturbWorker drains or kills one worker for a while.
+func (w *sim) disturbWorker() {
+	b := w.workers[w.rng.IntN(len(w.workers))]
 	if b.state != decide.Ready {
 		return
 	}
@@ -215,37 +215,37 @@
 		b.dead = true
 		w.after(w.upTo(2*time.Second), func() { b.dead = false })
 		if w.chance(0.5) {
-			return // and nobody tells
+			return // and the router is not told
 		}
 	}
 	b.state = decide.Draining
-	w.note(rules.Drained, "", b.id, 0, false)
-	if w.broken != "deaf to drains" {
+	w.record(rules.Drained, "", b.id, 0, false)
+	if w.variant != "ignores drains" {
 		w.table.Close(w.now, b.id, "drains")
-		w.router.Servers(w.now, w.list())
+		w.router.Servers(w.now, w.serverList())
 	}
 	w.after(time.Second+w.upTo(3*time.Second), func() {
 		b.state = decide.Ready
-		w.note(rules.Back, "", b.id, 0, false)
+		w.record(rules.Back, "", b.id, 0, false)
 		w.table.Open(b.id)
-		w.router.Servers(w.now, w.list())
+		w.router.Servers(w.now, w.serverList())
 	})
 }
 
-// The desk.
+// The router's side.
 
-func (w *world) ask(c call) {
+func (w *sim) choose(c call) {
 	same, pending, err := w.table.Begin(w.now, c.Ask)
-	l := w.named[c.Request]
+	l := w.byName[c.Request]
 	if err == nil {
-		w.note(rules.Sign, c.Request, "", 0, false)
+		w.record(rules.Sign, c.Request, "", 0, false)
 	}
-	if errors.Is(err, ErrMayHaveRun) && w.broken == "forgets effects" {
+	if errors.Is(err, ErrMayHaveRun) && w.variant == "forgets effects" {
 		w.table.ledger.clear(c.Request)
 		same, pending, err = w.table.Begin(w.now, c.Ask)
 	}
-	if err == nil && same == nil { // the call is open from now on: its caller is there
-		w.note(rules.Out, c.Request, "", c.n, false)
+	if err == nil && same == nil { // from now on the call is open, so its caller is present
+		w.record(rules.Out, c.Request, "", c.n, false)
 	}
 	switch {
 	case err != nil:
@@ -253,11 +253,11 @@
 	case pending:
 		l.waiting = append(l.waiting, c)
 	case same != nil:
-		w.reply(c, w.granted(same, c))
-	case c.Attempt == 0: // of a request that is new, or over and named again
+		w.reply(c, w.answerFor(same, c))
+	case c.Attempt == 0: // a new request, or one that is over and named again
 		w.lastID++
-		l = &life{id: c.Request, num: w.lastID, once: c.Once, waiting: []call{c}}
-		w.lives[l.num], w.named[l.id] = l, l
+		l = &routedRequest{id: c.Request, num: w.lastID, once: c.Once, waiting: []call{c}}
+		w.byID[l.num], w.byName[l.id] = l, l
 		class := 0
 		if c.Once {
 			class = 1
@@ -265,66 +265,66 @@
 		w.router.Request(w.now, decide.Request{ID: l.num, Class: class, TimeLeft: time.Second + w.upTo(3*time.Second), Prompt: 100, Session: uint64(l.num)})
 	default:
 		l.waiting = append(l.waiting, c)
-		w.pump(l)
+		w.offerChosen(l)
 	}
 }
 
-func (w *world) granted(g *Grant, c call) answer {
-	return answer{grant: g.ID, n: g.Attempt, worker: g.Worker, read: g.Read, valid: g.Valid(c.at), wait: g.Ends - c.at,
+func (w *sim) answerFor(g *Grant, c call) answer {
+	return answer{grant: g.ID, n: g.Attempt, worker: g.Worker, read: g.Read, valid: g.Valid(c.at), timeLeft: g.Ends - c.at,
 		state: g.State, watch: g.req.caller.feed != nil}
 }
 
-// reply sends an answer on its way.
-func (w *world) reply(c call, a answer) {
-	w.after(w.way(), func() {
-		w.note(rules.Answered, c.Request, "", c.n, false)
+// reply sends an answer to its caller.
+func (w *sim) reply(c call, a answer) {
+	w.after(w.latency(), func() {
+		w.record(rules.Answered, c.Request, "", c.n, false)
 		c.reply(a)
 	})
-	if w.broken == "answers twice" && w.chance(0.2) {
-		w.after(w.way(), func() { w.note(rules.Answered, c.Request, "", c.n, false) })
+	if w.variant == "answers twice" && w.chance(0.2) {
+		w.after(w.latency(), func() { w.record(rules.Answered, c.Request, "", c.n, false) })
 	}
 }
 
-// pump grants what was chosen to the callers that wait for it.
-func (w *world) pump(l *life) {
-	for len(l.waiting) > 0 && len(l.sends) > 0 {
-		s := l.sends[0]
-		l.sends = l.sends[1:]
-		if s.cut {
+// offerChosen grants chosen attempts to the calls that wait for them.
+func (w *sim) offerChosen(l *routedRequest) {
+	for len(l.waiting) > 0 && len(l.chosen) > 0 {
+		s := l.chosen[0]
+		l.chosen = l.chosen[1:]
+		if s.cancelled {
 			continue
 		}
 		g, err := w.table.Offer(w.now, l.id, s.server, s.server[0] == 'r', s.wait)
 		if err != nil {
-			w.after(0, func() { w.outcome(l, s, decide.Moot) })
+			w.after(0, func() { w.finishAttempt(l, s, decide.Moot) })
 			continue
 		}
-		s.grant, s.at = g, w.now
-		l.out = &s
+		s.grant, s.grantedAt = g, w.now
+		l.current = &s
 		for _, c := range l.waiting {
-			w.note(rules.In, l.id, "", c.n, false)
-			w.reply(c, w.granted(g, c))
+			w.record(rules.In, l.id, "", c.n, false)
+			w.reply(c, w.answerFor(g, c))
 		}
 		l.waiting = nil
 	}
 }
 
-func (w *world) outcome(l *life, s send, status decide.Status) {
-	if l.out != nil && l.out.n == s.n {
-		l.out = nil
+func (w *sim) finishAttempt(l *routedRequest, s chosenAttempt, status decide.Status) {
+	if l.current != nil && l.current.n == s.n {
+		l.current = nil
 	}
-	o := decide.Outcome{ID: l.num, Attempt: s.n, Server: s.server, Status: status, Took: w.now - s.at, Final: l.begun || l.over}
+	o := decide.Outcome{ID: l.num, Attempt: s.n, Server: s.server, Status: status, Took: w.now - s.grantedAt, Final: l.begun || l.over}
 	if status == decide.Served && !l.begun {
 		l.begun = true
 		w.router.Started(w.now, decide.Started{ID: l.num, Attempt: s.n, Server: s.server, Took: o.Took})
 		o.Final = true
 	}
 	w.router.Outcome(w.now, o)
-	w.pump(l)
+	w.offerChosen(l)
 	if unknown := status == decide.TimedOut || status == decide.Cancelled || status == decide.Reset; s.server[0] == 'r' && unknown {
-		sent := l.sent
+		attempts := l.attempts
 		for _, d := range []time.Duration{0, 100 * ms} { // it may have left a state all the same
 			w.after(d, func() {
-				if l.out == nil && l.sent == sent {
+				if l.current == nil && l.attempts == attempts {
 					w.release(l.id)
 				}
 			})
@@ -332,38 +332,38 @@
 	}
 }
 
-var statuses = map[Fate]decide.Status{NotSent: decide.ConnectFailed, TurnedAway: decide.Full, Read: decide.Read, Begun: decide.Served, Ran: decide.Reset}
+var statusOfFate = map[Fate]decide.Status{NotSent: decide.ConnectFailed, TurnedAway: decide.Full, Read: decide.Read, Begun: decide.Served, Ran: decide.Reset}
 
-func (w *world) report(caller string, id uint64, fate Fate) {
+func (w *sim) report(caller string, id uint64, fate Fate) {
 	g := w.table.grants[id]
 	if err := w.table.Report(w.now, caller, id, fate, false); err != nil {
 		return
 	}
-	w.note(rules.Sign, g.req.id, "", 0, false)
-	if l := w.named[g.req.id]; l.out != nil && l.out.grant == g {
-		w.outcome(l, *l.out, statuses[fate])
+	w.record(rules.Sign, g.req.id, "", 0, false)
+	if l := w.byName[g.req.id]; l.current != nil && l.current.grant == g {
+		w.finishAttempt(l, *l.current, statusOfFate[fate])
 	}
 }
 
-func (w *world) advance() {
-	if w.broken == "lets holds be" {
+func (w *sim) advance() {
+	if w.variant == "never releases" {
 		return
 	}
 	for _, a := range slices.Clone(w.table.Advance(w.now)) {
-		l := w.named[a.Request]
+		l := w.byName[a.Request]
 		switch a.Kind {
 		case Lapse:
-			if l.out != nil && l.out.grant == a.Grant {
-				w.outcome(l, *l.out, decide.TimedOut)
+			if l.current != nil && l.current.grant == a.Grant {
+				w.finishAttempt(l, *l.current, decide.TimedOut)
 			}
 		case Forsake:
 			l.over = true
 			w.router.Left(w.now, l.num)
-			if l.out != nil { // its end is told, so that the module forgets the request
-				w.outcome(l, *l.out, decide.Cancelled)
+			if l.current != nil { // report its end, so that the decide.Router forgets the request
+				w.finishAttempt(l, *l.current, decide.Cancelled)
 			}
-			for _, s := range l.sends {
-				w.outcome(l, s, decide.Moot)
+			for _, s := range l.chosen {
+				w.finishAttempt(l, s, decide.Moot)
 			}
 			w.release(l.id)
 		case Sweep:
@@ -372,108 +372,108 @@
 	}
 }
 
-func (w *world) release(id string) {
+func (w *sim) release(id string) {
 	w.after(w.upTo(10*ms), func() {
-		if w.states[id] > 0 {
-			w.states[id] = 0
-			w.note(rules.Freed, id, "", 0, false)
+		if w.heldStates[id] > 0 {
+			w.heldStates[id] = 0
+			w.record(rules.Freed, id, "", 0, false)
 		}
 	})
 }
 
-// final gives all that wait their last answer.
-func (w *world) final(num decide.RequestID, a answer) {
-	l := w.lives[num]
+// finishRequest sends the final answer to all waiting calls.
+func (w *sim) finishRequest(num decide.RequestID, a answer) {
+	l := w.byID[num]
 	if l.over {
 		return
 	}
 	l.over = true
 	for _, c := range l.waiting {
-		w.note(rules.In, l.id, "", c.n, false)
+		w.record(rules.In, l.id, "", c.n, false)
 		w.reply(c, a)
 	}
 	l.waiting = nil
 	w.table.End(w.now, l.id)
-	w.after(0, func() { // not while the module handles an event
-		if l.out != nil {
-			w.outcome(l, *l.out, decide.Cancelled)
+	w.after(0, func() { // not while the decide.Router handles an event
+		if l.current != nil {
+			w.finishAttempt(l, *l.current, decide.Cancelled)
 		}
-		for _, s := range l.sends {
-			w.outcome(l, s, decide.Moot)
+		for _, s := range l.chosen {
+			w.finishAttempt(l, s, decide.Moot)
 		}
-		l.sends = nil
+		l.chosen = nil
 	})
 }
 
-// frontOf is what the module acts through.
-type frontOf world
+// routerActions carries out the actions of the decide.Router.
+type routerActions sim
 
-func (f *frontOf) Send(id decide.RequestID, server string, timeout time.Duration) {
-	w := (*world)(f)
-	l := w.lives[id]
-	l.sends = append(l.sends, send{n: l.count(), server: server, wait: timeout})
-	w.after(0, func() { w.pump(l) })
+func (f *routerActions) Send(id decide.RequestID, server string, timeout time.Duration) {
+	w := (*sim)(f)
+	l := w.byID[id]
+	l.chosen = append(l.chosen, chosenAttempt{n: l.nextAttempt(), server: server, wait: timeout})
+	w.after(0, func() { w.offerChosen(l) })
 }
 
-func (l *life) count() int { l.sent++; return l.sent - 1 }
+func (l *routedRequest) nextAttempt() int { l.attempts++; return l.attempts - 1 }
 
-func (f *frontOf) Cancel(id decide.RequestID, n int) {
-	w := (*world)(f)
-	l := w.lives[id]
+func (f *routerActions) Cancel(id decide.RequestID, n int) {
+	w := (*sim)(f)
+	l := w.byID[id]
 	w.after(0, func() {
-		if l.out != nil && l.out.n == n {
-			w.table.Withdraw(w.now, l.out.grant.ID)
-			w.outcome(l, *l.out, decide.Cancelled)
-		}
-		for i := range l.sends {
-			if s := l.sends[i]; s.n == n && !s.cut {
-				l.sends[i].cut = true
-				w.outcome(l, s, decide.Moot)
+		if l.current != nil && l.current.n == n {
+			w.table.Withdraw(w.now, l.current.grant.ID)
+			w.finishAttempt(l, *l.current, decide.Cancelled)
+		}
+		for i := range l.chosen {
+			if s := l.chosen[i]; s.n == n && !s.cancelled {
+				l.chosen[i].cancelled = true
+				w.finishAttempt(l, s, decide.Moot)
 			}
 		}
 	})
 }
-func (f *frontOf) Refuse(id decide.RequestID, after time.Duration) {
-	(*world)(f).final(id, answer{err: errors.New("refused"), again: after})
+func (f *routerActions) Refuse(id decide.RequestID, after time.Duration) {
+	(*sim)(f).finishRequest(id, answer{err: errors.New("refused"), retryAfter: after})
 }
-func (f *frontOf) Fail(id decide.RequestID) {
-	(*world)(f).final(id, answer{err: errors.New("failed")})
+func (f *routerActions) Fail(id decide.RequestID) {
+	(*sim)(f).finishRequest(id, answer{err: errors.New("failed")})
 }
-func (f *frontOf) Release(id decide.RequestID) { (*world)(f).release((*world)(f).lives[id].id) }
-func (f *frontOf) SetTimer(token uint64, at time.Duration) {
-	w := (*world)(f)
+func (f *routerActions) Release(id decide.RequestID) { (*sim)(f).release((*sim)(f).byID[id].id) }
+func (f *routerActions) SetTimer(token uint64, at time.Duration) {
+	w := (*sim)(f)
 	w.after(at-w.now, func() { w.router.Timer(w.now, token) })
 }
-func (f *frontOf) Probe(string)    {}
-func (f *frontOf) AskServers(bool) {}
+func (f *routerActions) Probe(string)    {}
+func (f *routerActions) AskServers(bool) {}
 
-// peer is a scripted caller.
-type peer struct {
-	w       *world
-	name    string
-	watches bool
-	pinged  time.Duration // the latest ping that was answered was sent then
-	seq     uint64
-	cached  map[uint64]bool // revoked, or dropped at a gap
-	round   int             // counts what it dropped
+// fakeCaller is a scripted caller.
+type fakeCaller struct {
+	w            *sim
+	name         string
+	watches      bool
+	answeredPing time.Duration // when the latest answered ping was sent
+	seq          uint64
+	void         map[uint64]bool // revoked grants
+	epoch        int             // number of times that all grants were dropped
 }
 
-// watch keeps a stream of revocations, which stalls and breaks at times.
-func (p *peer) watch() {
+// watch opens a stream of revocations, which stalls and breaks at times.
+func (p *fakeCaller) watch() {
 	w := p.w
 	number, seq, err := w.table.Watch(w.now, p.name)
 	if err != nil {
 		return
 	}
-	p.seq, p.pinged = seq, w.now
+	p.seq, p.answeredPing = seq, w.now
 	last := w.now // the stream keeps its order
 	send := func(do func()) {
-		last = max(last, w.now+w.way())
+		last = max(last, w.now+w.latency())
 		w.after(last-w.now, do)
 	}
 	up := true
-	var look, ping func()
-	look = func() { // the router's side
+	var poll, ping func()
+	poll = func() { // the router's side
 		if !up {
 			return
 		}
@@ -482,26 +482,26 @@
 			return
 		}
 		if len(told) > 0 {
-			send(func() { p.hear(told, seq) })
+			send(func() { p.handleRevocations(told, seq) })
 		}
-		w.after(10*ms, look)
+		w.after(10*ms, poll)
 	}
 	ping = func() {
 		sent := w.now
-		w.after(w.way(), func() {
+		w.after(w.latency(), func() {
 			if !up {
 				return
 			}
 			told, seq, ended := w.table.Next(p.name, number)
 			if !ended {
-				send(func() { p.hear(told, seq); p.pinged = max(p.pinged, sent) })
+				send(func() { p.handleRevocations(told, seq); p.answeredPing = max(p.answeredPing, sent) })
 			}
 		})
 		if up && w.now < 15*time.Second {
 			w.after(80*ms+w.upTo(20*ms), ping)
 		}
 	}
-	look()
+	poll()
 	ping()
 	if w.chance(0.3) {
 		w.after(w.upTo(6*time.Second), func() {
@@ -514,77 +514,77 @@
 	}
 }
 
-func (p *peer) hear(told []Revocation, seq uint64) {
+func (p *fakeCaller) handleRevocations(told []Revocation, seq uint64) {
 	for _, r := range told {
 		if r.Seq != p.seq+1 {
-			p.round++ // a gap: all that is cached goes
+			p.epoch++ // a gap: drop all grants
 		}
 		p.seq = r.Seq
-		p.cached[r.Grant] = true
+		p.void[r.Grant] = true
 	}
 	if p.seq != seq {
-		p.round++
+		p.epoch++
 		p.seq = seq
 	}
 }
 
-// request is one request of a caller, from its first call to whatever end.
-func (p *peer) request(id string, fresh bool) {
+// request makes one request and follows it to its end.
+func (p *fakeCaller) request(id string, fresh bool) {
 	w := p.w
 	if fresh {
 		w.asked++
 	}
-	t := &errand{peer: p, id: id, once: w.chance(0.5)}
-	if w.chance(0.05) && len(w.callers) > 1 { // another names the same
+	t := &job{fakeCaller: p, id: id, once: w.chance(0.5)}
+	if w.chance(0.05) && len(w.callers) > 1 { // another caller uses the same id
 		w.after(w.upTo(time.Second), func() { w.callers[w.rng.IntN(len(w.callers))].request(id, false) })
 	}
 	t.call(0)
 }
 
-type errand struct {
-	*peer
+type job struct {
+	*fakeCaller
 	id    string
 	once  bool
-	tries int
-	dead  bool // it has crashed, or forgotten the request
+	calls int
+	dead  bool // has crashed or forgotten the request
 	sent  map[uint64]bool
 }
 
-// call asks for a choice, again and again where answers do not come.
-func (t *errand) call(n int) {
+// call asks for a choice, repeatedly if no answer comes.
+func (t *job) call(n int) {
 	w := t.w
-	if t.dead || t.tries > 12 {
+	if t.dead || t.calls > 12 {
 		return
 	}
-	t.tries++
-	w.calls++
-	number, sent, done := w.calls, w.now, false
-	w.note(rules.Asked, t.id, "", number, false)
+	t.calls++
+	w.callCount++
+	number, sent, done := w.callCount, w.now, false
+	w.record(rules.Asked, t.id, "", number, false)
 	c := call{n: number, Ask: Ask{Caller: t.name, Request: t.id, Attempt: n, Once: t.once}, reply: func(a answer) {
 		if !done && !t.dead {
 			done = true
-			t.got(n, sent, a)
+			t.handleAnswer(n, sent, a)
 		}
 	}}
 	if t.once {
 		c.Class = 1
 	}
-	if w.chance(0.05) { // lost on its way
-		w.after(0, func() { w.note(rules.Cut, t.id, "", number, false) })
+	if w.chance(0.05) { // the message is lost
+		w.after(0, func() { w.record(rules.Cut, t.id, "", number, false) })
 	} else {
-		w.after(w.way(), func() { c.at = w.now; w.ask(c) })
+		w.after(w.latency(), func() { c.at = w.now; w.choose(c) })
 	}
-	w.after(150*ms+w.upTo(1500*ms), func() { // the connection breaks, or it has no more patience
+	w.after(150*ms+w.upTo(1500*ms), func() { // the connection breaks or the caller gives up waiting
 		if done || t.dead {
 			return
 		}
 		done = true
-		w.note(rules.Cut, t.id, "", number, false)
-		if l := w.named[t.id]; l != nil && !l.over && w.table.requests[t.id] != nil && w.table.requests[t.id].caller.name == t.name {
+		w.record(rules.Cut, t.id, "", number, false)
+		if l := w.byName[t.id]; l != nil && !l.over && w.table.requests[t.id] != nil && w.table.requests[t.id].caller.name == t.name {
 			before := len(l.waiting)
 			l.waiting = slices.DeleteFunc(l.waiting, func(c call) bool {
 				if c.n == number {
-					w.note(rules.In, t.id, "", number, false)
+					w.record(rules.In, t.id, "", number, false)
 				}
 				return c.n == number
 			})
@@ -598,8 +598,8 @@
 	})
 }
 
-// got takes an answer.
-func (t *errand) got(n int, sent time.Duration, a answer) {
+// handleAnswer handles an answer to a call.
+func (t *job) handleAnswer(n int, sent time.Duration, a answer) {
 	w := t.w
 	switch {
 	case a.err != nil:
@@ -608,7 +608,7 @@
 			w.after(busy.After, func() { t.call(n) })
 		} else if errors.Is(a.err, ErrPending) || w.chance(0.1) {
 			w.after(w.upTo(300*ms), func() { t.call(n) })
-		} else if errors.Is(a.err, ErrOrder) && w.chance(0.5) { // it was let go: once more from the start
+		} else if errors.Is(a.err, ErrOrder) && w.chance(0.5) { // it has ended in the meantime: start again
 			w.after(w.upTo(300*ms), func() { t.call(0) })
 		}
 		return
@@ -618,17 +618,17 @@
 			w.after(w.upTo(100*ms), func() { t.call(n + 1) })
 		}
 		return
-	case t.sent[a.grant]: // it acts on a grant once
+	case t.sent[a.grant]: // a caller acts on a grant once
 		return
 	}
-	round := t.round
-	act := func() { t.act(n, sent, round, a) }
+	epoch := t.epoch
+	act := func() { t.act(n, sent, epoch, a) }
 	switch draw := w.rng.Float64(); {
 	case draw < 0.5:
 		act()
-	case draw < 0.8: // acts on it later, from its cache
+	case draw < 0.8: // acts later, from a cache
 		w.after(w.upTo(600*ms), act)
-	case draw < 0.87: // asks once more, for the same
+	case draw < 0.87: // repeats the call
 		w.after(w.upTo(100*ms), func() { t.call(n) })
 	case draw < 0.93:
 		w.after(w.upTo(200*ms), func() { t.report(a.grant, NotSent); t.call(n + 1) })
@@ -637,14 +637,14 @@
 	}
 }
 
-// act sends the attempt to its worker, if the answer still holds.
-func (t *errand) act(n int, sent time.Duration, round int, a answer) {
+// act sends the attempt to its worker if the grant is still valid.
+func (t *job) act(n int, sent time.Duration, epoch int, a answer) {
 	w := t.w
-	stale := w.now-sent >= a.valid || t.cached[a.grant]
+	stale := w.now-sent >= a.valid || t.void[a.grant]
 	if a.watch {
-		stale = stale || round != t.round || w.now-t.pinged > exploreTerms.Heard
+		stale = stale || epoch != t.epoch || w.now-t.answeredPing > testConfig.Heard
 	}
-	if w.broken == "acts on stale answers" {
+	if w.variant == "acts on stale answers" {
 		stale = false
 	}
 	if t.dead || t.sent[a.grant] {
@@ -659,74 +659,74 @@
 		t.sent = make(map[uint64]bool)
 	}
 	t.sent[a.grant] = true
-	w.tell(func() {
+	w.sendLossy(func() {
 		if g := w.table.grants[a.grant]; w.table.TakeUp(w.now, t.name, a.grant) == nil {
-			w.note(rules.Sign, g.req.id, "", 0, false)
+			w.record(rules.Sign, g.req.id, "", 0, false)
 		}
 	})
-	ends := sent + a.wait
-	w.after(w.upTo(exploreTerms.Delivery), func() { t.deliver(n, a, ends) })
+	ends := sent + a.timeLeft
+	w.after(w.upTo(testConfig.Delivery), func() { t.deliver(n, a, ends) })
 }
 
-// tell sends a message that may be lost, doubled or late.
-func (w *world) tell(do func()) {
+// sendLossy sends a message that may be lost, duplicated or delayed.
+func (w *sim) sendLossy(do func()) {
 	if w.chance(0.05) {
 		return
 	}
-	w.after(w.way(), do)
+	w.after(w.latency(), do)
 	if w.chance(0.1) {
-		w.after(w.way(), do)
+		w.after(w.latency(), do)
 	}
 }
 
-func (t *errand) report(id uint64, fate Fate) { t.w.tell(func() { t.w.report(t.name, id, fate) }) }
+func (t *job) report(id uint64, fate Fate) { t.w.sendLossy(func() { t.w.report(t.name, id, fate) }) }
 
-// deliver is the attempt at its worker.
-func (t *errand) deliver(n int, a answer, ends time.Duration) {
+// deliver simulates the attempt at its worker.
+func (t *job) deliver(n int, a answer, ends time.Duration) {
 	w := t.w
-	b := w.boxes[slices.IndexFunc(w.boxes, func(b *box) bool { return b.id == a.worker })]
+	b := w.workers[slices.IndexFunc(w.workers, func(b *fakeWorker) bool { return b.id == a.worker })]
 	next := func() { w.after(w.upTo(50*ms), func() { t.call(n + 1) }) }
 	if b.dead {
 		t.report(a.grant, NotSent)
 		next()
 		return
 	}
-	w.note(rules.Sent, t.id, b.id, 0, false)
-	if b.kind == 1 && w.states[t.id] == 0 || w.chance(0.08) {
+	w.record(rules.Sent, t.id, b.id, 0, false)
+	if b.kind == 1 && w.heldStates[t.id] == 0 || w.chance(0.08) {
 		t.report(a.grant, TurnedAway)
 		next()
 		return
 	}
-	w.note(rules.Out, t.id, b.id, 0, false)
+	w.record(rules.Out, t.id, b.id, 0, false)
 	out := true
 	in := func() {
 		if out {
 			out = false
-			w.note(rules.In, t.id, b.id, 0, false)
+			w.record(rules.In, t.id, b.id, 0, false)
 		}
 	}
 	took := w.upTo(250 * ms)
 	if w.chance(0.05) {
-		took = 5 * time.Second // it hangs
+		took = 5 * time.Second // hangs
 	}
 	var renew func()
 	renew = func() {
 		if !out || t.dead {
 			return
 		}
-		w.after(w.way(), func() {
+		w.after(w.latency(), func() {
 			if g := w.table.grants[a.grant]; w.table.Renew(w.now, t.name, a.grant) == nil {
-				w.note(rules.Sign, g.req.id, "", 0, false)
+				w.record(rules.Sign, g.req.id, "", 0, false)
 			}
 		})
 		w.after(80*ms+w.upTo(40*ms), renew)
 	}
 	renew()
 	effect := func() {
-		w.note(rules.Effect, t.id, b.id, 0, t.once)
+		w.record(rules.Effect, t.id, b.id, 0, t.once)
 		w.ran[t.id] = true
 	}
-	if w.chance(0.05) { // it crashes with its connections
+	if w.chance(0.05) { // the caller crashes with its connections
 		w.after(w.upTo(took), func() {
 			if t.dead = true; out && b.kind == 0 && w.chance(0.3) {
 				w.hold(t.id)
@@ -737,7 +737,7 @@
 		})
 	}
 	if w.chance(0.04) {
-		w.after(w.upTo(took), func() { t.dead = true }) // forgets it, its connection lives on
+		w.after(w.upTo(took), func() { t.dead = true }) // the caller forgets it, but the connection stays open
 	}
 	reset := w.chance(0.08)
 	w.after(min(took, max(0, ends-w.now)), func() {
@@ -746,7 +746,7 @@
 		}
 		defer in()
 		switch {
-		case w.now >= ends || b.dead || reset: // no answer: called off, or broken
+		case w.now >= ends || b.dead || reset: // no response: cancelled or broken
 			if b.kind == 1 && w.chance(0.5) {
 				effect()
 			} else if b.kind == 0 && !b.dead && w.chance(0.2) {
@@ -763,8 +763,8 @@
 				next()
 			}
 		default:
-			w.states[t.id] = 0
-			w.note(rules.Freed, t.id, "", 0, false)
+			w.heldStates[t.id] = 0
+			w.record(rules.Freed, t.id, "", 0, false)
 			w.begun++
 			effect()
 			if !t.dead {
@@ -774,27 +774,28 @@
 	})
 }
 
-func (w *world) hold(id string) {
-	w.states[id]++
-	w.note(rules.Held, id, "", 0, false)
+func (w *sim) hold(id string) {
+	w.heldStates[id]++
+	w.record(rules.Held, id, "", 0, false)
 }
 
-func explore(seed uint64, broken string) (*world, []rules.Broken) {
-	w := newWorld(seed, broken)
+func explore(seed uint64, variant string) (*sim, []rules.Broken) {
+	w := newSimulation(seed, variant)
 	return w, w.run()
 }
 
-// seedsFrom is the seeds to explore: one, if the environment names it, to see a failure again.
-func seedsFrom(n uint64) (from, to uint64) {
+// seedRange returns the range of seeds to run, or a single one given by ROWANYARD_SEED to reproduce a failure.
+func seedRange(n uint64) (from, to uint64) {
 	if s, err := strconv.ParseUint(os.Getenv("ROWANYARD_SEED"), 10, 64); err == nil {
 		return s, s + 1
 	}
 	return 0, n
 }
 
-// Thousands of runs keep all rules. A failure prints its seed; ROWANYARD_SEED plays that one alone, with its log.
+// Thousands of random runs break no rule. A failure prints its seed; ROWANYARD_SEED runs that seed alone and prints its
+// log.
 func TestExploreSeeds(t *testing.T) {
-	from, to := seedsFrom(3000)
+	from, to := seedRange(3000)
 	begun, asked, ended := 0, 0, time.Now().Add(2*time.Minute)
 	for seed := from; seed < to; seed++ {
 		if time.Now().After(ended) {
@@ -820,13 +821,13 @@
 		}
 	}
 	if to > from+1 && begun < asked/6 {
-		t.Errorf("%d of %d requests were served: the callers do little", begun, asked)
+		t.Errorf("only %d of %d requests were served", begun, asked)
 	}
 	t.Logf("%d of %d requests served", begun, asked)
 }
 
-// The same seed gives the same run, byte for byte.
-func TestExploreIsRepeatable(t *testing.T) {
+// The same seed gives an identical run.
+func TestExploreIsDeterministic(t *testing.T) {
 	for seed := range uint64(50) {
 		sum := func() [32]byte {
 			w, _ := explore(seed, "")
@@ -838,10 +839,10 @@
 	}
 }
 
-// Each variant that is deliberately wrong breaks its rule on some seed, and the checker says which.
+// Each deliberately broken variant breaks its rule for some seed, and the checker names that rule.
 func TestExploreCatchesBrokenVariants(t *testing.T) {
-	for variant, rule := range map[string]string{"forgets effects": "effect", "deaf to drains": "drain",
-		"acts on stale answers": "drain", "lets holds be": "hold", "answers twice": "one answer"} {
+	for variant, rule := range map[string]string{"forgets effects": "effect", "ignores drains": "drain",
+		"acts on stale answers": "drain", "never releases": "hold", "answers twice": "one answer"} {
 		caught := false
 		for seed := uint64(0); seed < 1000 && !caught; seed++ {
 			_, broken := explore(seed, variant)
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-func table(t testing.TB, change func(*Terms)) *Table {
+func newTable(t testing.TB, change func(*Terms)) *Table {
 	t.Helper()
-	terms := exploreTerms
+	terms := testConfig
 	if change != nil {
 		change(&terms)
 	}
@@ -23,8 +23,8 @@
 	return tab
 }
 
-// give takes a request through Begin and Offer.
-func give(t testing.TB, tab *Table, now time.Duration, a Ask, to string, read bool) *Grant {
+// mustOffer grants a request through Begin and Offer.
+func mustOffer(t testing.TB, tab *Table, now time.Duration, a Ask, to string, read bool) *Grant {
 	t.Helper()
 	if same, pending, err := tab.Begin(now, a); same != nil || pending || err != nil {
 		t.Fatalf("%+v: %v %v %v", a, same, pending, err)
@@ -43,50 +43,50 @@
 	}
 }
 
-func TestTermsThatContradictTheRulesAreRefused(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	for name, change := range map[string]func(*Terms){
-		"no time after a drain":   func(x *Terms) { x.Delivery = x.Drain },
-		"no time to hold":         func(x *Terms) { x.Delivery = x.Hold },
-		"silence over the drain":  func(x *Terms) { x.Heard = x.Drain },
-		"no open grants":          func(x *Terms) { x.Open = 0 },
-		"no ledger":               func(x *Terms) { x.Effects = 0 },
-		"effects forgotten":       func(x *Terms) { x.Remember = 0 },
-		"advice in the past":      func(x *Terms) { x.MaxWait = -1 },
-		"delivery before its act": func(x *Terms) { x.Delivery = -1 },
+		"delivery uses up the drain grace":      func(x *Terms) { x.Delivery = x.Drain },
+		"delivery uses up the hold time":        func(x *Terms) { x.Delivery = x.Hold },
+		"watch silence exceeds the drain grace": func(x *Terms) { x.Heard = x.Drain },
+		"no open grants":                        func(x *Terms) { x.Open = 0 },
+		"no room in the ledger":                 func(x *Terms) { x.Effects = 0 },
+		"effects not remembered":                func(x *Terms) { x.Remember = 0 },
+		"negative retry delay":                  func(x *Terms) { x.MaxWait = -1 },
+		"negative delivery time":                func(x *Terms) { x.Delivery = -1 },
 	} {
-		terms := exploreTerms
+		terms := testConfig
 		change(&terms)
 		if _, err := New(terms, 0, nil); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// Each step that a grant's state does not allow is refused by name and changes nothing.
-func TestIllegalStepsAreRefusedByName(t *testing.T) {
-	tab := table(t, nil)
+// Steps that the state of a grant does not allow return their specific error and change nothing.
+func TestIllegalStepsReturnSpecificErrors(t *testing.T) {
+	tab := newTable(t, nil)
 	read := Ask{Caller: "a", Request: "q", Class: 1, Once: true}
-	g := give(t, tab, 0, read, "r", true)
+	g := mustOffer(t, tab, 0, read, "r", true)
 	begin := func(a Ask) error { _, _, err := tab.Begin(ms, a); return err }
 	_, err := tab.Offer(ms, "q", "r", true, time.Second)
 	want(t, "offer without a call", err, ErrState)
 	_, err = tab.Offer(ms, "none", "r", true, time.Second)
-	want(t, "offer for nobody", err, ErrState)
+	want(t, "offer for an unknown request", err, ErrState)
 	want(t, "another caller's request", begin(Ask{Caller: "b", Request: "q"}), ErrOther)
 	want(t, "another class", begin(Ask{Caller: "a", Request: "q", Class: 2}), ErrClass)
-	want(t, "two ahead", begin(Ask{Caller: "a", Request: "q", Class: 1, Attempt: 2}), ErrOrder)
-	want(t, "the next before its report", begin(Ask{Caller: "a", Request: "q", Class: 1, Attempt: 1}), ErrPending)
-	want(t, "no id", begin(Ask{Caller: "a"}), ErrID)
-	want(t, "no caller", begin(Ask{Request: "x"}), ErrID)
-	want(t, "an endless id", begin(Ask{Caller: "a", Request: string(make([]byte, 65))}), ErrID)
-	want(t, "an attempt before the first", begin(Ask{Caller: "a", Request: "x", Attempt: -1}), ErrID)
-	want(t, "a later attempt of nothing", begin(Ask{Caller: "a", Request: "x", Attempt: 1}), ErrOrder)
-	want(t, "another's grant", tab.TakeUp(ms, "b", g.ID), ErrOther)
-	want(t, "another's renewal", tab.Renew(ms, "b", g.ID), ErrOther)
-	want(t, "another's report", tab.Report(ms, "b", g.ID, Read, false), ErrOther)
-	want(t, "a grant that never was", tab.Report(ms, "a", 99, Read, false), ErrUnknown)
-	want(t, "the other stage's fate", tab.Report(ms, "a", g.ID, Begun, false), ErrState)
-	want(t, "no fate", tab.Report(ms, "a", g.ID, 0, false), ErrState)
+	want(t, "an attempt two ahead", begin(Ask{Caller: "a", Request: "q", Class: 1, Attempt: 2}), ErrOrder)
+	want(t, "the next attempt before the report", begin(Ask{Caller: "a", Request: "q", Class: 1, Attempt: 1}), ErrPending)
+	want(t, "empty id", begin(Ask{Caller: "a"}), ErrID)
+	want(t, "empty caller", begin(Ask{Request: "x"}), ErrID)
+	want(t, "an id that is too long", begin(Ask{Caller: "a", Request: string(make([]byte, 65))}), ErrID)
+	want(t, "a negative attempt", begin(Ask{Caller: "a", Request: "x", Attempt: -1}), ErrID)
+	want(t, "a later attempt of an unknown request", begin(Ask{Caller: "a", Request: "x", Attempt: 1}), ErrOrder)
+	want(t, "taking up another caller's grant", tab.TakeUp(ms, "b", g.ID), ErrOther)
+	want(t, "renewing another caller's grant", tab.Renew(ms, "b", g.ID), ErrOther)
+	want(t, "reporting another caller's grant", tab.Report(ms, "b", g.ID, Read, false), ErrOther)
+	want(t, "an unknown grant", tab.Report(ms, "a", 99, Read, false), ErrUnknown)
+	want(t, "a write's fate for a read", tab.Report(ms, "a", g.ID, Begun, false), ErrState)
+	want(t, "an unspecified fate", tab.Report(ms, "a", g.ID, 0, false), ErrState)
 	want(t, "taken up", tab.TakeUp(ms, "a", g.ID), nil)
 	want(t, "taken up again", tab.TakeUp(ms, "a", g.ID), nil)
 	want(t, "reported", tab.Report(ms, "a", g.ID, Read, false), nil)
@@ -94,18 +94,18 @@
 	want(t, "reported with another fate", tab.Report(ms, "a", g.ID, Ran, false), ErrState)
 	want(t, "taken up after its report", tab.TakeUp(ms, "a", g.ID), ErrState)
 	read.Attempt = 1
-	w := give(t, tab, 2*ms, read, "w", false)
-	want(t, "the older grant", tab.Renew(2*ms, "a", g.ID), ErrUnknown)
-	want(t, "the read's fate", tab.Report(2*ms, "a", w.ID, Read, false), ErrState)
+	w := mustOffer(t, tab, 2*ms, read, "w", false)
+	want(t, "an older grant", tab.Renew(2*ms, "a", g.ID), ErrUnknown)
+	want(t, "a read's fate for a write", tab.Report(2*ms, "a", w.ID, Read, false), ErrState)
 	want(t, "begun", tab.Report(2*ms, "a", w.ID, Begun, false), nil)
 	want(t, "a report after the end", tab.Report(2*ms, "a", w.ID, Begun, false), ErrUnknown)
-	want(t, "the request once more", begin(Ask{Caller: "a", Request: "q", Class: 1}), ErrMayHaveRun)
-	want(t, "the request by another, of a harmless class", begin(Ask{Caller: "b", Request: "q"}), ErrMayHaveRun)
+	want(t, "the request again", begin(Ask{Caller: "a", Request: "q", Class: 1}), ErrMayHaveRun)
+	want(t, "the request by another caller, of an idempotent class", begin(Ask{Caller: "b", Request: "q"}), ErrMayHaveRun)
 }
 
-// A call that is repeated gets the same answer, with less time left; while the choice is under way it waits for it.
+// A repeated call gets the same grant with less time left; while the choice is pending it waits.
 func TestARepeatedCallGetsTheSameAnswer(t *testing.T) {
-	tab := table(t, nil)
+	tab := newTable(t, nil)
 	a := Ask{Caller: "a", Request: "q"}
 	if _, _, err := tab.Begin(0, a); err != nil {
 		t.Fatal(err)
@@ -117,98 +117,98 @@
 	first := g.Valid(0)
 	same, _, err := tab.Begin(100*ms, a)
 	if same != g || err != nil {
-		t.Fatalf("%v %v, want grant %d again", same, err, g.ID)
+		t.Fatalf("got %v %v, want grant %d again", same, err, g.ID)
 	}
-	if most := exploreTerms.Drain - exploreTerms.Delivery; g.Valid(100*ms) > most || first > most {
+	if most := testConfig.Drain - testConfig.Delivery; g.Valid(100*ms) > most || first > most {
 		t.Errorf("valid for %v, then %v", first, g.Valid(100*ms))
 	}
 }
 
-// A drain that is known counts: nothing is granted there, what was is revoked, the caller that watches is told, and
-// a lost report counts as may have run.
-func TestDrainsRevoke(t *testing.T) {
-	tab := table(t, nil)
+// Once a worker is closed, nothing is granted there, open grants are revoked, watching callers are told, and an unreported
+// grant counts as one that may have run.
+func TestClosingAWorkerRevokesGrants(t *testing.T) {
+	tab := newTable(t, nil)
 	number, seq, err := tab.Watch(0, "a")
 	if err != nil || seq != 0 {
 		t.Fatal(err, seq)
 	}
-	offered := give(t, tab, 0, Ask{Caller: "a", Request: "q1", Class: 1, Once: true}, "w", false)
-	sending := give(t, tab, 0, Ask{Caller: "a", Request: "q2"}, "w", false)
-	other := give(t, tab, 0, Ask{Caller: "b", Request: "q3"}, "v", false)
+	offered := mustOffer(t, tab, 0, Ask{Caller: "a", Request: "q1", Class: 1, Once: true}, "w", false)
+	sending := mustOffer(t, tab, 0, Ask{Caller: "a", Request: "q2"}, "w", false)
+	other := mustOffer(t, tab, 0, Ask{Caller: "b", Request: "q3"}, "v", false)
 	want(t, "take up", tab.TakeUp(0, "a", sending.ID), nil)
 	if got := tab.Close(10*ms, "w", "drains"); len(got) != 1 || got[0] != offered || offered.State != Revoked {
-		t.Errorf("revoked %v", got)
+		t.Errorf("revoked %v, want the offered grant", got)
 	}
 	if sending.State != TakenUp || other.State != Offered {
-		t.Error("what is under way, or elsewhere, was revoked")
+		t.Error("a grant that was taken up or is for another worker was revoked")
 	}
 	told, seq, ended := tab.Next("a", number)
 	if len(told) != 1 || told[0].Grant != offered.ID || told[0].Seq != 1 || seq != 1 || ended {
-		t.Errorf("told %v up to %d", told, seq)
+		t.Errorf("revocations %v up to %d", told, seq)
 	}
-	if offered.Until > 10*ms+exploreTerms.Drain-exploreTerms.Delivery {
-		t.Errorf("it may be acted on until %v", offered.Until)
+	if offered.Until > 10*ms+testConfig.Drain-testConfig.Delivery {
+		t.Errorf("the revoked grant is valid until %v", offered.Until)
 	}
 	if _, _, err := tab.Begin(20*ms, Ask{Caller: "b", Request: "q4"}); err != nil {
 		t.Fatal(err)
 	}
 	_, err = tab.Offer(20*ms, "q4", "w", true, time.Second)
-	want(t, "a grant for a worker that drains", err, ErrDraining)
+	want(t, "a grant for a draining worker", err, ErrDraining)
 	if _, err := tab.Offer(20*ms, "q4", "v", true, time.Second); err != nil {
-		t.Errorf("the choice did not stay under way: %v", err)
+		t.Errorf("the choice did not stay pending: %v", err)
 	}
-	want(t, "taken up after it was revoked", tab.TakeUp(20*ms, "a", offered.ID), ErrState)
+	want(t, "taking up a revoked grant", tab.TakeUp(20*ms, "a", offered.ID), ErrState)
 	tab.Advance(2 * time.Second)
 	_, _, err = tab.Begin(2*time.Second, Ask{Caller: "a", Request: "q1", Class: 1, Once: true})
-	want(t, "what may have run before the revocation was heard", err, ErrMayHaveRun)
+	want(t, "a request that may have run before the revocation arrived", err, ErrMayHaveRun)
 	tab.Open("w")
-	give(t, tab, 3*time.Second, Ask{Caller: "b", Request: "q5"}, "w", true)
+	mustOffer(t, tab, 3*time.Second, Ask{Caller: "b", Request: "q5"}, "w", true)
 }
 
-// What a caller says was never sent may be granted again, to that caller and to others.
-func TestNotSentMayBeGrantedAgain(t *testing.T) {
-	tab := table(t, nil)
+// An attempt reported as not sent may be granted again, to the same or another caller.
+func TestUnsentAttemptsMayBeGrantedAgain(t *testing.T) {
+	tab := newTable(t, nil)
 	a := Ask{Caller: "a", Request: "q", Once: true}
-	g := give(t, tab, 0, a, "w", false)
+	g := mustOffer(t, tab, 0, a, "w", false)
 	want(t, "report", tab.Report(ms, "a", g.ID, NotSent, false), nil)
 	a.Attempt = 1
-	g = give(t, tab, ms, a, "v", false)
+	g = mustOffer(t, tab, ms, a, "v", false)
 	want(t, "report", tab.Report(ms, "a", g.ID, TurnedAway, true), nil)
-	give(t, tab, ms, Ask{Caller: "b", Request: "q", Once: true}, "w", false)
+	mustOffer(t, tab, ms, Ask{Caller: "b", Request: "q", Once: true}, "w", false)
 }
 
-// A stream that can't be written to loses revocations, never in silence: the numbers have a gap.
+// A stream that cannot be written to loses revocations, which shows as a gap in the sequence numbers.
 func TestASlowStreamShowsAGap(t *testing.T) {
-	tab := table(t, func(x *Terms) { x.FeedDepth = 2 })
+	tab := newTable(t, func(x *Terms) { x.FeedDepth = 2 })
 	number, _, _ := tab.Watch(0, "a")
 	for i := range 5 {
 		id := fmt.Sprint(i)
-		give(t, tab, 0, Ask{Caller: "a", Request: id}, id, true)
+		mustOffer(t, tab, 0, Ask{Caller: "a", Request: id}, id, true)
 		tab.Close(ms, id, "drains")
 	}
 	told, seq, _ := tab.Next("a", number)
 	if len(told) == 0 || told[0].Seq == 1 || told[len(told)-1].Seq != seq || seq != 5 {
-		t.Errorf("%v up to %d: no gap, or no end", told, seq)
+		t.Errorf("revocations %v up to %d: no gap, or the last one is missing", told, seq)
 	}
 	newer, at, err := tab.Watch(0, "a")
 	if err != nil || at != 5 || newer == number {
-		t.Errorf("a newer stream goes on after %d, %v", at, err)
+		t.Errorf("a newer stream starts after %d, %v", at, err)
 	}
 	if _, _, ended := tab.Next("a", number); !ended {
-		t.Error("the older stream goes on")
+		t.Error("the older stream did not end")
 	}
 }
 
-// One caller that floods can't take the places of others, and is told when to come back; the ledger refuses
-// rather than forgets.
+// A caller that floods the router cannot take the places of others and is told when to retry. A full ledger refuses new
+// requests instead of forgetting entries.
 func TestAFloodLeavesRoomForOthers(t *testing.T) {
-	tab := table(t, func(x *Terms) { x.Open, x.Effects = 30, 12 })
+	tab := newTable(t, func(x *Terms) { x.Open, x.Effects = 30, 12 })
 	flood := 0
 	for i := range 100 {
 		_, _, err := tab.Begin(0, Ask{Caller: "flood", Request: fmt.Sprint("f", i)})
 		var busy *Busy
 		if errors.As(err, &busy) {
-			if busy.Why != ErrBusy || busy.After <= 0 || busy.After > exploreTerms.MaxWait {
+			if busy.Why != ErrBusy || busy.After <= 0 || busy.After > testConfig.MaxWait {
 				t.Fatalf("%+v", busy)
 			}
 			continue
@@ -217,9 +217,9 @@
 		flood++
 	}
 	if flood != 15 {
-		t.Errorf("the flood has %d of 30 places", flood)
+		t.Errorf("the flooding caller has %d of 30 places", flood)
 	}
-	for i := range 5 { // each of five others gets one, and another one
+	for i := range 5 { // each of five other callers gets one place and then another
 		for j := range 2 {
 			if _, _, err := tab.Begin(0, Ask{Caller: fmt.Sprint("c", i), Request: fmt.Sprint("c", i, j)}); err != nil {
 				t.Errorf("caller %d, request %d: %v", i, j, err)
@@ -227,35 +227,35 @@
 		}
 	}
 	if _, _, err := tab.Begin(0, Ask{Caller: "c7", Request: "x"}); err != nil {
-		t.Errorf("the seventh: %v", err)
+		t.Errorf("the seventh caller: %v", err)
 	}
 	if _, _, err := tab.Begin(0, Ask{Caller: "c8", Request: "y"}); err != nil {
-		t.Errorf("the eighth: %v", err)
+		t.Errorf("the eighth caller: %v", err)
 	}
 	_, _, err := tab.Begin(0, Ask{Caller: "c9", Request: "z"})
 	want(t, "one caller too many", err, ErrCallers)
 
-	tab = table(t, func(x *Terms) { x.Effects = 3 })
+	tab = newTable(t, func(x *Terms) { x.Effects = 3 })
 	for i := range 3 {
-		g := give(t, tab, 0, Ask{Caller: "a", Request: fmt.Sprint(i), Once: true}, "w", false)
+		g := mustOffer(t, tab, 0, Ask{Caller: "a", Request: fmt.Sprint(i), Once: true}, "w", false)
 		want(t, "report", tab.Report(0, "a", g.ID, Ran, true), nil)
 	}
 	_, _, err = tab.Begin(0, Ask{Caller: "a", Request: "q", Once: true})
 	want(t, "a fourth effect", err, ErrLedger)
 	if _, _, err = tab.Begin(0, Ask{Caller: "a", Request: "safe"}); err != nil {
-		t.Errorf("a class that may run again needs no ledger: %v", err)
+		t.Errorf("an idempotent class needs no ledger: %v", err)
 	}
 	tab.Turn(0, "safe")
-	tab.Advance(exploreTerms.Remember + time.Second)
-	_, _, err = tab.Begin(exploreTerms.Remember+time.Second, Ask{Caller: "a", Request: "0", Once: true})
-	want(t, "after the time that effects are remembered", err, nil)
+	tab.Advance(testConfig.Remember + time.Second)
+	_, _, err = tab.Begin(testConfig.Remember+time.Second, Ask{Caller: "a", Request: "0", Once: true})
+	want(t, "after the effect retention", err, nil)
 }
 
-// A caller that says nothing more is forsaken before what is held for it must end, and a read of it that may still
-// end well is let go again until it can't any more.
-func TestSilenceForsakesAndSweeps(t *testing.T) {
-	tab := table(t, nil)
-	g := give(t, tab, 0, Ask{Caller: "a", Request: "q"}, "r", true)
+// A silent caller is abandoned before its held state has to end. Its read, which may still succeed, is released again and
+// again until it no longer can.
+func TestSilentCallersAreAbandonedAndReadsReleasedAgain(t *testing.T) {
+	tab := newTable(t, nil)
+	g := mustOffer(t, tab, 0, Ask{Caller: "a", Request: "q"}, "r", true)
 	want(t, "take up", tab.TakeUp(0, "a", g.ID), nil)
 	var kinds []ActKind
 	for now := time.Duration(0); now < 4*time.Second; now += 5 * ms {
@@ -270,25 +270,25 @@
 		}
 	}
 	if n := len(kinds); n < 10 || n > 20 || kinds[n-1] != Sweep {
-		t.Errorf("%v: want sweeps every 150 ms until the read's time is up", kinds)
+		t.Errorf("actions %v: want a release every 150 ms until the read's deadline", kinds)
 	}
 	if c := tab.Count(); c.Requests+c.Callers+tab.releasing+tab.wheel.Len() != 0 {
-		t.Errorf("left: %+v, %d timers", c, tab.wheel.Len())
+		t.Errorf("left over: %+v, %d timers", c, tab.wheel.Len())
 	}
-	g = give(t, tab, 5*time.Second, Ask{Caller: "a", Request: "attached"}, "w", false)
+	g = mustOffer(t, tab, 5*time.Second, Ask{Caller: "a", Request: "attached"}, "w", false)
 	tab.Attach("attached")
 	want(t, "take up", tab.TakeUp(5*time.Second, "a", g.ID), nil)
 	if acts := tab.Advance(6 * time.Second); len(acts) > 0 {
-		t.Errorf("%v, though its caller is there", acts)
+		t.Errorf("actions %v although the caller is attached", acts)
 	}
 	tab.Detach(6*time.Second, "attached")
-	if acts := tab.Advance(6*time.Second + exploreTerms.Hold); len(acts) != 1 || acts[0].Kind != Forsake {
-		t.Errorf("%v after it left", acts)
+	if acts := tab.Advance(6*time.Second + testConfig.Hold); len(acts) != 1 || acts[0].Kind != Forsake {
+		t.Errorf("actions %v after the caller left", acts)
 	}
 }
 
-// Any sequence of steps, in any order and of any ids, leaves the Table whole: no panic, counts that agree, nothing
-// past its bounds, and an effect that may have happened stays remembered.
+// Any sequence of steps with any ids keeps the Table consistent: no panic, counts agree, limits hold, and an effect that
+// may have happened is remembered.
 func FuzzSteps(f *testing.F) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	for range 30 {
@@ -299,7 +299,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		tab := table(t, func(x *Terms) { x.Open, x.Callers, x.Effects, x.FeedDepth = 8, 3, 6, 2 })
+		tab := newTable(t, func(x *Terms) { x.Open, x.Callers, x.Effects, x.FeedDepth = 8, 3, 6, 2 })
 		now, streams := time.Duration(0), map[string]uint64{}
 		ran := map[string]time.Duration{}
 		for ; len(text) >= 3; text = text[3:] {
@@ -324,7 +324,7 @@
 			case 6:
 				g := tab.grants[num]
 				if tab.Report(now, who, num, Fate(v%7), v&0x100 != 0) == nil && g != nil && g.req.nonIdempotent && !g.Read && !g.Fate.excludesEffect() {
-					ran[g.req.id] = now + exploreTerms.Remember
+					ran[g.req.id] = now + testConfig.Remember
 				}
 			case 7:
 				tab.Close(now, to, "drains")
@@ -366,8 +366,7 @@
 	})
 }
 
-// What an open grant costs: one operation is a grant from its call to its report, beside so many open ones. The
-// bytes are those of the open ones, each.
+// Measures the cost of one grant from its call to its report beside n open ones, and the memory of each open grant.
 func BenchmarkGrants(b *testing.B) {
 	for _, n := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -382,16 +381,16 @@
 				names[i] = fmt.Sprintf("9b1f03aa%08x", i)
 			}
 			before := heap()
-			tab := table(b, func(x *Terms) { x.Open, x.Effects = 4*n, 4*n })
+			tab := newTable(b, func(x *Terms) { x.Open, x.Effects = 4*n, 4*n })
 			for i, id := range names {
-				give(b, tab, 0, Ask{Caller: "c", Request: id, Once: i%2 == 0}, fmt.Sprint("w", i%100), false)
+				mustOffer(b, tab, 0, Ask{Caller: "c", Request: id, Once: i%2 == 0}, fmt.Sprint("w", i%100), false)
 			}
 			each := float64(heap()-before) / float64(n)
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
 				id := fmt.Sprint("x", i)
-				g := give(b, tab, 0, Ask{Caller: "d", Request: id}, "w", false)
+				g := mustOffer(b, tab, 0, Ask{Caller: "d", Request: id}, "w", false)
 				tab.TakeUp(0, "d", g.ID)
 				tab.Report(0, "d", g.ID, Begun, true)
 				i++
--- a/internal/grant/wheel_test.go
+++ b/internal/grant/wheel_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// The wheel hands out what a plain list hands out, at the same ticks, whatever is set, moved and stopped.
-func TestWheelAgainstAList(t *testing.T) {
+// The wheel fires the same timers at the same ticks as a plain list, whatever is set, moved and stopped.
+func TestWheelMatchesAList(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		const tick = 5 * time.Millisecond
@@ -63,7 +63,7 @@
 	}
 }
 
-// A timer that is set again while it is handed out, for now, comes in the same call; one set for later does not.
+// A timer that is set for now while timers fire comes in the same call; one set for later does not.
 func TestWheelSetWhileDue(t *testing.T) {
 	w := NewWheel[string](time.Millisecond, 0)
 	var a, b Timer[string]
@@ -82,31 +82,30 @@
 	}
 }
 
-// The plain ones that the wheel is measured against.
-type plainHeap []*plainTimer
+// A binary heap, to compare the wheel with.
+type heapQueue []*heapTimer
 
-type plainTimer struct {
+type heapTimer struct {
 	at time.Duration
 	i  int
 }
 
-func (h plainHeap) Len() int           { return len(h) }
-func (h plainHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h plainHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].i, h[j].i = i, j }
-func (h *plainHeap) Push(x any)        { x.(*plainTimer).i = len(*h); *h = append(*h, x.(*plainTimer)) }
-func (h *plainHeap) Pop() any {
+func (h heapQueue) Len() int           { return len(h) }
+func (h heapQueue) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h heapQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].i, h[j].i = i, j }
+func (h *heapQueue) Push(x any)        { x.(*heapTimer).i = len(*h); *h = append(*h, x.(*heapTimer)) }
+func (h *heapQueue) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return x
 }
 
-// What a grant's holds cost: each is renewed at random and the clock moves on, so that the oldest unrenewed run out
-// and are set again. One operation is a renewal.
-func BenchmarkHolds(b *testing.B) {
+// Measures the renewal of one of n timers at random while the clock moves on, with timers that expire set again.
+func BenchmarkTimers(b *testing.B) {
 	const hold = 300 * time.Millisecond
 	for _, n := range []int{1_000, 10_000, 100_000} {
-		step := hold / time.Duration(n) // each is renewed once in a hold on average
+		step := hold / time.Duration(n) // each timer is renewed once per hold time on average
 		b.Run(fmt.Sprintf("wheel/%d", n), func(b *testing.B) {
 			rng, now := rand.New(rand.NewPCG(1, 1)), time.Duration(0)
 			w, all := NewWheel[int](5*time.Millisecond, 0), make([]Timer[int], n)
@@ -122,8 +121,8 @@
 		})
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
 			rng, now := rand.New(rand.NewPCG(1, 1)), time.Duration(0)
-			var h plainHeap
-			all := make([]plainTimer, n)
+			var h heapQueue
+			all := make([]heapTimer, n)
 			for i := range all {
 				all[i].at = time.Duration(rng.Int64N(int64(hold)))
 				heap.Push(&h, &all[i])
