--- a/internal/decisions/bench_test.go
+++ b/internal/decisions/bench_test.go
@@ -15,19 +15,19 @@
 	"rowanyard/internal/standin"
 )
 
-// From the news of a drain until each of so many callers, with a grant each at the worker, has heard. One operation is
-// one drain; the figures are over all callers. Callers stand on connections of their own.
+// Measures the time from learning of a drain until each of n callers, with one grant each at the worker and a stream of its
+// own, has received the revocation. One operation is one drain; the percentiles are over all callers.
 func BenchmarkRevocation(b *testing.B) {
 	for _, callers := range []int{1, 8, 64} {
 		b.Run(fmt.Sprint(callers), func(b *testing.B) {
 			t := b
-			bed := start(t, standin.Options{Readers: 1, Writers: 1})
+			e := start(t, standin.Options{Readers: 1, Writers: 1})
 			heard := make(chan time.Time, callers)
 			var names []*caller
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			for i := range callers {
-				c := bed.caller(fmt.Sprint("c", i))
+				c := e.caller(fmt.Sprint("c", i))
 				names = append(names, c)
 				w, err := c.Watch(metadata.AppendToOutgoingContext(ctx, decisions.MetaCaller, c.name))
 				if err != nil {
@@ -72,11 +72,11 @@
 				}
 				worker = grants[0].Worker
 				told := time.Now()
-				bed.list(map[string]bool{worker: true})
+				e.setWorkers(map[string]bool{worker: true})
 				for range callers {
 					delays = append(delays, (<-heard).Sub(told))
 				}
-				bed.list(nil)
+				e.setWorkers(nil)
 				for i, c := range names {
 					c.Report(c.ctx(), &pb.ReportRequest{Grant: grants[i].Grant, Fate: pb.Fate_FATE_NOT_SENT, Over: true})
 				}
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -39,8 +39,8 @@
 	Heard: 300 * time.Millisecond, Remember: 30 * time.Second, MaxWait: 500 * time.Millisecond, Tick: 5 * time.Millisecond,
 	Open: 1024, Callers: 128, Effects: 4096, Longest: 64, FeedDepth: 64}
 
-// bed is a toy deployment, a desk in front of it, and a connection to the service.
-type bed struct {
+// env is a simulated deployment, a Coordinator in front of it, and a connection to the service.
+type env struct {
 	t     testing.TB
 	fleet *standin.Fleet
 	core  *core.Core
@@ -49,19 +49,19 @@
 	conn  *grpc.ClientConn
 }
 
-func start(t testing.TB, o standin.Options) *bed {
+func start(t testing.TB, o standin.Options) *env {
 	t.Helper()
-	return startOn(t, o, terms, slog.New(slog.DiscardHandler))
+	return startWith(t, o, terms, slog.New(slog.DiscardHandler))
 }
 
-// startOn is the same on other terms, with what the core logs.
-func startOn(t testing.TB, o standin.Options, terms grant.Terms, coreLog *slog.Logger) *bed {
+// startWith is start with the given configuration and a log for the core.
+func startWith(t testing.TB, o standin.Options, terms grant.Terms, coreLog *slog.Logger) *env {
 	t.Helper()
-	return startSeen(t, o, terms, coreLog, decisions.Seen{})
+	return startObserved(t, o, terms, coreLog, decisions.Seen{})
 }
 
-// startSeen is the same with what is told to seen.
-func startSeen(t testing.TB, o standin.Options, terms grant.Terms, coreLog *slog.Logger, seen decisions.Seen) *bed {
+// startObserved is startWith with an observer.
+func startObserved(t testing.TB, o standin.Options, terms grant.Terms, coreLog *slog.Logger, seen decisions.Seen) *env {
 	t.Helper()
 	must := func(err error) {
 		t.Helper()
@@ -80,8 +80,8 @@
 	must(err)
 	desk, err := decisions.NewDesk(c, hw, terms, seen, log)
 	must(err)
-	b := &bed{t: t, fleet: fleet, core: c, desk: desk, names: httpfront.Names{Kinds: site.KindNames, Zones: site.ZoneNames}}
-	b.list(nil)
+	b := &env{t: t, fleet: fleet, core: c, desk: desk, names: httpfront.Names{Kinds: site.KindNames, Zones: site.ZoneNames}}
+	b.setWorkers(nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
 	s := (&decisions.Server{Desk: desk, Classes: httpfront.ClassesOf(site.ClassNames), Names: site.ClassNames, Settings: c.Settings, Log: log}).GRPC()
@@ -93,8 +93,8 @@
 	return b
 }
 
-// list tells the core the whole list, with some workers draining.
-func (b *bed) list(draining map[string]bool) {
+// setWorkers gives the core the full list of workers, with some of them draining.
+func (b *env) setWorkers(draining map[string]bool) {
 	var l httpfront.List
 	text, _ := json.Marshal(map[string]any{"hosts": b.fleet.Hosts()})
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -108,19 +108,19 @@
 		}
 	}
 	if found != len(draining) {
-		b.t.Fatalf("draining %v: not all of them are listed", draining)
+		b.t.Fatalf("draining %v: not all of them are in the list", draining)
 	}
 	b.core.SetWorkers(true, b.names.Workers(l, slog.New(slog.DiscardHandler)))
 }
 
-// caller is a stand-in for a proxy that carries requests itself.
+// caller is a client of the service, like a proxy that carries requests itself.
 type caller struct {
-	*bed
+	*env
 	pb.DecisionsClient
 	name string
 }
 
-func (b *bed) caller(name string) *caller { return &caller{b, pb.NewDecisionsClient(b.conn), name} }
+func (b *env) caller(name string) *caller { return &caller{b, pb.NewDecisionsClient(b.conn), name} }
 
 func (c *caller) ctx() context.Context {
 	ctx, stop := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), decisions.MetaCaller, c.name), time.Minute)
@@ -146,8 +146,8 @@
 	return err
 }
 
-// carry sends an attempt to the worker that was granted.
-func (c *caller) carry(g *pb.Choice, request, class, key string) (int, string) {
+// sendAttempt sends an attempt to the granted worker.
+func (c *caller) sendAttempt(g *pb.Choice, request, class, key string) (int, string) {
 	c.t.Helper()
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"messages":[{"role":"user","content":%q}]}`, key)
 	req, _ := http.NewRequest(http.MethodPost, "http://"+g.Endpoint+httpfront.PathChat, strings.NewReader(body))
@@ -170,14 +170,14 @@
 	}
 }
 
-// settled waits until all requests are over, and says whether something is still held.
-func (b *bed) settled() {
+// waitSettled waits until all requests are over, and fails if anything is still held.
+func (b *env) waitSettled() {
 	b.t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	b.core.Wait(ctx)
 	if ctx.Err() != nil || b.fleet.Held() > 0 {
-		b.t.Errorf("requests that never settle, or %d states that stay held", b.fleet.Held())
+		b.t.Errorf("requests did not end, or %d states are still held", b.fleet.Held())
 	}
 }
 
@@ -197,8 +197,8 @@
 	_, err = c.ask("q1", 0, "draft-reply")
 	wantCode(t, "another class", err, codes.FailedPrecondition)
 	_, err = c.ask("q1", 1, "send-message")
-	wantCode(t, "the next before its report", err, codes.FailedPrecondition)
-	if code, text := c.carry(read, "q1", "send-message", "k"); code != http.StatusAccepted {
+	wantCode(t, "the next attempt before the report", err, codes.FailedPrecondition)
+	if code, text := c.sendAttempt(read, "q1", "send-message", "k"); code != http.StatusAccepted {
 		t.Fatalf("read: %d %s", code, text)
 	}
 	if err := c.report(read, pb.Fate_FATE_READ); err != nil {
@@ -208,7 +208,7 @@
 	if write.Stage != pb.Stage_STAGE_WRITE || write.Endpoint == read.Endpoint {
 		t.Errorf("%v", write)
 	}
-	if code, text := c.carry(write, "q1", "send-message", "k"); code != http.StatusOK || !strings.HasSuffix(text, "[DONE]\n\n") {
+	if code, text := c.sendAttempt(write, "q1", "send-message", "k"); code != http.StatusOK || !strings.HasSuffix(text, "[DONE]\n\n") {
 		t.Fatalf("write: %d %s", code, text)
 	}
 	if err := c.report(write, pb.Fate_FATE_BEGUN); err != nil {
@@ -217,50 +217,50 @@
 	if err := c.report(write, pb.Fate_FATE_ENDED); err != nil {
 		t.Error(err)
 	}
-	b.settled()
+	b.waitSettled()
 	_, err = c.ask("q1", 0, "send-message")
-	wantCode(t, "the message once more", err, codes.Aborted)
+	wantCode(t, "the same message again", err, codes.Aborted)
 	_, err = b.caller("p2").ask("q1", 0, "send-message")
-	wantCode(t, "the message by another", err, codes.Aborted)
+	wantCode(t, "the same message by another caller", err, codes.Aborted)
 	wantCode(t, "a report after the end", c.report(write, pb.Fate_FATE_RAN), codes.NotFound)
 }
 
-// heldTracer holds what a caller has reported of a write back from the core, until release.
-type heldTracer struct {
+// blockingTracer delays the core's processing of a write's reported result until release is closed.
+type blockingTracer struct {
 	noop.Tracer
 	release chan struct{}
 }
 
-func (h heldTracer) Start(ctx context.Context, _ string, opts ...trace.SpanStartOption) (context.Context, trace.Span) {
+func (h blockingTracer) Start(ctx context.Context, _ string, opts ...trace.SpanStartOption) (context.Context, trace.Span) {
 	start := trace.NewSpanStartConfig(opts...)
 	if !slices.Contains(start.Attributes(), attribute.String("stage", "write")) {
 		return ctx, noop.Span{}
 	}
-	return ctx, heldSpan{release: h.release}
+	return ctx, blockingSpan{release: h.release}
 }
 
-type heldSpan struct {
+type blockingSpan struct {
 	noop.Span
 	release chan struct{}
 }
 
-func (h heldSpan) End(...trace.SpanEndOption) { <-h.release }
+func (h blockingSpan) End(...trace.SpanEndOption) { <-h.release }
 
-// A caller tells of an answer's beginning and at once of its end: the end holds, though the core has not heard of the
-// beginning yet, and is told once.
-func TestAnEndIsToldBeforeTheCoreHasHeardOfTheBeginning(t *testing.T) {
-	tracer := heldTracer{release: make(chan struct{})}
-	b := startSeen(t, standin.Options{Readers: 1, Writers: 1}, terms, slog.New(slog.DiscardHandler), decisions.Seen{Tracer: tracer})
+// A caller reports the start of a response and immediately its end. The end is accepted once, although the core has not
+// learned of the start yet.
+func TestEndReportedBeforeTheCoreLearnsOfTheStart(t *testing.T) {
+	tracer := blockingTracer{release: make(chan struct{})}
+	b := startObserved(t, standin.Options{Readers: 1, Writers: 1}, terms, slog.New(slog.DiscardHandler), decisions.Seen{Tracer: tracer})
 	c := b.caller("p1")
 	read := c.must(c.ask("q1", 0, "send-message"))
-	if code, text := c.carry(read, "q1", "send-message", "k"); code != http.StatusAccepted {
+	if code, text := c.sendAttempt(read, "q1", "send-message", "k"); code != http.StatusAccepted {
 		t.Fatalf("read: %d %s", code, text)
 	}
 	if err := c.report(read, pb.Fate_FATE_READ); err != nil {
 		t.Fatal(err)
 	}
 	write := c.must(c.ask("q1", 1, "send-message"))
-	if code, text := c.carry(write, "q1", "send-message", "k"); code != http.StatusOK {
+	if code, text := c.sendAttempt(write, "q1", "send-message", "k"); code != http.StatusOK {
 		t.Fatalf("write: %d %s", code, text)
 	}
 	for _, fate := range []pb.Fate{pb.Fate_FATE_BEGUN, pb.Fate_FATE_ENDED} {
@@ -268,15 +268,15 @@
 			t.Errorf("%v: %v", fate, err)
 		}
 	}
-	wantCode(t, "the end once more", c.report(write, pb.Fate_FATE_ENDED), codes.NotFound)
+	wantCode(t, "reporting the end again", c.report(write, pb.Fate_FATE_ENDED), codes.NotFound)
 	close(tracer.release)
-	b.settled()
-	if n := decisions.Streams(b.desk); n != 0 {
-		t.Errorf("%d streams that nobody relays", n)
+	b.waitSettled()
+	if n := decisions.OpenStreams(b.desk); n != 0 {
+		t.Errorf("%d streams are still tracked", n)
 	}
 }
 
-// The router reads, the caller carries the one write; turned away, it is told another writer.
+// The router reads and the caller carries the write. If that is turned away, the caller is given another writer.
 func TestReadHere(t *testing.T) {
 	b := start(t, standin.Options{Readers: 1, Writers: 2})
 	c := b.caller("p1")
@@ -291,25 +291,25 @@
 	}
 	other := c.must(c.ask("q1", 1, "send-message"))
 	if other.Endpoint == write.Endpoint || other.Stage != pb.Stage_STAGE_WRITE {
-		t.Errorf("%v after %v had turned it away", other, write)
+		t.Errorf("got %v after %v had turned it away", other, write)
 	}
-	if code, text := c.carry(other, "q1", "send-message", "k"); code != http.StatusOK {
+	if code, text := c.sendAttempt(other, "q1", "send-message", "k"); code != http.StatusOK {
 		t.Errorf("%d %s", code, text)
 	}
 	if err := c.report(other, pb.Fate_FATE_BEGUN); err != nil {
 		t.Error(err)
 	}
-	b.settled()
+	b.waitSettled()
 }
 
-// A caller that cancels its call while the router reads for it, or waits to, has gone: the router begins no read any more,
-// whatever silence it would allow a caller that carries its attempts itself.
+// If a caller cancels its call while the router reads for it or is waiting to read, the router starts no read for it,
+// however long it would let a caller that carries its own attempts be silent.
 func TestACancelledCallEndsWhatTheRouterCarries(t *testing.T) {
 	patient := terms
 	patient.Hold, patient.Drain = time.Hour, 2*time.Hour
 	var lines syncBuffer
-	b := startOn(t, standin.Options{Readers: 1, Writers: 1}, patient, slog.New(slog.NewTextHandler(&lines, nil)))
-	b.list(map[string]bool{"reader-0": true}) // the only one: the request waits for a reader
+	b := startWith(t, standin.Options{Readers: 1, Writers: 1}, patient, slog.New(slog.NewTextHandler(&lines, nil)))
+	b.setWorkers(map[string]bool{"reader-0": true}) // the only reader: the request waits for one
 	ctx, cancel := context.WithCancel(b.caller("p1").ctx())
 	asked := make(chan error)
 	go func() {
@@ -317,7 +317,7 @@
 			FirstTokenWithin: durationpb.New(time.Minute), Body: []byte(`{"messages":[{"content":"k"}]}`)})
 		asked <- err
 	}()
-	for b.desk.Over("q1") == nil { // it has come
+	for b.desk.Over("q1") == nil { // the request has arrived
 		runtime.Gosched()
 	}
 	cancel()
@@ -325,17 +325,17 @@
 	for end := time.Now().Add(time.Minute); !strings.Contains(lines.String(), "msg=answer") && time.Now().Before(end); {
 		runtime.Gosched()
 	}
-	b.settled()
+	b.waitSettled()
 	if text := lines.String(); !strings.Contains(text, "verdict=gone") || strings.Contains(text, "verdict=refused") {
-		t.Errorf("the request went on without its caller: %s", text)
+		t.Errorf("the request continued without its caller: %s", text)
 	}
-	b.list(nil)
+	b.setWorkers(nil)
 	if n := b.fleet.Calls("read", "k") + b.fleet.Calls("write", "k"); n != 0 {
-		t.Errorf("sent %d times for a caller that had gone", n)
+		t.Errorf("sent %d times for a caller that had left", n)
 	}
 }
 
-// syncBuffer is a buffer that is written to while it is read.
+// syncBuffer is a buffer that may be read while it is written.
 type syncBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -353,9 +353,9 @@
 	return b.text.String()
 }
 
-// A caller that forgets the request: what is held for it ends within 300 ms of its last sign, and 50 ms of the
-// sockets' slack. Compared with a caller that renews, whose state is still held then.
-func TestAForgottenRequestHoldsNothing(t *testing.T) {
+// If a caller forgets a request, what is held for it is released within 300 ms of its last sign plus 50 ms for the
+// sockets. In comparison, the state of a caller that renews is still held then.
+func TestAbandonedRequestsAreReleased(t *testing.T) {
 	b := start(t, standin.Options{Readers: 1, Writers: 1})
 	forgets, keeps := b.caller("p1"), b.caller("p2")
 	hold := func(c *caller, id string) *pb.Choice {
@@ -370,23 +370,23 @@
 			t.Fatal(err)
 		}
 		if time.Since(last) > time.Minute {
-			t.Fatal("it is held for ever")
+			t.Fatal("the state was not released within a minute")
 		}
 	}
-	t.Logf("let go %v after the last sign", time.Since(last))
+	t.Logf("released %v after the last sign", time.Since(last))
 	if b.fleet.Held() != 1 {
-		t.Error("what is renewed was let go with it")
+		t.Error("the renewed state was released too")
 	}
 	reply, err := keeps.Renew(keeps.ctx(), &pb.RenewRequest{Grants: []uint64{kept.Grant, 999}})
 	if err != nil || len(reply.Grants) != 2 || reply.Grants[0].Valid.AsDuration() <= 0 || reply.Grants[1].Why == "" {
 		t.Errorf("%v %v", reply, err)
 	}
 	keeps.Report(keeps.ctx(), &pb.ReportRequest{Grant: kept.Grant, Fate: pb.Fate_FATE_NOT_SENT, Over: true})
-	b.settled()
+	b.waitSettled()
 }
 
-// A caller that watches hears of a drain, with numbers that have no gap; a newer stream ends the older one.
-func TestWatchTellsOfDrains(t *testing.T) {
+// A watching caller is told of a drain with gapless sequence numbers. A newer stream ends the older one.
+func TestWatchReportsDrains(t *testing.T) {
 	b := start(t, standin.Options{Readers: 1, Writers: 1})
 	c := b.caller("p1")
 	watch, err := c.Watch(c.ctx())
@@ -399,25 +399,25 @@
 	}
 	g := c.must(c.ask("q1", 0, "send-message"))
 	if !g.Watched {
-		t.Error("the answer does not count on the stream")
+		t.Error("the choice is not marked as watched")
 	}
 	watch.Send(&pb.Ping{Number: 41})
 	pong, err := watch.Recv()
 	if err != nil || pong.Pong != 41 || pong.Seq != first.Seq {
 		t.Fatal(pong, err)
 	}
-	b.list(map[string]bool{g.Worker: true})
+	b.setWorkers(map[string]bool{g.Worker: true})
 	told, err := watch.Recv()
 	if err != nil || len(told.Revocations) != 1 || told.Revocations[0].Grant != g.Grant || told.Seq != first.Seq+1 || told.Revocations[0].Seq != told.Seq {
 		t.Fatal(told, err)
 	}
 	if reply, err := c.Renew(c.ctx(), &pb.RenewRequest{TakenUp: []uint64{g.Grant}}); err != nil || reply.Grants[0].Why == "" {
-		t.Errorf("taken up after it was revoked: %v %v", reply, err)
+		t.Errorf("taking up a revoked grant: %v %v", reply, err)
 	}
 	if err := c.report(g, pb.Fate_FATE_NOT_SENT); err != nil {
 		t.Error(err)
 	}
-	b.list(nil)
+	b.setWorkers(nil)
 	next := c.must(c.ask("q1", 1, "send-message"))
 	newer, err := c.Watch(c.ctx())
 	if err != nil {
@@ -430,55 +430,55 @@
 		t.Errorf("the older stream: %v", err)
 	}
 	c.Report(c.ctx(), &pb.ReportRequest{Grant: next.Grant, Fate: pb.Fate_FATE_NOT_SENT, Over: true})
-	b.settled()
+	b.waitSettled()
 }
 
-// What makes no sense gets one status with a reason, and leaves nothing behind.
-func TestBadCalls(t *testing.T) {
+// Invalid calls get a status with a reason and leave nothing behind.
+func TestInvalidCallsAreRejected(t *testing.T) {
 	b := start(t, standin.Options{})
 	c := b.caller("p1")
 	long := strings.Repeat("x", 65)
 	for what, r := range map[string]*pb.ChooseRequest{
-		"no id":             {Class: "draft-reply"},
-		"a long id":         {Request: long, Class: "draft-reply"},
-		"an id in two":      {Request: "a b", Class: "draft-reply"},
-		"no class":          {Request: "q"},
-		"another class":     {Request: "q", Class: "chat"},
-		"attempt -1":        {Request: "q", Class: "draft-reply", Attempt: -1},
-		"negative prompt":   {Request: "q", Class: "draft-reply", PromptTokens: -1},
-		"an endless prompt": {Request: "q", Class: "draft-reply", PromptTokens: 1 << 40},
-		"no time":           {Request: "q", Class: "draft-reply", FirstTokenWithin: durationpb.New(-time.Second)},
-		"years":             {Request: "q", Class: "draft-reply", FirstTokenWithin: durationpb.New(1e6 * time.Hour)},
-		"nothing to read":   {Request: "q", Class: "draft-reply", ReadHere: true},
+		"empty id":                  {Class: "draft-reply"},
+		"an id that is too long":    {Request: long, Class: "draft-reply"},
+		"an id with a space":        {Request: "a b", Class: "draft-reply"},
+		"no class":                  {Request: "q"},
+		"an unknown class":          {Request: "q", Class: "chat"},
+		"attempt -1":                {Request: "q", Class: "draft-reply", Attempt: -1},
+		"negative prompt":           {Request: "q", Class: "draft-reply", PromptTokens: -1},
+		"a prompt that is too long": {Request: "q", Class: "draft-reply", PromptTokens: 1 << 40},
+		"negative time":             {Request: "q", Class: "draft-reply", FirstTokenWithin: durationpb.New(-time.Second)},
+		"too much time":             {Request: "q", Class: "draft-reply", FirstTokenWithin: durationpb.New(1e6 * time.Hour)},
+		"no body to read":           {Request: "q", Class: "draft-reply", ReadHere: true},
 	} {
 		_, err := c.Choose(c.ctx(), r)
 		wantCode(t, what, err, codes.InvalidArgument)
 	}
 	_, err := c.ask("q", 3, "draft-reply")
-	wantCode(t, "attempt 3 of nothing", err, codes.FailedPrecondition)
+	wantCode(t, "attempt 3 of an unknown request", err, codes.FailedPrecondition)
 	_, err = b.caller(long).ask("q", 0, "draft-reply")
-	wantCode(t, "a long name", err, codes.InvalidArgument)
+	wantCode(t, "a caller name that is too long", err, codes.InvalidArgument)
 	_, err = c.Choose(context.Background(), &pb.ChooseRequest{Request: "q", Class: "draft-reply"})
-	wantCode(t, "no name", err, codes.InvalidArgument)
-	wantCode(t, "a grant that never was", c.report(&pb.Choice{Grant: 77}, pb.Fate_FATE_READ), codes.NotFound)
-	wantCode(t, "no fate", c.report(&pb.Choice{Grant: 77}, 0), codes.InvalidArgument)
-	wantCode(t, "a fate of tomorrow", c.report(&pb.Choice{Grant: 77}, 99), codes.InvalidArgument)
+	wantCode(t, "no caller name", err, codes.InvalidArgument)
+	wantCode(t, "an unknown grant", c.report(&pb.Choice{Grant: 77}, pb.Fate_FATE_READ), codes.NotFound)
+	wantCode(t, "an unspecified fate", c.report(&pb.Choice{Grant: 77}, 0), codes.InvalidArgument)
+	wantCode(t, "an unknown fate", c.report(&pb.Choice{Grant: 77}, 99), codes.InvalidArgument)
 	_, err = c.Renew(c.ctx(), &pb.RenewRequest{Grants: make([]uint64, 1001)})
-	wantCode(t, "too many at once", err, codes.InvalidArgument)
-	b.settled()
+	wantCode(t, "too many grants at once", err, codes.InvalidArgument)
+	b.waitSettled()
 	if reply, err := c.Grants(c.ctx(), &pb.GrantsRequest{}); err != nil || len(reply.Grants) != 0 || reply.Requests != 0 {
 		t.Errorf("left behind: %v %v", reply, err)
 	}
 }
 
-// A refusal says when to come back, in time; one that the caller did not wait for is told when it asks again.
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+// A refusal arrives in time and says when to retry.
+func TestRefusalsAdviseARetryDelay(t *testing.T) {
 	b := start(t, standin.Options{Readers: 1, Writers: 1})
 	all := map[string]bool{}
 	for _, h := range b.fleet.Hosts() {
 		all[h.Host] = true
 	}
-	b.list(all)
+	b.setWorkers(all)
 	c := b.caller("p1")
 	_, err := c.Choose(c.ctx(), &pb.ChooseRequest{Request: "q", Class: "draft-reply", FirstTokenWithin: durationpb.New(200 * time.Millisecond)})
 	wantCode(t, "no worker", err, codes.Unavailable)
@@ -487,14 +487,14 @@
 		info, _ = d.(*errdetails.RetryInfo)
 	}
 	if info == nil || info.RetryDelay.AsDuration() > 500*time.Millisecond {
-		t.Errorf("advice: %v", info)
+		t.Errorf("retry delay: %v", info)
 	}
-	b.settled()
+	b.waitSettled()
 }
 
-// Callers that never say that their answers have ended, and guess that they take long, make nothing grow: past the bound
-// answers count as ended at once.
-func TestAnswersWithoutAnEndAreBounded(t *testing.T) {
+// Callers that never report the ends of their responses and give long estimates do not exhaust memory: beyond the limit,
+// responses count as ended at once.
+func TestStreamsWithoutAnEndAreBounded(t *testing.T) {
 	defer func(n int) { terms.Open = n }(terms.Open)
 	terms.Open = 8
 	b := start(t, standin.Options{Readers: 2, Writers: 2})
@@ -504,14 +504,14 @@
 		g, err := c.Choose(c.ctx(), &pb.ChooseRequest{Request: id, Class: "draft-reply", PromptTokens: 100, ReadHere: true,
 			Body: []byte(`{"messages":[{"content":"k"}]}`), Estimate: durationpb.New(100 * time.Second)})
 		c.must(g, err)
-		if code, text := c.carry(g, id, "draft-reply", "k"); code != http.StatusOK {
+		if code, text := c.sendAttempt(g, id, "draft-reply", "k"); code != http.StatusOK {
 			t.Fatal(code, text)
 		}
 		if err := c.report(g, pb.Fate_FATE_BEGUN); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := decisions.Streams(b.desk); n > 8 {
-		t.Errorf("%d answers are waited for, 8 may be", n)
+	if n := decisions.OpenStreams(b.desk); n > 8 {
+		t.Errorf("%d streams are tracked, want at most 8", n)
 	}
 }
--- a/internal/decisions/export_test.go
+++ b/internal/decisions/export_test.go
@@ -1,7 +1,7 @@
 package decisions
 
-// Streams is how many answers a Desk waits for the end of.
-func Streams(d *Desk) int {
+// OpenStreams returns the number of responses whose end a Coordinator waits for.
+func OpenStreams(d *Desk) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.streams)
--- a/internal/decisions/rough_test.go
+++ b/internal/decisions/rough_test.go
@@ -20,63 +20,63 @@
 	"rowanyard/internal/standin"
 )
 
-// diary is the event log of a run over sockets.
-type diary struct {
-	mu    sync.Mutex
-	start time.Time
-	log   []rules.Event
-	calls int
+// eventLog is the event log of a run over sockets.
+type eventLog struct {
+	mu        sync.Mutex
+	start     time.Time
+	events    []rules.Event
+	callCount int
 }
 
-func (d *diary) add(kind rules.Kind, request, worker string, call int, once bool) {
+func (d *eventLog) add(kind rules.Kind, request, worker string, call int, once bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.log = append(d.log, rules.Event{At: time.Since(d.start), Kind: kind, Request: request, Worker: worker, Call: call, Once: once})
+	d.events = append(d.events, rules.Event{At: time.Since(d.start), Kind: kind, Request: request, Worker: worker, Call: call, Once: once})
 }
 
-func (d *diary) call() int {
+func (d *eventLog) call() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls++
-	return d.calls
+	d.callCount++
+	return d.callCount
 }
 
-// stalls is a caller that stalls at every message, repeats calls, lets answers lie, leaves, and loses and doubles its
-// reports. It keeps a caller's promises: it begins within the time that it was told, and renews what it carries.
-type stalls struct {
+// unreliableCaller is a caller that pauses before every message, repeats calls, delays answers, disconnects, and loses and
+// duplicates reports. It still does what callers must: it sends within the validity of a grant and renews what it carries.
+type unreliableCaller struct {
 	*caller
-	rng     *rand.Rand
-	diary   *diary
-	drained *sync.Map // workers that drain, since before the calls that look at it
+	rng      *rand.Rand
+	eventLog *eventLog
+	drained  *sync.Map // workers that were draining before the calls that check it
 }
 
-func (s *stalls) chance(p float64) bool { return s.rng.Float64() < p }
-func (s *stalls) stall() {
+func (s *unreliableCaller) chance(p float64) bool { return s.rng.Float64() < p }
+func (s *unreliableCaller) pause() {
 	if s.chance(0.3) {
 		<-time.After(time.Duration(s.rng.Int64N(int64(60 * time.Millisecond))))
 	}
 }
 
-// choose asks, again where it leaves in the middle. nil: no choice, and never one for this attempt.
-func (s *stalls) choose(id, class string, attempt int32) (*pb.Choice, time.Time) {
+// choose asks for a choice, and again if it disconnects in between. It returns nil if there is no choice.
+func (s *unreliableCaller) choose(id, class string, attempt int32) (*pb.Choice, time.Time) {
 	for range 6 {
-		s.stall()
+		s.pause()
 		ctx, leave := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), decisions.MetaCaller, s.name), 20*time.Second)
 		if s.chance(0.15) {
 			time.AfterFunc(time.Duration(s.rng.Int64N(int64(30*time.Millisecond))), leave)
 		}
 		closed := map[string]bool{}
 		s.drained.Range(func(k, _ any) bool { closed[k.(string)] = true; return true })
-		number, asked := s.diary.call(), time.Now()
-		s.diary.add(rules.Asked, id, "", number, false)
+		number, asked := s.eventLog.call(), time.Now()
+		s.eventLog.add(rules.Asked, id, "", number, false)
 		g, err := s.Choose(ctx, &pb.ChooseRequest{Request: id, Attempt: attempt, Class: class, PromptTokens: 40, FirstTokenWithin: durationpb.New(2 * time.Second)})
 		leave()
 		switch status.Code(err) {
 		case codes.Canceled, codes.DeadlineExceeded:
-			s.diary.add(rules.Cut, id, "", number, false)
+			s.eventLog.add(rules.Cut, id, "", number, false)
 			continue
 		}
-		s.diary.add(rules.Answered, id, "", number, false)
+		s.eventLog.add(rules.Answered, id, "", number, false)
 		if err != nil {
 			if status.Code(err) == codes.FailedPrecondition {
 				continue
@@ -85,10 +85,10 @@
 		}
 		if closed[g.Worker] && attempt == g.Attempt && time.Since(asked) < 100*time.Millisecond {
 			if _, still := s.drained.Load(g.Worker); still && g.Valid.AsDuration() > 500*time.Millisecond {
-				s.t.Errorf("%s names %s, which drains, for %v", id, g.Worker, g.Valid.AsDuration())
+				s.t.Errorf("%s is granted draining worker %s for %v", id, g.Worker, g.Valid.AsDuration())
 			}
 		}
-		if s.chance(0.2) { // the same once more: it has to be the same
+		if s.chance(0.2) { // repeat the call: the answer has to be the same
 			continue
 		}
 		return g, asked
@@ -96,26 +96,26 @@
 	return nil, time.Time{}
 }
 
-func (s *stalls) tell(g *pb.Choice, fate pb.Fate) {
+func (s *unreliableCaller) reportUnreliably(g *pb.Choice, fate pb.Fate) {
 	if s.chance(0.06) {
 		return
 	}
-	s.stall()
+	s.pause()
 	s.report(g, fate)
 	if s.chance(0.2) {
 		s.report(g, fate)
 	}
 }
 
-func (s *stalls) request(id, class string) (begun bool) {
+func (s *unreliableCaller) request(id, class string) (begun bool) {
 	for attempt := int32(0); attempt < 5; attempt++ {
 		g, asked := s.choose(id, class, attempt)
-		if g == nil || s.chance(0.05) { // or forgets it
+		if g == nil || s.chance(0.05) { // or forgets the request
 			return false
 		}
-		s.stall()
+		s.pause()
 		if s.chance(0.1) || time.Since(asked) > g.Valid.AsDuration() {
-			s.tell(g, pb.Fate_FATE_NOT_SENT)
+			s.reportUnreliably(g, pb.Fate_FATE_NOT_SENT)
 			continue
 		}
 		stop := make(chan struct{})
@@ -130,28 +130,27 @@
 				}
 			}
 		}()
-		code, _ := s.carry(g, id, class, id)
+		code, _ := s.sendAttempt(g, id, class, id)
 		close(stop)
 		switch {
 		case code == 202:
-			s.tell(g, pb.Fate_FATE_READ)
+			s.reportUnreliably(g, pb.Fate_FATE_READ)
 		case code == 200:
-			s.tell(g, pb.Fate_FATE_BEGUN)
+			s.reportUnreliably(g, pb.Fate_FATE_BEGUN)
 			return true
 		case code == 503 || code == 410:
-			s.tell(g, pb.Fate_FATE_TURNED_AWAY)
+			s.reportUnreliably(g, pb.Fate_FATE_TURNED_AWAY)
 		default:
-			s.tell(g, pb.Fate_FATE_RAN)
+			s.reportUnreliably(g, pb.Fate_FATE_RAN)
 		}
 	}
 	return false
 }
 
-// Over sockets, with workers that turn away, err and reset, and some that drain meanwhile: no message runs twice, each
-// call that waits gets one answer, and nothing is held at the end. The times of the rules are explored on a virtual
-// clock, see package grant.
+// Over sockets, with workers that turn away, fail and reset, and some that drain: no message runs twice, every waiting call
+// gets one answer, and nothing is held at the end. The time limits are tested on a virtual clock in package grant.
 func TestCallersThatStall(t *testing.T) {
-	d := &diary{start: time.Now()}
+	d := &eventLog{start: time.Now()}
 	kinds := map[string]rules.Kind{"out": rules.Out, "in": rules.In, "held": rules.Held, "freed": rules.Freed, "effect": rules.Effect}
 	b := start(t, standin.Options{Readers: 3, Writers: 4, Tokens: 2,
 		Behave: standin.Random(5, 0.04, standin.TurnAway, standin.Error, standin.ResetEarly, standin.ResetLate),
@@ -165,12 +164,12 @@
 		for i := 0; ; i++ {
 			select {
 			case <-done:
-				b.list(nil)
+				b.setWorkers(nil)
 				return
 			case <-time.After(40 * time.Millisecond):
 			}
 			out := hosts[i%len(hosts)].Host
-			b.list(map[string]bool{out: true})
+			b.setWorkers(map[string]bool{out: true})
 			drained.Clear()
 			drained.Store(out, true)
 		}
@@ -179,10 +178,10 @@
 	const callers, each = 8, 12
 	for n := range callers {
 		all.Go(func() {
-			s := &stalls{caller: b.caller(fmt.Sprint("p", n)), rng: rand.New(rand.NewPCG(uint64(n), 3)), diary: d, drained: &drained}
+			s := &unreliableCaller{caller: b.caller(fmt.Sprint("p", n)), rng: rand.New(rand.NewPCG(uint64(n), 3)), eventLog: d, drained: &drained}
 			for i := range each {
 				id := fmt.Sprintf("m-%d-%d", n, i)
-				if s.chance(0.1) { // another's
+				if s.chance(0.1) { // the id of another caller's request
 					id = fmt.Sprintf("m-%d-%d", (n+1)%callers, i)
 				}
 				class := "send-message"
@@ -201,10 +200,10 @@
 	all.Wait()
 	close(done)
 	rounds.Wait()
-	b.settled()
+	b.waitSettled()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, x := range rules.Check(d.log, rules.Limits{Drain: time.Hour, Hold: time.Hour}, time.Since(d.start)) {
+	for _, x := range rules.Check(d.events, rules.Limits{Drain: time.Hour, Hold: time.Hour}, time.Since(d.start)) {
 		t.Error(x)
 	}
 	for id, n := range b.fleet.Effects() {
@@ -212,8 +211,8 @@
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	t.Logf("%d of %d begun, %d calls", begun.Load(), callers*each, d.calls)
+	t.Logf("%d of %d begun, %d calls", begun.Load(), callers*each, d.callCount)
 	if begun.Load() < callers*each/2 {
-		t.Errorf("%d of %d begun: the run did not meet what it is for", begun.Load(), callers*each)
+		t.Errorf("only %d of %d begun", begun.Load(), callers*each)
 	}
 }
