--- a/internal/extproc/bench_test.go
+++ b/internal/extproc/bench_test.go
@@ -19,11 +19,11 @@
 	"rowanyard/internal/wire"
 )
 
-// The same requests through the HTTP front and through a proxy that calls the external processor, in turn, against the
-// same workers. One operation is one of each; the figures are the times to the first byte and what the second adds.
-func BenchmarkSideBySide(b *testing.B) {
+// Sends the same requests alternately through the HTTP front and through a proxy that calls the external processor, to the
+// same workers. One operation is one of each; the metrics are the times to the response headers for both.
+func BenchmarkProxyOverhead(b *testing.B) {
 	t := b
-	bed := start(t, standin.Options{Readers: 2, Writers: 2}, nil)
+	e := start(t, standin.Options{Readers: 2, Writers: 2}, nil)
 	log := slog.New(slog.DiscardHandler)
 	site, err := wire.ParseSite(standin.Settings())
 	if err != nil {
@@ -35,7 +35,7 @@
 		b.Fatal(err)
 	}
 	var list httpfront.List
-	text, _ := json.Marshal(map[string]any{"hosts": bed.fleet.Hosts()})
+	text, _ := json.Marshal(map[string]any{"hosts": e.fleet.Hosts()})
 	json.Unmarshal(text, &list)
 	c.SetWorkers(true, httpfront.Names{Kinds: site.KindNames, Zones: site.ZoneNames}.Workers(list, log))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,15 +46,15 @@
 	go front.Serve(l, 100)
 	defer front.Shutdown(context.Background(), "")
 	n := 0
-	one := func(url string) time.Duration {
+	firstByte := func(url string) time.Duration {
 		n++
 		req, _ := http.NewRequest(http.MethodPost, url+"/v1/chat/completions", strings.NewReader(prompt))
 		for k, v := range map[string]string{"X-Txn": fmt.Sprint("b", n), "X-Lane": "draft-reply", "X-Remaining-Ms": "5000", "X-Labels": "prompt_len=40,max_out=9"} {
 			req.Header.Set(k, v)
 		}
-		begun := time.Now()
+		started := time.Now()
 		res, err := http.DefaultClient.Do(req)
-		took := time.Since(begun)
+		took := time.Since(started)
 		if err != nil || res.StatusCode != 200 {
 			b.Fatal(res, err)
 		}
@@ -64,8 +64,8 @@
 	}
 	var plain, proxied []time.Duration
 	for b.Loop() {
-		plain = append(plain, one("http://"+l.Addr().String()))
-		proxied = append(proxied, one(bed.url))
+		plain = append(plain, firstByte("http://"+l.Addr().String()))
+		proxied = append(proxied, firstByte(e.url))
 	}
 	for name, v := range map[string][]time.Duration{"http": plain, "extproc": proxied} {
 		slices.Sort(v)
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -30,8 +30,8 @@
 	"rowanyard/internal/wire"
 )
 
-// bed is a stand-in proxy that calls the processor for each request.
-type bed struct {
+// env is a simulated deployment with a proxy that calls the processor for each request.
+type env struct {
 	fleet *standin.Fleet
 	core  *core.Core
 	url   string
@@ -43,7 +43,7 @@
 	override bool
 )
 
-func start(t testing.TB, o standin.Options, routes *describe.Routes) *bed {
+func start(t testing.TB, o standin.Options, routes *describe.Routes) *env {
 	t.Helper()
 	must := func(err error) {
 		if err != nil {
@@ -78,22 +78,22 @@
 	t.Cleanup(func() { conn.Close() })
 	proxy := httptest.NewServer(&standin.Proxy{Processor: conn, Destination: extproc.DestinationHeader, Transport: &http.Transport{}})
 	t.Cleanup(proxy.Close)
-	return &bed{fleet, c, proxy.URL, conn}
+	return &env{fleet, c, proxy.URL, conn}
 }
 
-func (b *bed) settled(t *testing.T) {
+func (b *env) waitSettled(t *testing.T) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	b.core.Wait(ctx)
 	if ctx.Err() != nil || b.fleet.Held() > 0 {
-		t.Errorf("requests that never settle, or %d states that stay held", b.fleet.Held())
+		t.Errorf("requests did not end, or %d states are still held", b.fleet.Held())
 	}
 }
 
 var ids atomic.Int64
 
-func (b *bed) post(path, class, key string, leftMs int, more ...string) (int, http.Header, string, error) {
+func (b *env) post(path, class, key string, leftMs int, more ...string) (int, http.Header, string, error) {
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"messages":[{"role":"user","content":%q}]}`, key)
 	req, _ := http.NewRequest(http.MethodPost, b.url+path, strings.NewReader(body))
 	req.Header.Set("X-Txn", fmt.Sprintf("t%d", ids.Add(1)))
@@ -117,10 +117,10 @@
 	if code != 200 || err != nil || !strings.Contains(text, `"t2 "`) || !strings.HasSuffix(text, "data: [DONE]\n\n") {
 		t.Errorf("%d %v %q", code, err, text)
 	}
-	b.settled(t)
+	b.waitSettled(t)
 }
 
-// Past the limit the client is told when to come back: an error on the stream would make the proxy answer 500.
+// Over the limit, the client is told when to retry. An error on the stream would make the proxy answer 500.
 func TestTooManyOpenRequestsAreRefused(t *testing.T) {
 	defer func(n int64) { maxOpen = n }(maxOpen)
 	maxOpen = 0
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestRefusedFailedAndBad(t *testing.T) {
+func TestWorkerFaultsGiveTheirStatuses(t *testing.T) {
 	for _, c := range []struct {
 		stage, class string
 		fault        standin.Fault
@@ -153,7 +153,7 @@
 		if n := b.fleet.Calls("write", "k"); n > 1 {
 			t.Errorf("%+v: written %d times", c, n)
 		}
-		b.settled(t)
+		b.waitSettled(t)
 	}
 }
 
@@ -186,7 +186,7 @@
 		})
 	}
 	all.Wait()
-	b.settled(t)
+	b.waitSettled(t)
 	for key, n := range b.fleet.Effects() {
 		if n > 1 {
 			t.Errorf("%s ran %d times", key, n)
@@ -194,11 +194,11 @@
 	}
 	t.Logf("%d served, %d broken or failed", served.Load(), broken.Load())
 	if served.Load() < 120 || broken.Load() == 0 {
-		t.Error("the run did not meet what it is for")
+		t.Error("too few requests were served, or none was broken")
 	}
 }
 
-func TestOperatorsDescriptionGivesRouteAndClass(t *testing.T) {
+func TestAPIDescriptionGivesRouteAndClass(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "api.yaml")
 	os.WriteFile(file, []byte(`openapi: 3.0.3
 info: {title: theirs, version: "1"}
@@ -217,9 +217,9 @@
 	if code, _, text, err := b.post("/members/7/send", "", "k", 0); code != 200 || err != nil || b.fleet.Effects()["send-message k"] != 1 {
 		t.Errorf("%d %q %v", code, text, err)
 	}
-	// What the description does not name passes untouched: here to an upstream that does not exist.
+	// A path outside the description passes unchanged, here to an upstream that does not exist.
 	if code, _, _, _ := b.post("/other", "", "k2", 0); code != 503 || b.fleet.Calls("read", "k2") != 0 {
-		t.Errorf("other: %d", code)
+		t.Errorf("path outside the description: %d", code)
 	}
-	b.settled(t)
+	b.waitSettled(t)
 }
--- a/internal/extproc/modes_test.go
+++ b/internal/extproc/modes_test.go
@@ -22,15 +22,15 @@
 	"rowanyard/internal/standin"
 )
 
-// script speaks ext_proc message by message, as a proxy in any mode would.
-type script struct {
+// proxyStream speaks ext_proc message by message, like a proxy in any processing mode.
+type proxyStream struct {
 	t      *testing.T
 	stream extprocv3.ExternalProcessor_ProcessClient
 	stop   func()
 	id     string
 }
 
-func (b *bed) script(t *testing.T) *script {
+func (b *env) proxyStream(t *testing.T) *proxyStream {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(stop)
@@ -38,17 +38,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &script{t, stream, stop, fmt.Sprintf("s%d", ids.Add(1))}
+	return &proxyStream{t, stream, stop, fmt.Sprintf("s%d", ids.Add(1))}
 }
 
-func (s *script) send(m *extprocv3.ProcessingRequest) {
+func (s *proxyStream) send(m *extprocv3.ProcessingRequest) {
 	s.t.Helper()
 	if err := s.stream.Send(m); err != nil && err != io.EOF {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *script) recv() *extprocv3.ProcessingResponse {
+func (s *proxyStream) recv() *extprocv3.ProcessingResponse {
 	s.t.Helper()
 	m, err := s.stream.Recv()
 	if err != nil {
@@ -59,7 +59,7 @@
 
 const prompt = `{"model":"chat","stream":true,"messages":[{"role":"user","content":"k"}]}`
 
-func (s *script) head(request, answer modev3.ProcessingMode_BodySendMode, early, end bool) *extprocv3.ProcessingRequest {
+func (s *proxyStream) requestHeaders(request, answer modev3.ProcessingMode_BodySendMode, early, end bool) *extprocv3.ProcessingRequest {
 	h := &corev3.HeaderMap{}
 	for k, v := range map[string]string{":method": "POST", ":path": "/v1/chat/completions", "x-txn": s.id, "x-lane": "send-message",
 		"x-remaining-ms": "2000", "x-labels": "prompt_len=40,max_out=9"} {
@@ -69,24 +69,24 @@
 		ProtocolConfig: &extprocv3.ProtocolConfiguration{RequestBodyMode: request, ResponseBodyMode: answer, SendBodyWithoutWaitingForHeaderResponse: early}}
 }
 
-func body(text string, end bool) *extprocv3.ProcessingRequest {
+func requestBody(text string, end bool) *extprocv3.ProcessingRequest {
 	return &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{RequestBody: &extprocv3.HttpBody{Body: []byte(text), EndOfStream: end}}}
 }
 
-func trailers() *extprocv3.ProcessingRequest {
+func requestTrailers() *extprocv3.ProcessingRequest {
 	return &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestTrailers{RequestTrailers: &extprocv3.HttpTrailers{}}}
 }
 
-func answer(code int, end bool) *extprocv3.ProcessingRequest {
+func responseHeaders(code int, end bool) *extprocv3.ProcessingRequest {
 	return &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{ResponseHeaders: &extprocv3.HttpHeaders{EndOfStream: end,
 		Headers: &corev3.HeaderMap{Headers: []*corev3.HeaderValue{{Key: ":status", RawValue: []byte(fmt.Sprint(code))}}}}}}
 }
 
-func answerBody(text string, end bool) *extprocv3.ProcessingRequest {
+func responseBody(text string, end bool) *extprocv3.ProcessingRequest {
 	return &extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseBody{ResponseBody: &extprocv3.HttpBody{Body: []byte(text), EndOfStream: end}}}
 }
 
-// destination is where an answer sends the request, as header and as metadata.
+// destination returns the endpoint that a response names, in the header and in the metadata.
 func destination(m *extprocv3.ProcessingResponse) (header, meta string) {
 	for _, c := range []*extprocv3.CommonResponse{m.GetRequestHeaders().GetResponse(), m.GetRequestBody().GetResponse()} {
 		for _, h := range c.GetHeaderMutation().GetSetHeaders() {
@@ -98,8 +98,8 @@
 	return header, m.GetDynamicMetadata().GetFields()[extproc.MetadataSpace].GetStructValue().GetFields()[extproc.DestinationHeader].GetStringValue()
 }
 
-// carry writes to the worker, as the proxy's upstream would.
-func (s *script) carry(to string) int {
+// sendWrite sends the request to the worker, as the proxy would to its upstream.
+func (s *proxyStream) sendWrite(to string) int {
 	s.t.Helper()
 	req, _ := http.NewRequest(http.MethodPost, "http://"+to+"/v1/chat/completions", strings.NewReader(prompt))
 	req.Header.Set("X-Txn", s.id)
@@ -113,28 +113,28 @@
 	return res.StatusCode
 }
 
-// finish carries the write and tells the processor of the answer, in the mode for answers.
-func (s *script) finish(to string, mode modev3.ProcessingMode_BodySendMode) {
+// finish carries the write and reports its response to the processor in the given mode.
+func (s *proxyStream) finish(to string, mode modev3.ProcessingMode_BodySendMode) {
 	s.t.Helper()
-	s.send(answer(s.carry(to), false))
+	s.send(responseHeaders(s.sendWrite(to), false))
 	if s.recv().GetResponseHeaders() == nil {
-		s.t.Fatal("the answer's head does not pass")
+		s.t.Fatal("the response headers do not pass")
 	}
 	if mode == modev3.ProcessingMode_NONE {
 		s.stream.CloseSend()
 		return
 	}
-	s.send(answerBody("data: x\n\n", false))
+	s.send(responseBody("data: x\n\n", false))
 	r := s.recv().GetResponseBody()
 	if back := r.GetResponse().GetBodyMutation().GetStreamedResponse(); (back != nil) != (mode == modev3.ProcessingMode_FULL_DUPLEX_STREAMED) || back != nil && string(back.Body) != "data: x\n\n" {
 		s.t.Errorf("%v in mode %v", r, mode)
 	}
-	s.send(answerBody("", true))
+	s.send(responseBody("", true))
 	s.recv()
 	s.stream.CloseSend()
 }
 
-// Each mode that proxies use gets the prompt read before the request goes on, and names one writer.
+// In every mode that proxies use, the prompt is read before the request goes on, and exactly one writer is named.
 func TestProcessingModes(t *testing.T) {
 	const (
 		none, buffered, partial = modev3.ProcessingMode_NONE, modev3.ProcessingMode_BUFFERED, modev3.ProcessingMode_BUFFERED_PARTIAL
@@ -142,28 +142,28 @@
 	)
 	half := len(prompt) / 2
 	for _, c := range []struct {
-		name            string
-		request, answer modev3.ProcessingMode_BodySendMode
-		early           bool
-		parts           []*extprocv3.ProcessingRequest
+		name                      string
+		requestMode, responseMode modev3.ProcessingMode_BodySendMode
+		earlyBody                 bool
+		parts                     []*extprocv3.ProcessingRequest
 	}{
-		{"buffered", buffered, stream, false, []*extprocv3.ProcessingRequest{body(prompt, true)}},
-		{"buffered, trailers", buffered, buffered, false, []*extprocv3.ProcessingRequest{body(prompt, false), trailers()}},
-		{"partial, whole", partial, none, false, []*extprocv3.ProcessingRequest{body(prompt, true)}},
-		{"streamed early", stream, stream, true, []*extprocv3.ProcessingRequest{body(prompt[:half], false), body(prompt[half:], true)}},
-		{"streamed early, trailers", stream, none, true, []*extprocv3.ProcessingRequest{body(prompt[:half], false), body(prompt[half:], false), trailers()}},
-		{"streamed, overridden", stream, stream, false, []*extprocv3.ProcessingRequest{body(prompt, true)}},
-		{"heads only, overridden", none, stream, false, []*extprocv3.ProcessingRequest{body(prompt, true)}},
-		{"full duplex", duplex, duplex, false, []*extprocv3.ProcessingRequest{body(prompt[:half], false), body(prompt[half:], true)}},
-		{"full duplex, trailers", duplex, duplex, false, []*extprocv3.ProcessingRequest{body(prompt, false), trailers()}},
+		{"buffered", buffered, stream, false, []*extprocv3.ProcessingRequest{requestBody(prompt, true)}},
+		{"buffered, trailers", buffered, buffered, false, []*extprocv3.ProcessingRequest{requestBody(prompt, false), requestTrailers()}},
+		{"partial, complete", partial, none, false, []*extprocv3.ProcessingRequest{requestBody(prompt, true)}},
+		{"streamed early", stream, stream, true, []*extprocv3.ProcessingRequest{requestBody(prompt[:half], false), requestBody(prompt[half:], true)}},
+		{"streamed early, trailers", stream, none, true, []*extprocv3.ProcessingRequest{requestBody(prompt[:half], false), requestBody(prompt[half:], false), requestTrailers()}},
+		{"streamed, overridden", stream, stream, false, []*extprocv3.ProcessingRequest{requestBody(prompt, true)}},
+		{"headers only, overridden", none, stream, false, []*extprocv3.ProcessingRequest{requestBody(prompt, true)}},
+		{"full duplex", duplex, duplex, false, []*extprocv3.ProcessingRequest{requestBody(prompt[:half], false), requestBody(prompt[half:], true)}},
+		{"full duplex, trailers", duplex, duplex, false, []*extprocv3.ProcessingRequest{requestBody(prompt, false), requestTrailers()}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			override = true
 			defer func() { override = false }()
 			b := start(t, standin.Options{Writers: 2}, nil)
-			s := b.script(t)
-			s.send(s.head(c.request, c.answer, c.early, false))
-			held := c.request == duplex || c.early
+			s := b.proxyStream(t)
+			s.send(s.requestHeaders(c.requestMode, c.responseMode, c.earlyBody, false))
+			held := c.requestMode == duplex || c.earlyBody
 			to, meta, back := "", "", ""
 			note := func(m *extprocv3.ProcessingResponse) {
 				t.Helper()
@@ -172,7 +172,7 @@
 				}
 				if h, d := destination(m); h != "" {
 					if to != "" {
-						t.Error("named twice")
+						t.Error("destination named twice")
 					}
 					to, meta = h, d
 				}
@@ -181,7 +181,7 @@
 			if !held {
 				m := s.recv()
 				note(m)
-				if want := c.request == none || c.request == stream; (m.GetModeOverride().GetRequestBodyMode() == buffered) != want {
+				if want := c.requestMode == none || c.requestMode == stream; (m.GetModeOverride().GetRequestBodyMode() == buffered) != want {
 					t.Errorf("override %v", m.GetModeOverride())
 				}
 			}
@@ -198,17 +198,17 @@
 			if to == "" || meta != to {
 				t.Fatalf("sent to %q, by metadata to %q", to, meta)
 			}
-			if c.request == duplex && back != prompt {
-				t.Errorf("the body came back as %q", back)
+			if c.requestMode == duplex && back != prompt {
+				t.Errorf("the body was sent back as %q", back)
 			}
 			if n := b.fleet.Calls("read", "k"); n != 1 || b.fleet.Calls("write", "k") != 0 {
 				t.Errorf("read %d times before the write", n)
 			}
-			s.finish(to, c.answer)
+			s.finish(to, c.responseMode)
 			if _, err := s.stream.Recv(); err != io.EOF {
 				t.Errorf("after the end: %v", err)
 			}
-			b.settled(t)
+			b.waitSettled(t)
 			if b.fleet.Effects()["send-message k"] != 1 {
 				t.Errorf("effects: %v", b.fleet.Effects())
 			}
@@ -216,34 +216,34 @@
 	}
 }
 
-// What can't be served, or makes no sense, gets one answer with a reason, and leaves nothing behind.
-func TestBadMessages(t *testing.T) {
+// Messages that are invalid or cannot be served get one answer with a reason and leave nothing behind.
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	const buffered, stream = modev3.ProcessingMode_BUFFERED, modev3.ProcessingMode_STREAMED
-	observes := body(prompt, true)
+	observes := requestBody(prompt, true)
 	observes.ObservabilityMode = true
 	for _, c := range []struct {
 		name string
 		mode modev3.ProcessingMode_BodySendMode
-		more []*extprocv3.ProcessingRequest // after the head, nil = no head
+		more []*extprocv3.ProcessingRequest // sent after the headers
 		code int                            // of an immediate answer, or
 		want codes.Code                     // of the stream
 	}{
-		{"heads only, no override", modev3.ProcessingMode_NONE, nil, 500, 0},
+		{"headers only, no override", modev3.ProcessingMode_NONE, nil, 500, 0},
 		{"streamed late, no override", stream, nil, 500, 0},
-		{"a mode of tomorrow", 77, nil, 500, 0},
-		{"partial, cut off", modev3.ProcessingMode_BUFFERED_PARTIAL, []*extprocv3.ProcessingRequest{body(prompt, false)}, 413, 0},
-		{"too long", buffered, []*extprocv3.ProcessingRequest{body(strings.Repeat("x", 257<<10), true)}, 413, 0},
-		{"an empty body", buffered, []*extprocv3.ProcessingRequest{body("", true)}, 400, 0},
-		{"observes", buffered, []*extprocv3.ProcessingRequest{observes}, 0, codes.FailedPrecondition},
-		{"a second head", buffered, []*extprocv3.ProcessingRequest{(&script{id: "x"}).head(buffered, stream, false, false)}, 0, codes.FailedPrecondition},
-		{"an answer to nothing", buffered, []*extprocv3.ProcessingRequest{answer(200, false)}, 0, codes.FailedPrecondition},
-		{"an answer's body first", buffered, []*extprocv3.ProcessingRequest{answerBody("x", true)}, 0, codes.FailedPrecondition},
-		{"nothing", buffered, []*extprocv3.ProcessingRequest{{}}, 0, codes.Unimplemented},
+		{"an unknown mode", 77, nil, 500, 0},
+		{"partial, truncated", modev3.ProcessingMode_BUFFERED_PARTIAL, []*extprocv3.ProcessingRequest{requestBody(prompt, false)}, 413, 0},
+		{"too long", buffered, []*extprocv3.ProcessingRequest{requestBody(strings.Repeat("x", 257<<10), true)}, 413, 0},
+		{"an empty body", buffered, []*extprocv3.ProcessingRequest{requestBody("", true)}, 400, 0},
+		{"observability mode", buffered, []*extprocv3.ProcessingRequest{observes}, 0, codes.FailedPrecondition},
+		{"a second set of request headers", buffered, []*extprocv3.ProcessingRequest{(&proxyStream{id: "x"}).requestHeaders(buffered, stream, false, false)}, 0, codes.FailedPrecondition},
+		{"response headers before the body", buffered, []*extprocv3.ProcessingRequest{responseHeaders(200, false)}, 0, codes.FailedPrecondition},
+		{"a response body before its headers", buffered, []*extprocv3.ProcessingRequest{responseBody("x", true)}, 0, codes.FailedPrecondition},
+		{"an empty message", buffered, []*extprocv3.ProcessingRequest{{}}, 0, codes.Unimplemented},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := start(t, standin.Options{}, nil)
-			s := b.script(t)
-			s.send(s.head(c.mode, stream, false, false))
+			s := b.proxyStream(t)
+			s.send(s.requestHeaders(c.mode, stream, false, false))
 			for _, m := range c.more {
 				s.send(m)
 			}
@@ -266,34 +266,35 @@
 				}
 			}
 			s.stop()
-			b.settled(t)
+			b.waitSettled(t)
 			if len(b.fleet.Effects()) > 0 {
-				t.Error("it ran")
+				t.Error("the request ran")
 			}
 		})
 	}
 	b := start(t, standin.Options{}, nil)
-	s := b.script(t)
-	s.send(body(prompt, true))
+	s := b.proxyStream(t)
+	s.send(requestBody(prompt, true))
 	if _, err := s.stream.Recv(); status.Code(err) != codes.FailedPrecondition {
-		t.Errorf("a body first: %v", err)
+		t.Errorf("a body before the headers: %v", err)
 	}
 }
 
-// A proxy that leaves at any point holds nothing, and what it may have carried is never granted again.
+// After a proxy leaves, at whatever point, nothing is held for it, and a write that it may have carried is not granted
+// again.
 func TestAProxyThatLeaves(t *testing.T) {
 	const buffered, stream = modev3.ProcessingMode_BUFFERED, modev3.ProcessingMode_STREAMED
 	for point := range 6 {
 		b := start(t, standin.Options{}, nil)
-		s := b.script(t)
+		s := b.proxyStream(t)
 		to := ""
 		for i, do := range []func(){
-			func() { s.send(s.head(buffered, stream, false, false)) },
+			func() { s.send(s.requestHeaders(buffered, stream, false, false)) },
 			func() { s.recv() },
-			func() { s.send(body(prompt, true)) },
+			func() { s.send(requestBody(prompt, true)) },
 			func() { to, _ = destination(s.recv()) },
-			func() { s.send(answer(s.carry(to), false)); s.recv() },
-			func() { s.send(answerBody("data: x\n\n", false)); s.recv() },
+			func() { s.send(responseHeaders(s.sendWrite(to), false)); s.recv() },
+			func() { s.send(responseBody("data: x\n\n", false)); s.recv() },
 		} {
 			if i > point {
 				break
@@ -301,12 +302,12 @@
 			do()
 		}
 		s.stop()
-		b.settled(t)
-		again := b.script(t)
+		b.waitSettled(t)
+		again := b.proxyStream(t)
 		again.id = s.id
-		again.send(again.head(buffered, stream, false, false))
+		again.send(again.requestHeaders(buffered, stream, false, false))
 		again.recv()
-		again.send(body(prompt, true))
+		again.send(requestBody(prompt, true))
 		m := again.recv()
 		granted, refused := false, int(m.GetImmediateResponse().GetStatus().GetCode())
 		if where, _ := destination(m); where != "" {
@@ -319,29 +320,29 @@
 			t.Errorf("left after step %d: %v", point, m)
 		}
 		again.stop()
-		b.settled(t)
+		b.waitSettled(t)
 	}
 }
 
-// A proxy that went elsewhere than it was told can't say what ran: its client gets a failure.
+// If a proxy used another endpoint than the granted one, it is unknown what ran, and its client gets a failure.
 func TestAnotherEndpointServed(t *testing.T) {
 	b := start(t, standin.Options{Writers: 2}, nil)
-	s := b.script(t)
-	s.send(s.head(modev3.ProcessingMode_BUFFERED, modev3.ProcessingMode_STREAMED, false, false))
+	s := b.proxyStream(t)
+	s.send(s.requestHeaders(modev3.ProcessingMode_BUFFERED, modev3.ProcessingMode_STREAMED, false, false))
 	s.recv()
-	s.send(body(prompt, true))
+	s.send(requestBody(prompt, true))
 	to, _ := destination(s.recv())
-	m := answer(s.carry(to), false)
+	m := responseHeaders(s.sendWrite(to), false)
 	served, _ := structpb.NewStruct(map[string]any{extproc.ServedKey: "127.0.0.1:1"})
 	m.MetadataContext = &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{extproc.MetadataSpace: served}}
 	s.send(m)
 	if code := s.recv().GetImmediateResponse().GetStatus().GetCode(); code != http.StatusBadGateway {
-		t.Errorf("%d", code)
+		t.Errorf("code %d, want 502", code)
 	}
-	b.settled(t)
+	b.waitSettled(t)
 }
 
-// Many requests share one connection, each its own stream.
+// Many requests share one connection, each with its own stream.
 func TestManyRequestsOnOneConnection(t *testing.T) {
 	b := start(t, standin.Options{Readers: 2, Writers: 3}, nil)
 	conn, err := grpc.NewClient(b.conn.Target(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -350,19 +351,19 @@
 	}
 	defer conn.Close()
 	b.conn = conn
-	var open []*script
+	var open []*proxyStream
 	for range 20 {
-		s := b.script(t)
-		s.send(s.head(modev3.ProcessingMode_BUFFERED, modev3.ProcessingMode_STREAMED, false, false))
+		s := b.proxyStream(t)
+		s.send(s.requestHeaders(modev3.ProcessingMode_BUFFERED, modev3.ProcessingMode_STREAMED, false, false))
 		open = append(open, s)
 	}
 	for _, s := range open {
 		s.recv()
-		s.send(body(prompt, true))
+		s.send(requestBody(prompt, true))
 	}
 	for _, s := range open {
 		to, _ := destination(s.recv())
 		s.finish(to, modev3.ProcessingMode_STREAMED)
 	}
-	b.settled(t)
+	b.waitSettled(t)
 }
--- a/internal/extproc/sequence_test.go
+++ b/internal/extproc/sequence_test.go
@@ -7,8 +7,8 @@
 	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 )
 
-// message makes one of a few bytes.
-func message(kind, more byte) *extprocv3.ProcessingRequest {
+// newMessage returns the message that two bytes encode.
+func newMessage(kind, more byte) *extprocv3.ProcessingRequest {
 	end, m := more&1 != 0, &extprocv3.ProcessingRequest{ObservabilityMode: more&0xf0 == 0xf0}
 	text := &extprocv3.HttpBody{Body: make([]byte, int(more>>1)), EndOfStream: end}
 	heads := &extprocv3.HttpHeaders{EndOfStream: end}
@@ -32,8 +32,8 @@
 	return m
 }
 
-// Whatever comes in whatever order: each message is refused or is the next of its stage, no body goes past its
-// limit, and nothing follows what was whole.
+// Whatever the order of messages: each is rejected or follows the previous step, no body exceeds its limit, and nothing
+// follows a complete body or response.
 func FuzzSequence(f *testing.F) {
 	for _, seed := range []string{"\x80\x10\x01\x41\x04\x00\x05\x10\x05\x01", "\x00\x00\x01\x40\x01\x41\x03\x00\x04\x01", "\x80\x41\x02\x20\x03\x00\x04\x00\x06\x00",
 		"\x01\x00", "\x00\x00\x00\x00", "\x04\x00", "\x00\xf0", "\x07\x00", "\x80\x30\x01\x20\x01\x20\x01\x21\x01\x21"} {
@@ -44,10 +44,10 @@
 		q := sequence{maxBody: maxBody}
 		last, bytes, requestComplete, responseComplete := stepNone, 0, false, false
 		for ; len(text) >= 2; text = text[2:] {
-			m := message(text[0], text[1])
+			m := newMessage(text[0], text[1])
 			got, err := q.handle(m)
 			if err != nil {
-				return // the call is over
+				return // the stream is over
 			}
 			if got < last || got == stepRequestHeaders && last != stepNone || last == stepNone && got != stepRequestHeaders || got == last && got != stepRequestBody && got != stepResponseBody {
 				t.Fatalf("%d after %d", got, last)
