--- a/internal/grant/callers.go
+++ b/internal/grant/callers.go
@@ -57,13 +57,13 @@
 func (t *Table) admit(name string) (*caller, error) {
 	c := t.callers[name]
 	if c == nil {
-		if len(t.callers) >= t.config.Callers {
-			return nil, &Busy{ErrCallers, t.config.MaxWait}
+		if len(t.callers) >= t.cfg.Callers {
+			return nil, &Busy{ErrCallers, t.cfg.MaxWait}
 		}
 		c = &caller{name: name}
 	}
-	if free := t.config.Open - len(t.requests) - t.releasing; c.open >= free {
-		return nil, &Busy{ErrBusy, min(t.config.MaxWait, t.config.Hold)} // by then the requests of a silent caller have ended
+	if free := t.cfg.Open - len(t.requests) - t.releasing; c.open >= free {
+		return nil, &Busy{ErrBusy, min(t.cfg.MaxWait, t.cfg.Hold)} // by then the requests of a silent caller have ended
 	}
 	t.callers[name] = c
 	return c, nil
@@ -84,8 +84,8 @@
 	}
 	c := t.callers[name]
 	if c == nil {
-		if len(t.callers) >= t.config.Callers {
-			return 0, 0, &Busy{ErrCallers, t.config.MaxWait}
+		if len(t.callers) >= t.cfg.Callers {
+			return 0, 0, &Busy{ErrCallers, t.cfg.MaxWait}
 		}
 		c = &caller{name: name}
 		t.callers[name] = c
@@ -127,7 +127,7 @@
 	c.feed = nil
 	for q := c.firstRequest; q != nil; q = q.next {
 		if g := q.lastGrant; g != nil && g.State == Offered {
-			g.Until = min(g.Until, now+t.config.Heard)
+			g.Until = min(g.Until, now+t.cfg.Heard)
 			t.schedule(q)
 		}
 	}
@@ -142,7 +142,7 @@
 		return
 	}
 	f.seq++
-	if len(f.queue) >= t.config.FeedDepth {
+	if len(f.queue) >= t.cfg.FeedDepth {
 		f.queue = f.queue[:0]
 	}
 	f.queue = append(f.queue, Revocation{Seq: f.seq, Grant: g.ID, Request: g.req.id, Worker: g.Worker, Why: why, At: now})
@@ -203,7 +203,7 @@
 			continue
 		}
 		g.State = Revoked
-		g.Until = min(g.Until, w.closedAt+t.config.Drain-t.config.Delivery-t.config.Tick)
+		g.Until = min(g.Until, w.closedAt+t.cfg.Drain-t.cfg.Delivery-t.cfg.Tick)
 		t.queueRevocation(now, g, why)
 		t.logStep(now, StepRevoke, g, nil)
 		revoked = append(revoked, g)
@@ -226,11 +226,11 @@
 // pruneWorkers removes workers without grants that were closed longer than the effect retention ago. By then, whoever
 // chooses workers no longer knows them or closes them again.
 func (t *Table) pruneWorkers(now time.Duration) {
-	if len(t.workers) <= t.config.Open {
+	if len(t.workers) <= t.cfg.Open {
 		return
 	}
 	for id, w := range t.workers {
-		if w.closed && w.firstGrant == nil && now-w.closedAt > t.config.Remember {
+		if w.closed && w.firstGrant == nil && now-w.closedAt > t.cfg.Remember {
 			delete(t.workers, id)
 		}
 	}
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -61,7 +61,7 @@
 	ErrClass      = errors.New("the request began with another class")
 )
 
-// CapacityError reports that a limit has been reached. RetryAfter is when capacity may be available again.
+// BusyError reports that a limit has been reached. RetryAfter is when capacity may be available again.
 type Busy struct {
 	Why   error
 	After time.Duration
@@ -188,7 +188,7 @@
 
 // Table holds all grants of one router. It is not safe for concurrent use.
 type Table struct {
-	config    Terms
+	cfg       Terms
 	wheel     *Wheel[*request]
 	requests  map[string]*request // open requests, by id
 	grants    map[uint64]*Grant   // the latest grant of each open request
@@ -202,13 +202,13 @@
 }
 
 // New returns an empty Table. log is called for every step; it may be nil.
-func New(config Terms, now time.Duration, log func(Event)) (*Table, error) {
-	if err := config.Check(); err != nil {
+func New(cfg Terms, now time.Duration, log func(Event)) (*Table, error) {
+	if err := cfg.Check(); err != nil {
 		return nil, fmt.Errorf("grant: %w", err)
 	}
-	return &Table{config: config, wheel: NewWheel[*request](config.Tick, now), requests: make(map[string]*request),
+	return &Table{cfg: cfg, wheel: NewWheel[*request](cfg.Tick, now), requests: make(map[string]*request),
 		grants: make(map[uint64]*Grant), workers: make(map[string]*worker), callers: make(map[string]*caller),
-		ledger: newLedger(config.Effects, config.Tick, now), log: log}, nil
+		ledger: newLedger(cfg.Effects, cfg.Tick, now), log: log}, nil
 }
 
 // Begin handles a call for a choice. If the same call has already been answered it returns that grant, so that repeated
@@ -240,7 +240,7 @@
 	}
 	if a.Once && t.ledger.full() {
 		t.forgetCaller(c)
-		return nil, false, &Busy{ErrLedger, t.config.MaxWait}
+		return nil, false, &Busy{ErrLedger, t.cfg.MaxWait}
 	}
 	q := &request{id: a.Request, caller: c, class: a.Class, nonIdempotent: a.Once, choicePending: true, lastSeen: now}
 	q.timer.Of = q
@@ -274,7 +274,7 @@
 	return nil, false, nil
 }
 
-func (t *Table) validID(id string) bool { return id != "" && len(id) <= t.config.Longest }
+func (t *Table) validID(id string) bool { return id != "" && len(id) <= t.cfg.Longest }
 
 // Attach marks the caller of a request as present until Detach. It is for transports that report a disconnect.
 func (t *Table) Attach(request string) {
@@ -297,7 +297,7 @@
 }
 
 // maxSilence is how long a caller may give no sign; it leaves enough of the hold timeout to release what is held in time.
-func (t *Table) maxSilence() time.Duration { return t.config.Hold - t.config.Delivery - t.config.Tick }
+func (t *Table) maxSilence() time.Duration { return t.cfg.Hold - t.cfg.Delivery - t.cfg.Tick }
 
 // Offer completes the choice in progress for a request with the given worker. timeout is that of the attempt. Offer fails
 // if the worker takes no new requests or the ledger is full; the choice then stays in progress.
@@ -312,9 +312,9 @@
 		t.forgetWorker(workerID, w)
 		return nil, ErrDraining
 	}
-	if q.nonIdempotent && !read && !t.ledger.reserve(request, now+timeout+t.config.Remember) {
+	if q.nonIdempotent && !read && !t.ledger.reserve(request, now+timeout+t.cfg.Remember) {
 		t.forgetWorker(workerID, w)
-		return nil, &Busy{ErrLedger, t.config.MaxWait}
+		return nil, &Busy{ErrLedger, t.cfg.MaxWait}
 	}
 	t.lastID++
 	g := &Grant{ID: t.lastID, Attempt: q.grantCount, Worker: workerID, Read: read, State: Offered, Offered: now,
@@ -340,7 +340,7 @@
 	if w.closed {
 		return now
 	}
-	until := now + t.config.Drain - t.config.Delivery - t.config.Tick
+	until := now + t.cfg.Drain - t.cfg.Delivery - t.cfg.Tick
 	if q.caller.feed != nil {
 		until = deadline
 	}
@@ -442,7 +442,7 @@
 		if fate.excludesEffect() {
 			t.ledger.clear(q.id)
 		} else {
-			t.ledger.extend(q.id, now+t.config.Remember)
+			t.ledger.extend(q.id, now+t.cfg.Remember)
 		}
 	}
 	if over || fate == Begun {
@@ -490,7 +490,7 @@
 	q.over, q.lastGrant = true, nil
 	if q.readPossibleUntil > now {
 		t.releasing++
-		t.wheel.Set(&q.timer, min(q.readPossibleUntil, now+t.config.Hold/2))
+		t.wheel.Set(&q.timer, min(q.readPossibleUntil, now+t.cfg.Hold/2))
 	}
 	if t.log != nil {
 		t.log(Event{At: now, Step: StepOver, Caller: q.caller.name, Request: q.id, Attempt: q.grantCount, Once: q.nonIdempotent})
@@ -503,7 +503,7 @@
 	g.State = Expired
 	t.close(g)
 	if g.Read {
-		g.req.readPossibleUntil = max(g.req.readPossibleUntil, g.Ends+t.config.Delivery+t.config.Tick)
+		g.req.readPossibleUntil = max(g.req.readPossibleUntil, g.Ends+t.cfg.Delivery+t.cfg.Tick)
 	}
 	t.logStep(now, StepExpire, g, nil)
 }
@@ -542,7 +542,7 @@
 		if q.over {
 			t.actions = append(t.actions, Act{Sweep, q.id, nil})
 			if q.readPossibleUntil > now {
-				t.wheel.Set(&q.timer, min(q.readPossibleUntil, now+t.config.Hold/2))
+				t.wheel.Set(&q.timer, min(q.readPossibleUntil, now+t.cfg.Hold/2))
 			} else {
 				t.releasing--
 			}
