--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -41,12 +41,12 @@
 
 // env is a simulated deployment, a Coordinator in front of it, and a connection to the service.
 type env struct {
-	t     testing.TB
-	fleet *standin.Fleet
-	core  *core.Core
-	desk  *decisions.Desk
-	names httpfront.Names
-	conn  *grpc.ClientConn
+	t           testing.TB
+	fleet       *standin.Fleet
+	core        *core.Core
+	coordinator *decisions.Desk
+	names       httpfront.Names
+	conn        *grpc.ClientConn
 }
 
 func start(t testing.TB, o standin.Options) *env {
@@ -78,13 +78,13 @@
 	hw := httpfront.NewWorkers(site.ConnectTimeout, site.ConnIdle, 400, log)
 	c, err := core.New(site.Settings, 1, hw, coreLog)
 	must(err)
-	desk, err := decisions.NewDesk(c, hw, terms, seen, log)
+	coordinator, err := decisions.NewDesk(c, hw, terms, seen, log)
 	must(err)
-	b := &env{t: t, fleet: fleet, core: c, desk: desk, names: httpfront.Names{Kinds: site.KindNames, Zones: site.ZoneNames}}
+	b := &env{t: t, fleet: fleet, core: c, coordinator: coordinator, names: httpfront.Names{Kinds: site.KindNames, Zones: site.ZoneNames}}
 	b.setWorkers(nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
-	s := (&decisions.Server{Desk: desk, Classes: httpfront.ClassesOf(site.ClassNames), Names: site.ClassNames, Settings: c.Settings, Log: log}).GRPC()
+	s := (&decisions.Server{Desk: coordinator, Classes: httpfront.ClassesOf(site.ClassNames), Names: site.ClassNames, Settings: c.Settings, Log: log}).GRPC()
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
 	b.conn, err = grpc.NewClient("passthrough:///"+l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -271,7 +271,7 @@
 	wantCode(t, "reporting the end again", c.report(write, pb.Fate_FATE_ENDED), codes.NotFound)
 	close(tracer.release)
 	b.waitSettled()
-	if n := decisions.OpenStreams(b.desk); n != 0 {
+	if n := decisions.OpenStreams(b.coordinator); n != 0 {
 		t.Errorf("%d streams are still tracked", n)
 	}
 }
@@ -317,7 +317,7 @@
 			FirstTokenWithin: durationpb.New(time.Minute), Body: []byte(`{"messages":[{"content":"k"}]}`)})
 		asked <- err
 	}()
-	for b.desk.Over("q1") == nil { // the request has arrived
+	for b.coordinator.Over("q1") == nil { // the request has arrived
 		runtime.Gosched()
 	}
 	cancel()
@@ -511,7 +511,7 @@
 			t.Fatal(err)
 		}
 	}
-	if n := decisions.OpenStreams(b.desk); n > 8 {
+	if n := decisions.OpenStreams(b.coordinator); n > 8 {
 		t.Errorf("%d streams are tracked, want at most 8", n)
 	}
 }
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -65,11 +65,11 @@
 	c.SetWorkers(true, httpfront.Names{Kinds: site.KindNames, Zones: site.ZoneNames}.Workers(list, log))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
-	desk, err := decisions.NewDesk(c, hw, grant.Terms{Drain: 500 * time.Millisecond, Delivery: 50 * time.Millisecond, Hold: 300 * time.Millisecond,
+	coordinator, err := decisions.NewDesk(c, hw, grant.Terms{Drain: 500 * time.Millisecond, Delivery: 50 * time.Millisecond, Hold: 300 * time.Millisecond,
 		Heard: 300 * time.Millisecond, Remember: 30 * time.Second, MaxWait: 500 * time.Millisecond, Tick: 5 * time.Millisecond,
 		Open: 256, Callers: 32, Effects: 4096, Longest: 64, FeedDepth: 64}, decisions.Seen{}, log)
 	must(err)
-	server := (&extproc.Server{Core: c, Desk: desk, Workers: hw, Classes: httpfront.ClassesOf(site.ClassNames), Settings: c.Settings,
+	server := (&extproc.Server{Core: c, Desk: coordinator, Workers: hw, Classes: httpfront.ClassesOf(site.ClassNames), Settings: c.Settings,
 		Routes: routes, Destination: extproc.DestinationHeader, MaxOpen: maxOpen, Override: override, Log: log}).GRPC()
 	go server.Serve(l)
 	t.Cleanup(server.Stop)
--- a/internal/grant/explore_test.go
+++ b/internal/grant/explore_test.go
@@ -27,6 +27,7 @@
 var testConfig = Terms{Drain: 500 * ms, Delivery: 50 * ms, Hold: 300 * ms, Heard: 300 * ms, Remember: 30 * time.Second,
 	MaxWait: 500 * ms, Tick: 5 * ms, Open: 64, Callers: 8, Effects: 4096, Longest: 64, FeedDepth: 8}
 
+// sim is one simulated run.
 type sim struct {
 	now        time.Duration
 	taskQueue  taskQueue
@@ -118,6 +119,7 @@
 	over     bool
 }
 
+// chosenAttempt is an attempt that the decide.Router has chosen.
 type chosenAttempt struct {
 	n         int
 	server    string
@@ -127,6 +129,7 @@
 	grantedAt time.Duration
 }
 
+// call is a call for a choice that has reached the router.
 type call struct {
 	n  int
 	at time.Duration
@@ -134,6 +137,7 @@
 	reply func(answer)
 }
 
+// answer is what the router answers to a call.
 type answer struct {
 	grant      uint64
 	n          int
@@ -541,6 +545,7 @@
 	t.call(0)
 }
 
+// job is one request of a fakeCaller.
 type job struct {
 	*fakeCaller
 	id    string
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -61,7 +61,8 @@
 	ErrClass      = errors.New("the request began with another class")
 )
 
-// BusyError reports that a limit has been reached. RetryAfter is when capacity may be available again.
+// BusyError reports that a limit has been reached. RetryAfter is how long it may
+// take until there is room again.
 type Busy struct {
 	Why   error
 	After time.Duration
@@ -100,7 +101,7 @@
 	case t.Heard < 0 || t.Heard+t.Delivery+t.Tick > t.Drain:
 		return fmt.Errorf("heard: %v of silence plus %v of delivery exceed the %v after a drain", t.Heard, t.Delivery, t.Drain)
 	case t.Open < 1 || t.Callers < 1 || t.Effects < 1 || t.Longest < 1 || t.FeedDepth < 1:
-		return errors.New("open, callers, effects, longest and feed depth must be at least 1")
+		return errors.New("open, callers, effects, id length and feed depth must be at least 1")
 	case t.MaxWait < 0:
 		return errors.New("max wait: must not be negative")
 	}
@@ -183,7 +184,7 @@
 const (
 	Lapse   ActKind = iota + 1 // the attempt timed out without a report: treat it as one that may have run
 	Forsake                    // the caller has fallen silent: the request is over, release what is held for it now
-	Sweep                      // the request is over, but a read with an unknown result may have left state since: release it again
+	Sweep                      // a read with an unknown result may have left state after its request ended: release it again
 )
 
 // Table holds all grants of one router. It is not safe for concurrent use.
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -12,11 +12,11 @@
 
 func newTable(t testing.TB, change func(*Terms)) *Table {
 	t.Helper()
-	terms := testConfig
+	config := testConfig
 	if change != nil {
-		change(&terms)
+		change(&config)
 	}
-	tab, err := New(terms, 0, nil)
+	tab, err := New(config, 0, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,9 +54,9 @@
 		"negative retry delay":                  func(x *Terms) { x.MaxWait = -1 },
 		"negative delivery time":                func(x *Terms) { x.Delivery = -1 },
 	} {
-		terms := testConfig
-		change(&terms)
-		if _, err := New(terms, 0, nil); err == nil {
+		config := testConfig
+		change(&config)
+		if _, err := New(config, 0, nil); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
--- a/internal/grant/rules/rules.go
+++ b/internal/grant/rules/rules.go
@@ -64,20 +64,20 @@
 	type hold struct {
 		since, last time.Duration // last sign or end of an attempt
 		held        bool
-		out         int
+		open        int
 		effects     int // effects of requests that must not run twice
 	}
 	type call struct {
-		asked   Event
-		answers int
-		cut     bool
+		asked        Event
+		answers      int
+		disconnected bool
 	}
-	var broken []Broken
+	var violations []Broken
 	seen := make(map[string]bool)
-	fail := func(rule string, e Event) {
+	report := func(rule string, e Event) {
 		if key := rule + e.Request + e.Worker; !seen[key] {
 			seen[key] = true
-			broken = append(broken, Broken{rule, e})
+			violations = append(violations, Broken{rule, e})
 		}
 	}
 	holds, calls, drains := make(map[string]*hold), make(map[int]*call), make(map[string]time.Duration)
@@ -89,13 +89,13 @@
 	}
 	// overdue reports whether something is held at the given time that should have been released.
 	overdue := func(h *hold, at time.Duration) bool {
-		return h.held && h.out == 0 && at-max(h.since, h.last) > l.Hold
+		return h.held && h.open == 0 && at-max(h.since, h.last) > l.Hold
 	}
 	var order []int
 	for _, e := range log {
 		h := holdOf(e.Request)
 		if overdue(h, e.At) {
-			fail("hold", e)
+			report("hold", e)
 		}
 		switch e.Kind {
 		case Asked:
@@ -103,29 +103,29 @@
 			order = append(order, e.Call)
 		case Answered:
 			if c := calls[e.Call]; c == nil {
-				fail("answer to no call", e)
+				report("answer to no call", e)
 			} else if c.answers++; c.answers > 1 {
-				fail("one answer", e)
+				report("one answer", e)
 			}
 		case Cut:
 			if c := calls[e.Call]; c != nil {
-				c.cut = true
+				c.disconnected = true
 			}
 		case Sent:
 			if at, ok := drains[e.Worker]; ok && e.At-at > l.Drain {
-				fail("drain", e)
+				report("drain", e)
 			}
 		case Out:
-			h.out++
+			h.open++
 		case In:
-			h.out--
+			h.open--
 			h.last = e.At
 		case Effect:
 			if !e.Once { // may run any number of times
 				break
 			}
 			if h.effects++; h.effects > 1 {
-				fail("effect", e)
+				report("effect", e)
 			}
 		case Drained:
 			if _, ok := drains[e.Worker]; !ok {
@@ -144,14 +144,14 @@
 		}
 	}
 	for _, n := range order {
-		if c := calls[n]; c.answers == 0 && !c.cut {
-			fail("one answer", c.asked)
+		if c := calls[n]; c.answers == 0 && !c.disconnected {
+			report("one answer", c.asked)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(holds)) {
 		if h := holds[id]; overdue(h, end) {
-			fail("hold", Event{At: end, Kind: Held, Request: id})
+			report("hold", Event{At: end, Kind: Held, Request: id})
 		}
 	}
-	return broken
+	return violations
 }
