--- a/cmd/rowanyard/budget.go
+++ b/cmd/rowanyard/budget.go
@@ -1,6 +1,6 @@
 package main
 
-// This file holds the process to the limits of its router: memory, descriptors and bodies.
+// Enforces the router's limits on memory, file descriptors and buffered request bodies.
 
 import (
 	"context"
@@ -14,55 +14,57 @@
 )
 
 const (
-	memoryShare  = 0.7  // of the memory limit: where the collector begins to work harder
-	bodiesShare  = 0.12 // of it: what clients' bodies may hold at once, and
-	lineShare    = 0.04 // a line of discovery
-	clientsShare = 0.45 // of the sockets, in equal parts for the fronts that are on
-	workersShare = 0.4  // ... the rest is for discovery, operators, logs, the runtime and those that are turned away:
-	spareFiles   = 40   // no less than this
-	defaultMB    = 192
-	defaultFiles = 1024
-	twoShare     = 0.5                    // of the limits for each of two processes of the router
-	shareLook    = 100 * time.Millisecond // how often the other process is looked for
+	gcLimitShare          = 0.7  // of the memory limit, as the garbage collector's soft limit
+	bodyMemoryShare       = 0.12 // of the memory limit, for buffered request bodies
+	discoveryLineShare    = 0.04 // of the memory limit, for one line from discovery
+	clientDescriptorShare = 0.45 // of the descriptors, split equally between the enabled fronts
+	workerDescriptorShare = 0.4  // of the descriptors
+	reservedDescriptors   = 40   // at least, for discovery, operators, logs, the runtime and rejected connections
+	defaultMemoryMB       = 192
+	defaultDescriptors    = 1024
+	overlapShare          = 0.5 // of all limits, for each process while two of the router run
+	overlapPollInterval   = 100 * time.Millisecond
 )
 
-// budget is what the process may take of the router's limits: a part of it while two processes run.
-type budget struct {
-	memory, files float64
-	fronts        int
-	front         *httpfront.Front
-	workers       *httpfront.Workers
+// resourceBudget divides the router's limits among the parts of this process. While two processes of the router run, each
+// gets a share of the limits.
+type resourceBudget struct {
+	memoryBytes, descriptors float64
+	fronts                   int
+	front                    *httpfront.Front
+	workers                  *httpfront.Workers
 }
 
-func (b budget) clients(part float64) int {
-	return max(1, int(clientsShare*b.shared(part))/b.fronts)
+// clientsPerFront returns the maximum number of client connections of each front.
+func (b resourceBudget) clientsPerFront(share float64) int {
+	return max(1, int(clientDescriptorShare*b.usableDescriptors(share))/b.fronts)
 }
 
-// shared is the descriptors that clients and workers have their shares of.
-func (b budget) shared(part float64) float64 {
-	return max(1, min(part*b.files, (part*b.files-spareFiles)/(clientsShare+workersShare)))
+// usableDescriptors returns the number of descriptors that is divided between clients and workers.
+func (b resourceBudget) usableDescriptors(share float64) float64 {
+	return max(1, min(share*b.descriptors, (share*b.descriptors-reservedDescriptors)/(clientDescriptorShare+workerDescriptorShare)))
 }
 
-// take holds the process to a part of the limits from now on.
-func (b budget) take(part float64) {
-	debug.SetMemoryLimit(int64(memoryShare * part * b.memory))
-	b.workers.Limit(max(1, int(workersShare*b.shared(part))))
-	b.front.Limit(b.clients(part))
-	b.front.Bodies.Store(int64(bodiesShare * part * b.memory))
+// apply limits the process to the given share of the router's limits.
+func (b resourceBudget) apply(share float64) {
+	debug.SetMemoryLimit(int64(gcLimitShare * share * b.memoryBytes))
+	b.workers.Limit(max(1, int(workerDescriptorShare*b.usableDescriptors(share))))
+	b.front.Limit(b.clientsPerFront(share))
+	b.front.Bodies.Store(int64(bodyMemoryShare * share * b.memoryBytes))
 }
 
-// share holds the process to its part while another one of the router runs beside it, older or newer.
-func (b budget) share(ctx context.Context, desk *operator.Desk, log *slog.Logger) {
-	part := 1.0
-	for t := time.NewTicker(shareLook); ; {
-		now := 1.0
-		if _, newer := desk.Successor(); newer || !desk.Share.Alone() {
-			now = twoShare
+// followOverlap reduces the limits of this process while an older or newer process of the router runs, until ctx ends.
+func (b resourceBudget) followOverlap(ctx context.Context, control *operator.Desk, log *slog.Logger) {
+	current := 1.0
+	for t := time.NewTicker(overlapPollInterval); ; {
+		share := 1.0
+		if _, newer := control.Successor(); newer || !control.Share.Alone() {
+			share = overlapShare
 		}
-		if now != part {
-			log.Info("another process of this router", "runs", now < 1, "part_of_limits", now)
-			part = now
-			b.take(part)
+		if share != current {
+			log.Info("another process of this router", "runs", share < 1, "part_of_limits", share)
+			current = share
+			b.apply(current)
 		}
 		select {
 		case <-ctx.Done():
@@ -73,14 +75,14 @@
 	}
 }
 
-// descriptors is how many the process may open: what its configuration says, or less where the system allows less.
-func descriptors(asked int) int {
-	if asked <= 0 {
-		asked = defaultFiles
+// descriptorLimit returns the configured number of descriptors, or the system's limit if that is lower.
+func descriptorLimit(configured int) int {
+	if configured <= 0 {
+		configured = defaultDescriptors
 	}
 	var limit syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(asked) {
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err == nil && limit.Cur < uint64(configured) {
 		return int(limit.Cur)
 	}
-	return asked
+	return configured
 }
--- a/cmd/rowanyard/commands.go
+++ b/cmd/rowanyard/commands.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the command line. It must never do more for a command than read and print: serving is run's.
+// The command line. Commands other than serve only read and print.
 
 import (
 	"cmp"
@@ -22,15 +22,15 @@
 	"rowanyard/internal/wire"
 )
 
-// cli is the command line.
+// cli declares the commands and their flags.
 type cli struct {
-	Serve  serveCommand  `cmd:"" default:"1" help:"Serve (the default). ROUTER_CONFIG names the platform's file, ROWANYARD_OPERATOR the operator's."`
-	Check  checkCommand  `cmd:"" help:"Check an operator's file and its descriptions, and say what is wrong with them and where."`
-	Grants grantsCommand `cmd:"" help:"Show the grants that are open at a router's decision service."`
+	Serve  serveCommand  `cmd:"" default:"1" help:"Run the router (default). ROUTER_CONFIG names the platform's configuration file, ROWANYARD_OPERATOR the operator's."`
+	Check  checkCommand  `cmd:"" help:"Validate an operator's file and its API descriptions, and report errors with their location."`
+	Grants grantsCommand `cmd:"" help:"List the open grants of a router's decision service."`
 }
 
-// commands runs what the command line says.
-func commands(args []string, out io.Writer) error {
+// runCommand parses args and runs the selected command, which prints to out.
+func runCommand(args []string, out io.Writer) error {
 	var c cli
 	parser, err := kong.New(&c, kong.Name("rowanyard"), kong.Description("A router for two-stage language-model serving."),
 		kong.Writers(out, os.Stderr), kong.UsageOnError(), kong.BindTo(out, (*io.Writer)(nil)))
@@ -46,23 +46,23 @@
 
 type serveCommand struct{}
 
-// Run serves.
+// Run runs the router until it is told to end.
 func (serveCommand) Run() error {
 	return run(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
 }
 
 type checkCommand struct {
 	File   string  `arg:"" help:"The operator's file."`
-	Config string  `help:"The platform's file, for the classes and limits that there are." env:"ROUTER_CONFIG"`
-	Memory float64 `help:"The memory limit in MB, where no platform's file says it." default:"192"`
+	Config string  `help:"The platform's configuration file, for its request classes and limits." env:"ROUTER_CONFIG"`
+	Memory float64 `help:"The memory limit in MB, if the platform's file does not set it." default:"192"`
 }
 
-// Run checks.
+// Run validates the operator's file and prints a summary of it to out.
 func (k checkCommand) Run(out io.Writer) error {
-	var known func(string) bool
+	var classExists func(string) bool
 	memory := k.Memory
 	if k.Config != "" {
-		cfg, err := readFile(k.Config)
+		cfg, err := readConfigFile(k.Config)
 		if err != nil {
 			return err
 		}
@@ -72,34 +72,34 @@
 		}
 		memory = cmp.Or(max(cfg.Limits.MemoryMB, 0), memory)
 		classes := httpfront.ClassesOf(site.ClassNames)
-		known = func(name string) bool { _, ok := classes[name]; return ok }
+		classExists = func(name string) bool { _, ok := classes[name]; return ok }
 	}
-	f, _, err := setup.Read(k.File, memory*(1<<20), known)
+	f, _, err := setup.Read(k.File, memory*(1<<20), classExists)
 	if err != nil {
 		return err
 	}
-	return checked.Execute(out, map[string]any{"Path": k.File, "File": f, "Classes": known != nil})
+	return checkTemplate.Execute(out, map[string]any{"Path": k.File, "File": f, "Classes": classExists != nil})
 }
 
-var checked = template.Must(template.New("check").Parse(`{{.Path}}: good
+var checkTemplate = template.Must(template.New("check").Parse(`{{.Path}}: good
 {{- with .File}}
 {{with .GRPC.Listen}}  gRPC clients         {{.}}
 {{end}}{{with .ExtProc.Listen}}  external processor   {{.}}, at most {{$.File.ExtProc.MaxOpen}} requests open
 {{end}}{{with .Decisions.Listen}}  decisions            {{.}}, at most {{$.File.Grants.Open}} requests open, {{$.File.Grants.Effects}} effects remembered for {{$.File.Grants.RememberS}} s
-{{end}}{{with .Reports.Listen}}  reports of engines   {{.}}, at most {{$.File.Reports.Blocks}} blocks known, doubtful for {{$.File.Reports.BoundMs}} ms at most
+{{end}}{{with .Reports.Listen}}  engine reports       {{.}}, at most {{$.File.Reports.Blocks}} blocks known, unconfirmed ones for at most {{$.File.Reports.BoundMs}} ms
 {{end}}{{with .Metrics.Listen}}  metrics              http://{{.}}/metrics
 {{end}}{{with .Traces.Endpoint}}  traces               {{.}}, {{$.File.Traces.Share}} of the requests
-{{end}}{{if .Settings.Reload}}  settings             changed ones are in force after SIGHUP
-{{end}}{{end}}{{if not .Classes}}  The descriptions' classes are not checked: name the platform's file with --config.
+{{end}}{{if .Settings.Reload}}  settings             reloaded after SIGHUP
+{{end}}{{end}}{{if not .Classes}}  The classes in the descriptions were not checked: name the platform's file with --config.
 {{end}}`))
 
 type grantsCommand struct {
-	Address string        `arg:"" help:"Where the decision service listens, such as 127.0.0.1:9092."`
-	Most    int32         `help:"Show at most so many." default:"200"`
-	Wait    time.Duration `help:"Wait for the answer for so long." default:"2s"`
+	Address string        `arg:"" help:"The decision service's address, such as 127.0.0.1:9092."`
+	Most    int32         `help:"List at most this many grants." default:"200"`
+	Wait    time.Duration `help:"The timeout of the call." default:"2s"`
 }
 
-// Run shows.
+// Run fetches the open grants and prints them to out.
 func (g grantsCommand) Run(out io.Writer) error {
 	conn, err := grpc.NewClient("passthrough:///"+g.Address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -112,10 +112,10 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", g.Address, err)
 	}
-	return shown.Execute(out, reply)
+	return grantsTemplate.Execute(out, reply)
 }
 
-var shown = template.Must(template.New("grants").Funcs(template.FuncMap{
+var grantsTemplate = template.Must(template.New("grants").Funcs(template.FuncMap{
 	"stage": func(s pb.Stage) string {
 		return map[pb.Stage]string{pb.Stage_STAGE_READ: "read", pb.Stage_STAGE_WRITE: "write"}[s]
 	},
--- a/cmd/rowanyard/config.go
+++ b/cmd/rowanyard/config.go
@@ -1,6 +1,6 @@
 package main
 
-// This file reads the file that ROUTER_CONFIG names, and what the environment says beside it.
+// The platform's configuration: the file named by ROUTER_CONFIG, with overrides from the environment.
 
 import (
 	"encoding/json"
@@ -14,12 +14,12 @@
 	"rowanyard/internal/wire"
 )
 
-// config is the file that ROUTER_CONFIG names.
+// config is the contents of the platform's configuration file.
 type config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Operator  string `json:"operator"` // the operators' own address, "" = none
+	Operator  string `json:"operator"` // address of the operator API, "" = disabled
 	Seed      string `json:"seed"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
@@ -30,16 +30,16 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// read reads the file that ROUTER_CONFIG names.
-func read() (config, error) {
+// readConfig reads the file named by ROUTER_CONFIG.
+func readConfig() (config, error) {
 	path := os.Getenv("ROUTER_CONFIG")
 	if path == "" {
 		return config{}, errors.New("ROUTER_CONFIG is not set")
 	}
-	return readFile(path)
+	return readConfigFile(path)
 }
 
-func readFile(path string) (config, error) {
+func readConfigFile(path string) (config, error) {
 	var c config
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -51,17 +51,17 @@
 	return c, nil
 }
 
-// load reads the configuration; at the start the environment has the last word on what it names.
-func load() (config, wire.Site, uint64, error) {
-	c, err := read()
+// loadConfig reads and validates the configuration, with environment variables taking precedence over the file.
+func loadConfig() (config, wire.Site, uint64, error) {
+	c, err := readConfig()
 	fail := func(err error) (config, wire.Site, uint64, error) { return c, wire.Site{}, 0, err }
 	if err != nil {
 		return fail(err)
 	}
 	path := os.Getenv("ROUTER_CONFIG")
-	for name, to := range map[string]*string{"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery, "ROUTER_OPERATOR": &c.Operator} {
+	for name, target := range map[string]*string{"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery, "ROUTER_OPERATOR": &c.Operator} {
 		if v := os.Getenv(name); v != "" {
-			*to = v
+			*target = v
 		}
 	}
 	for name, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery, "operator": c.Operator} {
@@ -71,7 +71,7 @@
 	}
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
-		return fail(fmt.Errorf("%s: seed: %q is no hex number", path, c.Seed))
+		return fail(fmt.Errorf("%s: seed: %q is not a hexadecimal number", path, c.Seed))
 	}
 	site, err := wire.ParseSite(c.Settings)
 	if err != nil {
--- a/cmd/rowanyard/incident_test.go
+++ b/cmd/rowanyard/incident_test.go
@@ -1,7 +1,7 @@
 package main
 
-// The incident of docs/incidents/2026-12-02-held-state.md, played with real processes: states that were held at a reader were
-// neither taken nor let go in time.
+// Reproduces the incident of docs/incidents/2026-12-02-held-state.md with real processes: states held at a reader were
+// neither fetched by a writer nor released in time.
 
 import (
 	"fmt"
@@ -19,16 +19,16 @@
 )
 
 const (
-	pinLimit  = 300 * time.Millisecond // of the stand-in's settings
-	pinSlack  = 300 * time.Millisecond // that the terms add on the network
-	eventWait = 20 * time.Second
+	pinLimit       = 300 * time.Millisecond // as in the settings of the standin package
+	pinSlack       = 300 * time.Millisecond // that docs/terms.md allows for the network
+	releaseTimeout = 20 * time.Second
 )
 
-// heldStates follows how long each state was held.
+// heldStates records how long each state was held.
 type heldStates struct {
 	mu    sync.Mutex
 	since map[string]time.Time
-	held  map[string]time.Duration // of those that were taken or let go
+	held  map[string]time.Duration // states that were fetched or released
 	freed chan string
 }
 
@@ -36,8 +36,8 @@
 	return &heldStates{since: make(map[string]time.Time), held: make(map[string]time.Duration), freed: make(chan string, 100)}
 }
 
-// seen is a standin.Options.Seen.
-func (h *heldStates) seen(what, id, _, _ string) {
+// record implements standin.Options.Seen.
+func (h *heldStates) record(what, id, _, _ string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch what {
@@ -49,14 +49,14 @@
 	}
 }
 
-// check waits until so many states are free and reports those that were held for too long.
-func (h *heldStates) check(t *testing.T, states int) {
+// checkHoldTimes waits until the given number of states has been freed and fails for those that were held for too long.
+func (h *heldStates) checkHoldTimes(t *testing.T, states int) {
 	t.Helper()
 	for range states {
 		select {
 		case <-h.freed:
-		case <-time.After(eventWait):
-			t.Fatalf("states are held for over %v", eventWait)
+		case <-time.After(releaseTimeout):
+			t.Fatalf("states are still held after %v", releaseTimeout)
 		}
 	}
 	h.mu.Lock()
@@ -64,19 +64,19 @@
 	for id, held := range h.held {
 		t.Logf("%s: held for %v", id, held)
 		if held > pinLimit+pinSlack {
-			t.Errorf("%s: held for %v, the limit is %v and %v of slack", id, held, pinLimit, pinSlack)
+			t.Errorf("%s: held for %v, the limit is %v plus %v", id, held, pinLimit, pinSlack)
 		}
 	}
 }
 
-// proxies are in front of a deployment's writers.
+// proxies are fault-injecting proxies in front of a deployment's writers.
 type proxies struct {
 	t   *testing.T
 	all []*faultproxy.Proxy
 }
 
-// via is a standin.Options.Via.
-func (p *proxies) via(host, address string) string {
+// wrap implements standin.Options.Via.
+func (p *proxies) wrap(host, address string) string {
 	if host[0] != 'w' {
 		return address
 	}
@@ -95,14 +95,14 @@
 	}
 }
 
-// do plays requests side by side, classes in turn, to the end of their answers.
-func do(t *testing.T, p *program, prefix string, requests int) *sync.WaitGroup {
+// startRequests sends concurrent requests of alternating classes and reads their answers to the end.
+func startRequests(t *testing.T, p *program, prefix string, requests int) *sync.WaitGroup {
 	t.Helper()
 	var all sync.WaitGroup
 	for i := range requests {
 		class := []string{"draft-reply", "send-message"}[i%2]
 		all.Go(func() {
-			res, err := http.DefaultClient.Do(request(p, fmt.Sprint(prefix, i), class))
+			res, err := http.DefaultClient.Do(newRequest(p, fmt.Sprint(prefix, i), class))
 			if err != nil {
 				t.Errorf("%s%d: no answer: %v", prefix, i, err)
 				return
@@ -114,71 +114,71 @@
 	return &all
 }
 
-// Writers take a request's bytes and say nothing, on connections that served before and on new ones: the state that waits at
-// the reader must be let go within the limit, whatever the class.
-func TestAStateBeforeSilentWritersIsLetGoInTime(t *testing.T) {
+// Writers accept a request's bytes and never answer, on used and on new connections: the state held at the reader must be
+// released within the limit, for every class.
+func TestStateIsReleasedInTimeWhenWritersAreSilent(t *testing.T) {
 	for name, fault := range map[string]faultproxy.Fault{"silent": faultproxy.Silent, "never up": faultproxy.NeverUp} {
 		t.Run(name, func(t *testing.T) {
 			writers, states := &proxies{t: t}, newHeldStates()
-			_, p := up(t, standin.Options{Readers: 2, Writers: 3, Via: writers.via, Seen: states.seen}, "")
+			_, p := startRouter(t, standin.Options{Readers: 2, Writers: 3, Via: writers.wrap, Seen: states.record}, "")
 			const requests = 8
-			do(t, p, "a", requests).Wait() // connections to writers are open then
+			startRequests(t, p, "a", requests).Wait() // opens connections to the writers
 			writers.set(fault)
-			all := do(t, p, "b", requests)
-			states.check(t, 2*requests)
+			all := startRequests(t, p, "b", requests)
+			states.checkHoldTimes(t, 2*requests)
 			all.Wait()
 		})
 	}
 }
 
-var steppable = sync.OnceValues(func() (string, error) {
+var buildSteppable = sync.OnceValues(func() (string, error) {
 	path := filepath.Join(filepath.Dir(binary), "rowanyard-clockstep")
 	return path, clockstep.Build(".", path)
 })
 
-// A step of the wall clock, either way, holds nothing up: spans are measured on the monotonic clock.
-func TestAStepOfTheWallClockHoldsNoState(t *testing.T) {
-	path, err := steppable()
+// A step of the wall clock in either direction delays no release: durations are measured on the monotonic clock.
+func TestClockStepDoesNotDelayRelease(t *testing.T) {
+	path, err := buildSteppable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, seconds := range map[string]int{"back": -3600, "forward": 3600} {
 		t.Run(name, func(t *testing.T) {
 			states := newHeldStates()
-			fleet, err := standin.Start(standin.Options{Seen: states.seen})
+			fleet, err := standin.Start(standin.Options{Seen: states.record})
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(fleet.Close)
 			file := filepath.Join(t.TempDir(), "offset")
 			cmd := exec.Command("env", clockstep.Variable+"="+file, path)
-			p := beginAs(t, cmd, fleet.Config("127.0.0.1:0"), "")
-			p.http = "http://" + p.line(t, `msg=serving .*front=http listen=(\S+)`)
+			p := startCommand(t, cmd, fleet.Config("127.0.0.1:0"), "")
+			p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 			const requests = 4
-			do(t, p, "a", requests).Wait()
+			startRequests(t, p, "a", requests).Wait()
 			if err := clockstep.Write(file, seconds); err != nil {
 				t.Fatal(err)
 			}
 			if err := clockstep.Tell(cmd.Process); err != nil {
 				t.Fatal(err)
 			}
-			for p.stepped(t) < time.Hour/2 {
+			for p.clockOffset(t) < time.Hour/2 {
 			}
-			do(t, p, "b", requests).Wait()
-			states.check(t, 2*requests)
+			startRequests(t, p, "b", requests).Wait()
+			states.checkHoldTimes(t, 2*requests)
 		})
 	}
 }
 
-// stepped is how far the program's clock is off, as its log shows: a bad request is logged at once.
-func (p *program) stepped(t *testing.T) time.Duration {
+// clockOffset returns the offset of the program's clock, from the log line that a bad request causes immediately.
+func (p *program) clockOffset(t *testing.T) time.Duration {
 	t.Helper()
-	res, err := http.DefaultClient.Do(request(p, "a b", "draft-reply"))
+	res, err := http.DefaultClient.Do(newRequest(p, "a b", "draft-reply"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	res.Body.Close()
-	at, err := time.Parse(time.RFC3339, p.line(t, `time=(\S+) .*msg="bad request"`))
+	at, err := time.Parse(time.RFC3339, p.waitLog(t, `time=(\S+) .*msg="bad request"`))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/rowanyard/main.go
+++ b/cmd/rowanyard/main.go
@@ -1,8 +1,7 @@
-// Command rowanyard is one real router. This file owns the life of the process from its start to its end. It must never
-// decide, nor speak to a client or a worker itself.
+// Command rowanyard runs one router of a two-stage LLM serving deployment.
 //
-// The platform's file is named by ROUTER_CONFIG. An operator's own, which turns further fronts on, is named by
-// ROWANYARD_OPERATOR (see deploy/operator.json); without it only the platform's port is open.
+// ROUTER_CONFIG names the platform's configuration file. ROWANYARD_OPERATOR names an optional operator's file that enables
+// further fronts (see deploy/operator.json); without it only the platform's port is open.
 package main
 
 import (
@@ -18,25 +17,26 @@
 )
 
 const (
-	firstList    = 1500 * time.Millisecond // a process that takes over waits so long for discovery's first word,
-	firstWord    = 250 * time.Millisecond  // ... one that nobody serves beside so long
-	leastCallers = 4                       // operators that are listened to at once, or
-	callersPart  = 32                      // one for so many sockets
-	scrapeWait   = time.Second             // who asks for metrics must have said so by then
-	endMargin    = 500 * time.Millisecond  // the program has ended so long before it would be killed
-	killMargin   = 700 * time.Millisecond  // the kill comes no sooner than the longest deadline and this
-	leastEnd     = 3 * time.Second         // a longer deadline counts as this for the kill
-	giveUpTime   = 700 * time.Millisecond  // so long before the kill what has no answer gets its last one
-	handMargin   = 1300 * time.Millisecond // so long before the kill streams are handed over
+	takeoverDiscoveryWait      = 1500 * time.Millisecond // for discovery's first answer, while an older process still serves
+	startDiscoveryWait         = 250 * time.Millisecond  // for discovery's first answer, while no other process serves
+	minOperatorConns           = 4                       // concurrent connections of operators, at least
+	descriptorsPerOperatorConn = 32                      // allows one connection of operators for each
+	scrapeHeaderTimeout        = time.Second
+	exitMargin                 = 500 * time.Millisecond  // between the end of the process and the earliest kill
+	killMargin                 = 700 * time.Millisecond  // the earliest kill comes this long after the longest deadline
+	guaranteedDrain            = 3 * time.Second         // a longer deadline does not delay the kill any further
+	finalAnswerMargin          = 700 * time.Millisecond  // before the earliest kill, when open requests get their final answer
+	handOverMargin             = 1300 * time.Millisecond // before the earliest kill, when streams are handed over
 )
 
 func main() {
-	if err := commands(os.Args[1:], os.Stdout); err != nil {
+	if err := runCommand(os.Args[1:], os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "rowanyard:", err)
 		os.Exit(1)
 	}
 }
 
+// logLevel returns the level named by ROWANYARD_LOG, or info.
 func logLevel() slog.Level {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(os.Getenv("ROWANYARD_LOG"))); err != nil {
@@ -45,28 +45,28 @@
 	return l
 }
 
-// await waits for discovery's first word before clients come: known may be old, and what discovery had to tell by then
-// counts as told, starts of workers above all. Nobody serves while a process that is alone waits: it soon begins
-// with what it has.
-func await(ctx context.Context, told <-chan struct{}, alone bool, log *slog.Logger) {
-	wait := firstList
+// awaitDiscovery waits for discovery's first answer before the fronts open. The configured list of workers may be stale:
+// requests must not go to workers that discovery has reported as draining or restarted by then. The wait is short if no
+// other process of the router serves meanwhile.
+func awaitDiscovery(ctx context.Context, answered <-chan struct{}, alone bool, log *slog.Logger) {
+	wait := takeoverDiscoveryWait
 	if alone {
-		wait = firstWord
+		wait = startDiscoveryWait
 	}
 	select {
-	case <-told:
+	case <-answered:
 	case <-time.After(wait):
-		log.Warn("discovery has said nothing: serving with the list of before", "waited_ms", wait.Milliseconds())
+		log.Warn("no answer from discovery yet: serving with the configured worker list", "waited_ms", wait.Milliseconds())
 	case <-ctx.Done():
 	}
 }
 
-// run is the life of the process: it is put together, serves until it is told to end, and drains.
+// run assembles the process, serves until SIGTERM or SIGINT, and drains.
 func run(log *slog.Logger) error {
-	// Guards against SIGHUP ending the program; one that comes while another is handled is kept.
+	// Registered first, because SIGHUP would otherwise end the program. The buffer keeps a signal that arrives during a reload.
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	p, err := configured(log)
+	p, err := newProcess(log)
 	if err != nil {
 		return err
 	}
@@ -76,15 +76,15 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	p.follow(reload)
-	p.limit()
-	p.shareWithOthers(ctx)
+	p.watchConfiguration(reload)
+	p.setUpHTTPFront()
+	p.joinOtherProcesses(ctx)
 	if err := p.serveOperators(); err != nil {
 		return err
 	}
-	p.takeOver()
-	await(ctx, p.discovery.Told(), p.shared.Alone(), p.log)
-	if ctx.Err() != nil { // nobody has been told of this process yet, and nobody need be
+	p.takeOverStreams()
+	awaitDiscovery(ctx, p.discovery.Told(), p.shared.Alone(), p.log)
+	if ctx.Err() != nil { // no front is open and no other process relies on this one
 		p.core.Guard.Stopped(invariant.Starting, "told to end before it served")
 		return nil
 	}
@@ -92,7 +92,7 @@
 		return err
 	}
 	select {
-	case err := <-p.served:
+	case err := <-p.serveErrors:
 		return err
 	case <-ctx.Done():
 	}
--- a/cmd/rowanyard/main_test.go
+++ b/cmd/rowanyard/main_test.go
@@ -59,28 +59,28 @@
 	os.Exit(code)
 }
 
-// program is a running router.
+// program is a running router process.
 type program struct {
-	cmd       *exec.Cmd
-	file      string // its configuration
-	lines     chan string
-	http      string
-	operators string
-	decisions string // where the decision service listens, once a line after it has been waited for
+	cmd           *exec.Cmd
+	configFile    string // the platform's configuration file
+	lines         chan string
+	http          string
+	operatorURL   string
+	decisionsAddr string // set once waitLog has passed the line that reports it
 }
 
-func begin(t *testing.T, config []byte, operator string) *program {
+func startProgram(t *testing.T, config []byte, operator string) *program {
 	t.Helper()
-	return beginAs(t, exec.Command(binary), config, operator)
+	return startCommand(t, exec.Command(binary), config, operator)
 }
 
-// beginAs starts the program by another command.
-func beginAs(t *testing.T, cmd *exec.Cmd, config []byte, operator string) *program {
+// startCommand starts the router through cmd.
+func startCommand(t *testing.T, cmd *exec.Cmd, config []byte, operator string) *program {
 	t.Helper()
 	dir := t.TempDir()
 	path := filepath.Join(dir, "config.json")
 	os.WriteFile(path, config, 0o600)
-	p := &program{cmd: cmd, file: path, lines: make(chan string, 1000)}
+	p := &program{cmd: cmd, configFile: path, lines: make(chan string, 1000)}
 	p.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+path, "ROWANYARD_LOG=info")
 	if operator != "" {
 		file := filepath.Join(dir, "operator.json")
@@ -104,34 +104,34 @@
 	return p
 }
 
-var decisionsLine = regexp.MustCompile(`msg=serving .*front=decisions listen=(\S+)`)
+var decisionsServing = regexp.MustCompile(`msg=serving .*front=decisions listen=(\S+)`)
 
-// line waits for a log line and returns what the pattern's group holds.
-func (p *program) line(t *testing.T, pattern string) string {
+// waitLog waits for a log line that matches pattern and returns its last group.
+func (p *program) waitLog(t *testing.T, pattern string) string {
 	t.Helper()
-	re, late := regexp.MustCompile(pattern), time.After(30*time.Second)
+	re, timeout := regexp.MustCompile(pattern), time.After(30*time.Second)
 	for {
 		select {
 		case l, open := <-p.lines:
-			if m := decisionsLine.FindStringSubmatch(l); m != nil {
-				p.decisions = m[1]
+			if m := decisionsServing.FindStringSubmatch(l); m != nil {
+				p.decisionsAddr = m[1]
 			}
 			if m := re.FindStringSubmatch(l); m != nil {
 				return m[len(m)-1]
 			}
 			if !open {
-				t.Fatalf("the program ended without %q", pattern)
+				t.Fatalf("the program ended without the log line %q", pattern)
 			}
-		case <-late:
-			t.Fatalf("no line %q", pattern)
+		case <-timeout:
+			t.Fatalf("no log line %q", pattern)
 		}
 	}
 }
 
-// call makes one of the operators' calls.
-func (p *program) call(t *testing.T, method, path string) int {
+// callOperator makes a call to the operator API and returns the HTTP status.
+func (p *program) callOperator(t *testing.T, method, path string) int {
 	t.Helper()
-	req, _ := http.NewRequest(method, p.operators+path, nil)
+	req, _ := http.NewRequest(method, p.operatorURL+path, nil)
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -140,19 +140,19 @@
 	return res.StatusCode
 }
 
-func up(t *testing.T, o standin.Options, operator string) (*standin.Fleet, *program) {
+func startRouter(t *testing.T, o standin.Options, operator string) (*standin.Fleet, *program) {
 	t.Helper()
 	fleet, err := standin.Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	p := begin(t, fleet.Config("127.0.0.1:0"), operator)
-	p.http = "http://" + p.line(t, `msg=serving .*front=http listen=(\S+)`)
+	p := startProgram(t, fleet.Config("127.0.0.1:0"), operator)
+	p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 	return fleet, p
 }
 
-func request(p *program, id, class string) *http.Request {
+func newRequest(p *program, id, class string) *http.Request {
 	req, _ := http.NewRequest(http.MethodPost, p.http+"/v1/chat/completions",
 		strings.NewReader(`{"model":"chat","stream":true,"max_tokens":9,"messages":[{"role":"user","content":"`+id+`"}]}`))
 	for k, v := range map[string]string{"Content-Type": "application/json", "X-Txn": id, "X-Lane": class,
@@ -162,38 +162,38 @@
 	return req
 }
 
-func TestServesThroughADrainAndASIGTERM(t *testing.T) {
-	fleet, p := up(t, standin.Options{Writers: 2, Tokens: 40, TokenTime: 10 * time.Millisecond}, "")
+func TestStreamEndsAfterDrainAndSIGTERM(t *testing.T) {
+	fleet, p := startRouter(t, standin.Options{Writers: 2, Tokens: 40, TokenTime: 10 * time.Millisecond}, "")
 	if res, err := http.Get(p.http + "/health/ready"); err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
 	fleet.SetHealth("writer-1", "draining")
-	p.line(t, `msg="worker list" .*seq=2`)
+	p.waitLog(t, `msg="worker list" .*seq=2`)
 	idle, err := net.Dial("tcp", strings.TrimPrefix(p.http, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
 	fmt.Fprint(idle, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	kept := bufio.NewReader(idle)
-	if res, err := http.ReadResponse(kept, nil); err != nil || res.StatusCode != 200 || res.Close {
+	idleReader := bufio.NewReader(idle)
+	if res, err := http.ReadResponse(idleReader, nil); err != nil || res.StatusCode != 200 || res.Close {
 		t.Fatal(res, err)
 	}
-	res, err := http.DefaultClient.Do(request(p, "a1", "send-message"))
+	res, err := http.DefaultClient.Do(newRequest(p, "a1", "send-message"))
 	if err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
-	// The stream has begun: SIGTERM must let it end.
+	// The stream has started: it must complete after SIGTERM.
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	text, err := io.ReadAll(res.Body)
 	if err != nil || !strings.HasSuffix(string(text), "data: [DONE]\n\n") {
 		t.Errorf("%v: %q", err, text)
 	}
-	// An idle connection is ended, so that its client goes to another router.
-	if _, err := kept.ReadByte(); err != io.EOF {
+	// Idle connections are closed, so that their clients move to another router.
+	if _, err := idleReader.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection: %v", err)
 	}
-	p.line(t, "msg=(ended)")
+	p.waitLog(t, "msg=(ended)")
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
@@ -202,58 +202,57 @@
 	}
 }
 
-// A process that has just started is told of all that discovery has, from its first moment: it must not send by the
-// list of before, to workers that have started since or drain, where discovery answers. Where it is silent it serves
-// all the same.
-func TestDiscoveryIsHeardBeforeClientsCome(t *testing.T) {
+// A starting process must not use its configured worker list while discovery can answer: workers on it may have restarted or
+// may be draining. If discovery stays silent, the process serves with the configured list.
+func TestWaitsForDiscoveryBeforeServing(t *testing.T) {
 	fleet, err := standin.Start(standin.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	const serving, list, silent = `front=http listen=`, `msg="worker list"`, `msg="discovery has said nothing`
-	p := begin(t, fleet.Config("127.0.0.1:0"), "")
-	first := p.line(t, `(`+serving+`|`+list+`|`+silent+`)`)
+	const serving, workerList, noAnswer = `front=http listen=`, `msg="worker list"`, `msg="no answer from discovery yet`
+	p := startProgram(t, fleet.Config("127.0.0.1:0"), "")
+	first := p.waitLog(t, `(`+serving+`|`+workerList+`|`+noAnswer+`)`)
 	if first == serving {
-		t.Error("clients may come before discovery has been heard or waited for")
+		t.Error("serving before discovery has answered or the wait is over")
 	}
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+	silentDiscovery, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
-	config := bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.Discovery), []byte(mute.Addr().String()))
-	p = begin(t, config, "")
-	p.line(t, `(`+silent+`)`)
-	p.http = "http://" + p.line(t, serving+`(\S+)`)
-	if res, err := http.DefaultClient.Do(request(p, "a1", "draft-reply")); err != nil || res.StatusCode != 200 {
+	defer silentDiscovery.Close()
+	config := bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.Discovery), []byte(silentDiscovery.Addr().String()))
+	p = startProgram(t, config, "")
+	p.waitLog(t, `(`+noAnswer+`)`)
+	p.http = "http://" + p.waitLog(t, serving+`(\S+)`)
+	if res, err := http.DefaultClient.Do(newRequest(p, "a1", "draft-reply")); err != nil || res.StatusCode != 200 {
 		t.Errorf("not served with the list of before: %v %v", res, err)
 	}
 }
 
-// Nobody is kept from serving by a discovery that is down, refuses or never ends its first word, whoever else starts: 300
-// processes at once with an old list wait for no more than a part of the 10 s in which nine in ten must be ready.
+// A discovery that is down, refuses or never completes its first answer must not keep processes from serving. 300 processes
+// that start at once wait for a fraction of the 10 s within which nine in ten must be ready.
 func TestReadinessDoesNotWaitForDiscovery(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			begun := time.Now()
+			start := time.Now()
 			var all sync.WaitGroup
 			for range 300 {
-				all.Go(func() { await(t.Context(), make(chan struct{}), alone, slog.New(slog.DiscardHandler)) })
+				all.Go(func() { awaitDiscovery(t.Context(), make(chan struct{}), alone, slog.New(slog.DiscardHandler)) })
 			}
 			all.Wait()
-			if took := time.Since(begun); took > 2*time.Second {
+			if took := time.Since(start); took > 2*time.Second {
 				t.Errorf("alone %v: ready after %v", alone, took)
 			}
-			told := make(chan struct{})
-			close(told)
-			begun = time.Now()
-			if await(t.Context(), told, alone, slog.New(slog.DiscardHandler)); time.Since(begun) > 0 {
-				t.Errorf("alone %v: waits though discovery has told", alone)
+			answered := make(chan struct{})
+			close(answered)
+			start = time.Now()
+			if awaitDiscovery(t.Context(), answered, alone, slog.New(slog.DiscardHandler)); time.Since(start) > 0 {
+				t.Errorf("alone %v: waits although discovery has answered", alone)
 			}
 		})
 	}
-	for name, way := range map[string]func(c net.Conn){
+	for name, respond := range map[string]func(c net.Conn){
 		"silent": func(c net.Conn) { io.Copy(io.Discard, c) },
 		"refusing": func(c net.Conn) {
 			io.WriteString(c, "HTTP/1.1 503 X\r\nRetry-After: 3600\r\nContent-Length: 0\r\n\r\n")
@@ -273,30 +272,29 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { l.Close() })
-			if way == nil {
+			if respond == nil {
 				l.Close()
 			}
 			go func() {
 				for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-					go func() { way(c); c.Close() }()
+					go func() { respond(c); c.Close() }()
 				}
 			}()
-			p := begin(t, bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.Discovery), []byte(l.Addr().String())), "")
-			p.http = "http://" + p.line(t, `msg=serving .*front=http listen=(\S+)`)
+			p := startProgram(t, bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.Discovery), []byte(l.Addr().String())), "")
+			p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 			if res, err := http.Get(p.http + "/health/ready"); err != nil || res.StatusCode != 200 {
 				t.Errorf("not ready: %v %v", res, err)
 			}
-			if res, err := http.DefaultClient.Do(request(p, "a1", "draft-reply")); err != nil || res.StatusCode != 200 {
+			if res, err := http.DefaultClient.Do(newRequest(p, "a1", "draft-reply")); err != nil || res.StatusCode != 200 {
 				t.Errorf("not served with the list of before: %v %v", res, err)
 			}
 		})
 	}
 }
 
-// SIGHUP must end neither the program nor what it knows: it moves to the discovery that the file names
-// now, though the environment names the old one, and takes the whole list there. A file that can't be
-// read changes nothing.
-func TestSIGHUPMovesToAnotherDiscovery(t *testing.T) {
+// SIGHUP ends neither the program nor its knowledge of workers. The program follows the discovery address in the file, even
+// if the environment named the old one, and takes the full worker list from there. An unreadable file changes nothing.
+func TestSIGHUPSwitchesDiscovery(t *testing.T) {
 	old, err := standin.Start(standin.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -308,38 +306,38 @@
 	}
 	t.Cleanup(next.Close)
 	t.Setenv("ROUTER_DISCOVERY", old.Discovery)
-	p := begin(t, old.Config("127.0.0.1:0"), "")
-	p.http = "http://" + p.line(t, `msg=serving .*front=http listen=(\S+)`)
-	p.line(t, `msg="worker list" .*entries=(2)`)
-	hup := func(config []byte, want string) {
+	p := startProgram(t, old.Config("127.0.0.1:0"), "")
+	p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
+	p.waitLog(t, `msg="worker list" .*entries=(2)`)
+	reload := func(config []byte, want string) {
 		t.Helper()
-		os.WriteFile(p.file, config, 0o600)
+		os.WriteFile(p.configFile, config, 0o600)
 		p.cmd.Process.Signal(syscall.SIGHUP)
-		p.line(t, want)
-	}
-	hup([]byte("{"), `level=ERROR msg="new configuration is not taken`)
-	hup(next.Config("x"), `msg="worker list" .*whole=true entries=(3)`)
-	hup(next.Config("x"), `msg="new configuration"`)
-	next.SetHealth("reader-1", "draining") // a watch goes on there
-	p.line(t, `msg="worker list" .*seq=(2)`)
-	res, err := http.DefaultClient.Do(request(p, "h1", "draft-reply"))
+		p.waitLog(t, want)
+	}
+	reload([]byte("{"), `level=ERROR msg="new configuration is not taken`)
+	reload(next.Config("x"), `msg="worker list" .*whole=true entries=(3)`)
+	reload(next.Config("x"), `msg="new configuration"`)
+	next.SetHealth("reader-1", "draining") // the watch at the new address continues
+	p.waitLog(t, `msg="worker list" .*seq=(2)`)
+	res, err := http.DefaultClient.Do(newRequest(p, "h1", "draft-reply"))
 	if err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
 	io.Copy(io.Discard, res.Body)
 	if next.Calls("read", "h1") != 1 || old.Calls("read", "h1") != 0 {
-		t.Errorf("read %d times by a worker that only the new list names", next.Calls("read", "h1"))
+		t.Errorf("read %d times by the worker that only the new list contains", next.Calls("read", "h1"))
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.line(t, "msg=(ended)")
+	p.waitLog(t, "msg=(ended)")
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
 }
 
-// A router in standby must be left by all its clients and come back when it is called back.
-func TestStandbyEmptiesTheRouterAndActiveBringsItBack(t *testing.T) {
+// A router in standby closes idle connections and is not ready, but completes running streams. After /active it is ready.
+func TestStandbyDrainsRouterAndActiveRestoresIt(t *testing.T) {
 	t.Setenv("ROUTER_OPERATOR", "127.0.0.1:0")
 	t.Setenv("TMPDIR", t.TempDir())
 	fleet, err := standin.Start(standin.Options{Tokens: 40, TokenTime: 10 * time.Millisecond})
@@ -347,39 +345,39 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	p := begin(t, fleet.Config("127.0.0.1:0"), "")
-	p.operators = "http://" + p.line(t, `msg=serving .*front=operator listen=(\S+)`)
-	p.http = "http://" + p.line(t, `msg=serving .*front=http listen=(\S+)`)
-	silent, err := net.Dial("tcp", strings.TrimPrefix(p.operators, "http://"))
+	p := startProgram(t, fleet.Config("127.0.0.1:0"), "")
+	p.operatorURL = "http://" + p.waitLog(t, `msg=serving .*front=operator listen=(\S+)`)
+	p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
+	silentCaller, err := net.Dial("tcp", strings.TrimPrefix(p.operatorURL, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	kept, err := net.Dial("tcp", strings.TrimPrefix(p.http, "http://"))
+	defer silentCaller.Close()
+	keptAlive, err := net.Dial("tcp", strings.TrimPrefix(p.http, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.Close()
-	fmt.Fprint(kept, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-	answers := bufio.NewReader(kept)
-	if res, err := http.ReadResponse(answers, nil); err != nil || res.StatusCode != 200 {
+	defer keptAlive.Close()
+	fmt.Fprint(keptAlive, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	keptAliveReader := bufio.NewReader(keptAlive)
+	if res, err := http.ReadResponse(keptAliveReader, nil); err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
-	res, err := http.DefaultClient.Do(request(p, "s1", "send-message"))
+	res, err := http.DefaultClient.Do(newRequest(p, "s1", "send-message"))
 	if err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
-	if code := p.call(t, "GET", "/status"); code != 200 {
+	if code := p.callOperator(t, "GET", "/status"); code != 200 {
 		t.Errorf("status %d", code)
 	}
-	if code := p.call(t, "POST", "/standby"); code != 200 {
+	if code := p.callOperator(t, "POST", "/standby"); code != 200 {
 		t.Fatalf("standby: %d", code)
 	}
-	if _, err := answers.ReadByte(); err != io.EOF {
-		t.Errorf("a kept connection in standby: %v", err)
+	if _, err := keptAliveReader.ReadByte(); err != io.EOF {
+		t.Errorf("idle connection in standby: %v", err)
 	}
 	if text, err := io.ReadAll(res.Body); err != nil || !strings.HasSuffix(string(text), "data: [DONE]\n\n") {
-		t.Errorf("a stream that runs on in standby: %v %q", err, text)
+		t.Errorf("running stream in standby: %v %q", err, text)
 	}
 	ready := func() int {
 		res, err := http.Get(p.http + "/health/ready")
@@ -392,17 +390,17 @@
 	if code := ready(); code == 200 {
 		t.Error("ready in standby")
 	}
-	if p.call(t, "POST", "/active") != 200 || ready() != 200 || p.call(t, "GET", "/active") != 405 || p.call(t, "POST", "/status") != 405 {
-		t.Error("not back at work, or a call by another method was taken")
+	if p.callOperator(t, "POST", "/active") != 200 || ready() != 200 || p.callOperator(t, "GET", "/active") != 405 || p.callOperator(t, "POST", "/status") != 405 {
+		t.Error("not ready after /active, or a call with a wrong method was accepted")
 	}
-	silent.SetReadDeadline(time.Now().Add(30 * time.Second))
-	if _, err := silent.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-		t.Errorf("a caller that says nothing: %v", err)
+	silentCaller.SetReadDeadline(time.Now().Add(30 * time.Second))
+	if _, err := silentCaller.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
+		t.Errorf("connection without a request: %v", err)
 	}
 }
 
-// A newer process takes over at the same address: nothing that comes meanwhile may be lost, and what the
-// older one was told to keep out stays out.
+// A newer process takes over at the same address. No request may be lost meanwhile, and workers that are out for maintenance
+// in the older process stay out in the newer one.
 func TestAnUpgradeLosesNothingAndKeepsTheBan(t *testing.T) {
 	t.Setenv("ROUTER_OPERATOR", "127.0.0.1:0")
 	t.Setenv("TMPDIR", t.TempDir())
@@ -411,20 +409,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	old := begin(t, fleet.Config("127.0.0.1:0"), "")
-	old.operators = "http://" + old.line(t, `msg=serving .*front=operator listen=(\S+)`)
-	addr := old.line(t, `msg=serving .*front=http listen=(\S+)`)
+	old := startProgram(t, fleet.Config("127.0.0.1:0"), "")
+	old.operatorURL = "http://" + old.waitLog(t, `msg=serving .*front=operator listen=(\S+)`)
+	addr := old.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 	old.http = "http://" + addr
 	for path, want := range map[string]int{"enter?who=writer-1": 200, "enter?who=nobody": 404, "exit?who=nobody": 404, "enter": 400, "enter?who=": 400} {
-		if code := old.call(t, "POST", "/maintenance/"+path); code != want {
+		if code := old.callOperator(t, "POST", "/maintenance/"+path); code != want {
 			t.Errorf("%s: %d, want %d", path, code, want)
 		}
 	}
-	old.call(t, "POST", "/maintenance/enter?who=writer-1") // twice is the same as once
-	ask := func(id string) {
+	old.callOperator(t, "POST", "/maintenance/enter?who=writer-1") // the call is idempotent
+	sendRequest := func(id string) {
 		t.Helper()
-		req := request(old, id, "send-message")
-		req.Close = true // each on a connection of its own
+		req := newRequest(old, id, "send-message")
+		req.Close = true // a new connection for each request
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(id, err)
@@ -434,59 +432,59 @@
 			t.Fatal(id, res.StatusCode, err, string(text))
 		}
 	}
-	ask("u0")
-	next := begin(t, fleet.Config(addr), "")
-	next.operators = "http://" + next.line(t, `msg=serving .*front=operator listen=(\S+)`)
-	next.line(t, `msg="(taking over)"`)
-	next.line(t, `msg=serving .*front=http listen=(\S+)`)
+	sendRequest("u0")
+	next := startProgram(t, fleet.Config(addr), "")
+	next.operatorURL = "http://" + next.waitLog(t, `msg=serving .*front=operator listen=(\S+)`)
+	next.waitLog(t, `msg="(taking over)"`)
+	next.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 	for i := range 20 {
-		ask(fmt.Sprint("both", i))
+		sendRequest(fmt.Sprint("both", i))
 	}
 	old.cmd.Process.Signal(syscall.SIGTERM)
-	old.line(t, `msg=draining .*handed_on=(true)`)
+	old.waitLog(t, `msg=draining .*handed_on=(true)`)
 	for i := range 20 {
-		ask(fmt.Sprint("after", i))
+		sendRequest(fmt.Sprint("after", i))
 		if res, err := http.Get(old.http + "/health/ready"); err != nil || res.StatusCode != 200 {
-			t.Fatal("not ready while one takes over from the other", res, err)
+			t.Fatal("not ready during the takeover", res, err)
 		}
 	}
-	old.line(t, "msg=(ended)")
+	old.waitLog(t, "msg=(ended)")
 	if n := fleet.CallsAt("writer-1"); n != 0 {
-		t.Errorf("%d requests to a worker that is out", n)
+		t.Errorf("%d requests to a worker in maintenance", n)
 	}
-	if code := next.call(t, "POST", "/maintenance/exit?who=writer-1"); code != 200 {
-		t.Errorf("back: %d", code)
+	if code := next.callOperator(t, "POST", "/maintenance/exit?who=writer-1"); code != 200 {
+		t.Errorf("maintenance exit: %d", code)
 	}
 	for i := 0; fleet.CallsAt("writer-1") == 0; i++ {
 		if i == 200 {
-			t.Fatal("a worker that was put back gets nothing")
+			t.Fatal("a worker gets no request after maintenance")
 		}
-		ask(fmt.Sprint("back", i))
+		sendRequest(fmt.Sprint("back", i))
 	}
 }
 
-// A stream that runs when the older process has to end must go on in the newer one, byte for byte, and not be
-// read or written anew.
-func TestAStreamGoesOnInTheNextProcess(t *testing.T) {
+// A stream that runs when the older process ends continues in the newer one, byte for byte, without a second read or write
+// at the workers.
+func TestStreamContinuesInNextProcess(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	fleet, err := standin.Start(standin.Options{Tokens: 80, TokenTime: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	old := begin(t, fleet.Config("127.0.0.1:0"), "")
-	addr := old.line(t, `msg=serving .*front=http listen=(\S+)`)
+	old := startProgram(t, fleet.Config("127.0.0.1:0"), "")
+	addr := old.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 	old.http = "http://" + addr
-	res, err := http.DefaultClient.Do(request(old, "h1", "send-message"))
+	res, err := http.DefaultClient.Do(newRequest(old, "h1", "send-message"))
 	if err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
-	next := begin(t, fleet.Config(addr), "")
-	next.line(t, `msg=serving .*front=http listen=(\S+)`)
+	next := startProgram(t, fleet.Config(addr), "")
+	next.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 	old.cmd.Process.Signal(syscall.SIGTERM)
-	old.line(t, "msg=(ended)")
-	last := begin(t, fleet.Config(addr), "") // and in the one after that
-	last.line(t, `msg=serving .*front=http listen=(\S+)`)
+	old.waitLog(t, "msg=(ended)")
+	last := startProgram(t, fleet.Config(addr), "") // the stream is handed over a second time
+	last.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 	next.cmd.Process.Signal(syscall.SIGTERM)
 	text, err := io.ReadAll(res.Body)
 	if err != nil || strings.Count(string(text), "data: ") != 82 || !strings.HasSuffix(string(text), "data: [DONE]\n\n") {
@@ -497,16 +495,16 @@
 	}
 }
 
-func TestOperatorsFileTurnsGRPCOn(t *testing.T) {
+func TestOperatorFileEnablesGRPC(t *testing.T) {
 	_, p := func() (*standin.Fleet, *program) {
 		fleet, err := standin.Start(standin.Options{GRPC: true, Tokens: 2})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(fleet.Close)
-		return fleet, begin(t, fleet.Config("127.0.0.1:0"), `{"grpc":{"listen":"127.0.0.1:0","worker_hosts":["*"]}}`)
+		return fleet, startProgram(t, fleet.Config("127.0.0.1:0"), `{"grpc":{"listen":"127.0.0.1:0","worker_hosts":["*"]}}`)
 	}()
-	addr := p.line(t, `msg=serving .*front=grpc listen=(\S+)`)
+	addr := p.waitLog(t, `msg=serving .*front=grpc listen=(\S+)`)
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
@@ -526,7 +524,7 @@
 	}
 }
 
-func TestBadConfigurationEndsInOneLine(t *testing.T) {
+func TestBadConfigurationPrintsOneError(t *testing.T) {
 	fleet, err := standin.Start(standin.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -543,7 +541,7 @@
 		"address":  {good, `{"ext_proc":{"listen":"x"}}`, "ext_proc.listen"},
 		"openapi":  {good, `{"ext_proc":{"listen":"127.0.0.1:0","openapi":"/none"}}`, "/none"},
 	} {
-		p := begin(t, []byte(c.config), c.operator)
+		p := startProgram(t, []byte(c.config), c.operator)
 		last, n := "", 0
 		for l := range p.lines {
 			if !strings.HasPrefix(l, "time=") {
@@ -556,9 +554,9 @@
 	}
 }
 
-// The descriptions that the program serves hold for what it really takes and sends.
-func TestDescriptionsMatchTheRealMessages(t *testing.T) {
-	_, p := up(t, standin.Options{Tokens: 2}, "")
+// The OpenAPI and AsyncAPI documents that the program serves match the requests it accepts and the events it sends.
+func TestDescriptionsMatchActualMessages(t *testing.T) {
+	_, p := startRouter(t, standin.Options{Tokens: 2}, "")
 	get := func(path string) []byte {
 		res, err := http.Get(p.http + path)
 		if err != nil || res.StatusCode != 200 {
@@ -598,8 +596,8 @@
 		}
 		return string(text)
 	}
-	text := check(request(p, "d1", "draft-reply"), 200, true)
-	bad := request(p, "a/b", "draft-reply")
+	text := check(newRequest(p, "d1", "draft-reply"), 200, true)
+	bad := newRequest(p, "a/b", "draft-reply")
 	check(bad, 400, false)
 
 	var async struct {
@@ -621,7 +619,7 @@
 				t.Fatal(err)
 			}
 		}
-		fits := ""
+		matching := ""
 		for name, m := range async.Components.Messages {
 			schema := &openapi3.Schema{}
 			raw, err := asJSON(m.Payload)
@@ -631,11 +629,11 @@
 			if err != nil {
 				t.Fatal(name, err)
 			}
-			if schema.VisitJSON(widen(value)) == nil {
-				fits += name + " "
+			if schema.VisitJSON(jsonValue(value)) == nil {
+				matching += name + " "
 			}
 		}
-		seen[fits]++
+		seen[matching]++
 	}
 	if seen["token "] != 2 || seen["usage "] != 1 || seen["done "] != 1 || len(seen) != 3 {
 		t.Errorf("events fit %v", seen)
@@ -644,32 +642,33 @@
 
 func asJSON(v any) ([]byte, error) { return json.Marshal(v) }
 
-// widen gives numbers the form that JSON has.
-func widen(v any) any {
+// jsonValue converts v to the types that encoding/json decodes into.
+func jsonValue(v any) any {
 	text, _ := json.Marshal(v)
 	var out any
 	json.Unmarshal(text, &out)
 	return out
 }
 
-// What lets others carry attempts is on where the operator's file says so, and the command line looks at it.
-func TestOperatorsFileTurnsDecisionsOn(t *testing.T) {
+// The operator's file enables ext_proc, decisions and metrics. The grants command lists an open grant, and SIGHUP reloads the
+// descriptions.
+func TestOperatorFileEnablesDecisions(t *testing.T) {
 	fleet, err := standin.Start(standin.Options{Tokens: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer fleet.Close()
-	api := filepath.Join(t.TempDir(), "api.yaml")
-	describe := func(class string) {
-		os.WriteFile(api, []byte(fmt.Sprintf(`openapi: 3.0.3
+	descriptionFile := filepath.Join(t.TempDir(), "api.yaml")
+	writeDescription := func(class string) {
+		os.WriteFile(descriptionFile, []byte(fmt.Sprintf(`openapi: 3.0.3
 info: {title: theirs, version: "1"}
 paths: {/send: {post: {x-rowanyard-class: %s, responses: {"200": {description: sent}}}}}
 `, class)), 0o600)
 	}
-	describe("send-message")
-	p := begin(t, fleet.Config("127.0.0.1:0"), `{"ext_proc":{"listen":"127.0.0.1:0","openapi":"`+api+`"},"decisions":{"listen":"127.0.0.1:0"},"metrics":{"listen":"127.0.0.1:0"}}`)
-	metrics := p.line(t, `msg=serving .*front=metrics listen=(\S+)`)
-	p.line(t, `msg=serving .*front=http`)
+	writeDescription("send-message")
+	p := startProgram(t, fleet.Config("127.0.0.1:0"), `{"ext_proc":{"listen":"127.0.0.1:0","openapi":"`+descriptionFile+`"},"decisions":{"listen":"127.0.0.1:0"},"metrics":{"listen":"127.0.0.1:0"}}`)
+	metrics := p.waitLog(t, `msg=serving .*front=metrics listen=(\S+)`)
+	p.waitLog(t, `msg=serving .*front=http`)
 	res, err := http.Get("http://" + metrics + "/metrics")
 	if err != nil {
 		t.Fatal(err)
@@ -679,25 +678,25 @@
 	if !strings.Contains(string(text), `rowanyard_grants{state="offered"} 0`) || !strings.Contains(string(text), "rowanyard_effects 0") {
 		t.Errorf("metrics: %s", text)
 	}
-	addr := p.decisions
+	addr := p.decisionsAddr
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	ask := func(id string) (*decisionspb.Choice, error) {
+	choose := func(id string) (*decisionspb.Choice, error) {
 		ctx, stop := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), "rowanyard-caller", "test"), time.Minute)
 		defer stop()
 		return decisionspb.NewDecisionsClient(conn).Choose(ctx, &decisionspb.ChooseRequest{Request: id, Method: "POST", Path: "/send", PromptTokens: 9})
 	}
-	// open asks for a request and takes its grant up: it stays open for its attempt's whole time then, however long what
-	// follows takes. One whose grant was void by then, after grants.hold_ms on a busy machine, is left for another.
-	open := func(id string) (string, *decisionspb.Choice) {
+	// takeUpGrant chooses a worker for a new request and takes the grant up, so that it stays open for the whole time of its
+	// attempt. On a busy machine the grant may expire first, after grants.hold_ms; then it tries another request.
+	takeUpGrant := func(id string) (string, *decisionspb.Choice) {
 		t.Helper()
 		caller := metadata.AppendToOutgoingContext(t.Context(), "rowanyard-caller", "test")
 		for try := range 20 {
 			id := fmt.Sprintf("%s-%d", id, try)
-			g, err := ask(id)
+			g, err := choose(id)
 			if err != nil || g.Class != "send-message" {
 				t.Fatal(g, err)
 			}
@@ -712,31 +711,31 @@
 		t.Fatal("no grant could be taken up")
 		return "", nil
 	}
-	first, g := open("d1")
+	first, g := takeUpGrant("d1")
 	out, err := exec.Command(binary, "grants", addr).CombinedOutput()
 	if err != nil || !strings.Contains(string(out), "1 requests open of 1 callers") || !strings.Contains(string(out), g.Worker) || !strings.Contains(string(out), first) {
 		t.Errorf("grants: %v %s", err, out)
 	}
-	describe("nonsense")
+	writeDescription("nonsense")
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.line(t, `operator's file is not taken.*unknown class`)
-	if g, err := ask("d2"); err != nil || g.Class != "send-message" {
-		t.Errorf("after a bad description: %v %v", g, err)
+	p.waitLog(t, `operator's file is not taken.*unknown class`)
+	if g, err := choose("d2"); err != nil || g.Class != "send-message" {
+		t.Errorf("after an invalid description: %v %v", g, err)
 	}
-	describe("draft-reply")
-	second, _ := open("d4")
+	writeDescription("draft-reply")
+	second, _ := takeUpGrant("d4")
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.line(t, `msg="new descriptions"`)
-	if g, err := ask("d3"); err != nil || g.Class != "draft-reply" {
-		t.Errorf("after a good one: %v %v", g, err)
+	p.waitLog(t, `msg="new descriptions"`)
+	if g, err := choose("d3"); err != nil || g.Class != "draft-reply" {
+		t.Errorf("after a valid description: %v %v", g, err)
 	}
-	if _, err := ask(second); status.Code(err) != codes.FailedPrecondition {
-		t.Errorf("a request that is open changed its class: %v", err)
+	if _, err := choose(second); status.Code(err) != codes.FailedPrecondition {
+		t.Errorf("the class of an open request changed: %v", err)
 	}
 }
 
-// One router of 1,024 with 1,024 workers takes the list, whole and again and again, serves, and stays in the memory and
-// descriptors that the platform gives it.
+// One router of 1,024 with 1,024 workers takes repeated updates of the full list, serves, and stays within its memory and
+// descriptor limits.
 func TestAThousandWorkersAndRouters(t *testing.T) {
 	const memory, sockets = 96, 512
 	fleet, err := standin.Start(standin.Options{Readers: 2, Writers: 2, Listed: 1024})
@@ -752,21 +751,21 @@
 		}
 		config = strings.Replace(config, from, to, 1)
 	}
-	p := begin(t, []byte(config), "")
-	p.http = "http://" + p.line(t, `msg=serving .*front=http listen=(\S+)`)
+	p := startProgram(t, []byte(config), "")
+	p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 	var served atomic.Int32
 	for round := range 5 {
 		var all sync.WaitGroup
 		for i := range 40 {
 			all.Go(func() {
-				res, err := http.DefaultClient.Do(request(p, fmt.Sprintf("%x", 1000*round+i+1), "draft-reply"))
+				res, err := http.DefaultClient.Do(newRequest(p, fmt.Sprintf("%x", 1000*round+i+1), "draft-reply"))
 				switch {
 				case err != nil:
 					t.Errorf("round %d: %v", round, err)
 					return
 				case res.StatusCode == 200:
 					served.Add(1)
-				case res.StatusCode != 503 || res.Header.Get("Retry-After") == "": // a slow machine may be taken for busy workers
+				case res.StatusCode != 503 || res.Header.Get("Retry-After") == "": // a slow machine may look like busy workers
 					t.Errorf("round %d: %v", round, res.Status)
 				}
 				io.Copy(io.Discard, res.Body)
@@ -775,8 +774,8 @@
 		}
 		all.Wait()
 		fleet.SetHealth(fmt.Sprintf("reader-%d", 4*round+4), "draining")
-		if n := p.line(t, fmt.Sprintf(`msg="worker list" .*seq=%d .*entries=(\d+)`, round+2)); n != "1024" {
-			t.Errorf("a list of %s", n)
+		if n := p.waitLog(t, fmt.Sprintf(`msg="worker list" .*seq=%d .*entries=(\d+)`, round+2)); n != "1024" {
+			t.Errorf("a worker list with %s entries", n)
 		}
 	}
 	if served.Load() < 100 {
@@ -797,19 +796,19 @@
 	t.Logf("%d kB at most, %d descriptors", peak, len(fds))
 }
 
-// gate is a way to discovery that is silent until it is opened.
-type gate struct {
+// gatedProxy forwards connections to an address once it is open; before that it accepts them and stays silent.
+type gatedProxy struct {
 	net.Listener
 	open atomic.Bool
 }
 
-func newGate(t *testing.T, to string) *gate {
+func newGatedProxy(t *testing.T, to string) *gatedProxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	g := &gate{Listener: l}
+	g := &gatedProxy{Listener: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -835,34 +834,35 @@
 	return g
 }
 
-// Idle clients fill all descriptors that the system gives, fewer than the configuration says, while discovery is down. When
-// it returns its list is had, and workers and operators are reached: idle clients go first, those at work stay.
-func TestIdleClientsTakeNoDescriptorThatIsNeeded(t *testing.T) {
-	const system, clients = 80, 150
+// Idle clients use up all descriptors, of which the system allows fewer than the configuration, while discovery is down. When
+// discovery returns, the router must still reach it, its workers and its operators: idle clients are closed for that, active
+// ones are not.
+func TestIdleClientsYieldDescriptors(t *testing.T) {
+	const descriptorLimit, clients = 80, 150
 	fleet, err := standin.Start(standin.Options{Readers: 2, Tokens: 40, TokenTime: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	g := newGate(t, fleet.Discovery)
+	g := newGatedProxy(t, fleet.Discovery)
 	t.Setenv("ROUTER_OPERATOR", "127.0.0.1:0")
 	config := bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.Discovery), []byte(g.Addr().String()))
-	p := beginAs(t, exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", system, binary)), config, "")
-	p.operators = "http://" + p.line(t, `msg=serving .*front=operator listen=(\S+)`)
-	p.http = "http://" + p.line(t, `msg=serving .*front=http listen=(\S+)`)
-	atWork, err := http.DefaultClient.Do(request(p, "w1", "send-message")) // streams for 4 s
-	if err != nil || atWork.StatusCode != 200 {
-		t.Fatal(atWork, err)
+	p := startCommand(t, exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", descriptorLimit, binary)), config, "")
+	p.operatorURL = "http://" + p.waitLog(t, `msg=serving .*front=operator listen=(\S+)`)
+	p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
+	activeStream, err := http.DefaultClient.Do(newRequest(p, "w1", "send-message")) // streams for 4 s
+	if err != nil || activeStream.StatusCode != 200 {
+		t.Fatal(activeStream, err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	var all, begun sync.WaitGroup
 	begun.Add(clients)
-	for i := range clients { // each comes again when it is closed, some after a request
+	for i := range clients { // each reconnects when it is closed, half of them after a request
 		all.Go(func() {
-			first := begun.Done
+			firstDial := begun.Done
 			for ctx.Err() == nil {
 				c, err := (&net.Dialer{}).DialContext(ctx, "tcp", strings.TrimPrefix(p.http, "http://"))
-				if first(); err == nil {
+				if firstDial(); err == nil {
 					if i%2 == 0 {
 						fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 					}
@@ -871,35 +871,35 @@
 					end()
 					c.Close()
 				}
-				first = func() {}
+				firstDial = func() {}
 			}
 		})
 	}
 	defer all.Wait()
 	defer stop()
 	begun.Wait()
-	p.line(t, `msg="(full house)"`)
+	p.waitLog(t, `msg="(full house)"`)
 	fleet.SetHealth("reader-2", "draining")
 	g.open.Store(true)
-	p.line(t, `msg="worker list" .*seq=(2)`)
-	if code := p.call(t, http.MethodGet, "/status"); code != 200 {
-		t.Errorf("operators get %d", code)
+	p.waitLog(t, `msg="worker list" .*seq=(2)`)
+	if code := p.callOperator(t, http.MethodGet, "/status"); code != 200 {
+		t.Errorf("operator API: %d", code)
 	}
-	if res, err := http.DefaultClient.Do(request(p, "w2", "draft-reply")); err != nil || res.StatusCode != 200 {
-		t.Errorf("who has work among them: %v %v", res, err)
+	if res, err := http.DefaultClient.Do(newRequest(p, "w2", "draft-reply")); err != nil || res.StatusCode != 200 {
+		t.Errorf("new request: %v %v", res, err)
 	}
-	if text, err := io.ReadAll(atWork.Body); err != nil || !strings.HasSuffix(string(text), "data: [DONE]\n\n") {
-		t.Errorf("who was at work: %v, %d bytes", err, len(text))
+	if text, err := io.ReadAll(activeStream.Body); err != nil || !strings.HasSuffix(string(text), "data: [DONE]\n\n") {
+		t.Errorf("active stream: %v, %d bytes", err, len(text))
 	}
-	if fds, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", p.cmd.Process.Pid)); len(fds) > system {
+	if fds, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", p.cmd.Process.Pid)); len(fds) > descriptorLimit {
 		t.Errorf("%d descriptors", len(fds))
 	}
 }
 
-// As the platform runs it, the program opens the platform's port and nothing else: no further listener, no socket of
-// a name.
-func TestABareRunOpensOnePort(t *testing.T) {
-	_, p := up(t, standin.Options{}, "")
+// Without an operator's file the program opens the platform's port and nothing else: no further listener and no named Unix
+// socket.
+func TestDefaultRunOpensOnePort(t *testing.T) {
+	_, p := startRouter(t, standin.Options{}, "")
 	listeners := func(file string) (n int) {
 		fds, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", p.cmd.Process.Pid))
 		if err != nil || len(fds) == 0 {
@@ -927,11 +927,11 @@
 		t.Errorf("%d listeners", n)
 	}
 	if n := listeners("unix"); n != 0 {
-		t.Errorf("%d sockets of a name", n)
+		t.Errorf("%d named Unix sockets", n)
 	}
 }
 
-func TestCheckNamesPlaceAndReason(t *testing.T) {
+func TestCheckReportsPositionAndReason(t *testing.T) {
 	fleet, err := standin.Start(standin.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -942,7 +942,7 @@
 	os.WriteFile(config, fleet.Config("127.0.0.1:0"), 0o600)
 	for text, want := range map[string]string{
 		`{"decisions":{"listen":"127.0.0.1:9092"}}`:                                    "good",
-		"{\n\"decisions\":{\n\"port\":1}}":                                             "operator.json:3: port: no such key",
+		"{\n\"decisions\":{\n\"port\":1}}":                                             "operator.json:3: port: unknown key",
 		`{"grants":{"delivery_ms":450}}`:                                               "delivery: 450ms",
 		`{"ext_proc":{"listen":"127.0.0.1:1","openapi":"../../example/members.yaml"}}`: "good",
 	} {
--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -1,7 +1,7 @@
 package main
 
-// This file puts the process together: what it reads, what decides and sends, and what it shares with another process of the
-// same router. Nothing listens to clients yet.
+// Assembly of the process, up to the point where its fronts open: configuration, core, worker clients, and the state shared
+// with another process of the same router.
 
 import (
 	"cmp"
@@ -30,123 +30,123 @@
 	"rowanyard/internal/wire"
 )
 
-// process is one router's process and its parts.
+// process holds the parts of one router process.
 type process struct {
 	log *slog.Logger
 
-	// What it was told at its start.
-	config   config
-	site     wire.Site
-	seed     uint64
-	classes  httpfront.Classes
-	operator *setup.File
-	routes   *describe.Routes
-	memory   float64 // the limit, in bytes
-	files    int     // descriptors that it may open
+	// Configuration, fixed at the start.
+	config       config
+	site         wire.Site
+	seed         uint64
+	classes      httpfront.Classes
+	operatorFile *setup.File
+	routes       *describe.Routes
+	memoryBytes  float64 // the memory limit
+	descriptors  int     // the limit on open descriptors
 
-	// What decides and sends.
-	core        *core.Core
-	workers     *httpfront.Workers
-	grpcWorkers *grpcfront.Workers
-	names       httpfront.Names
-	metrics     *measure.Metrics  // nil: nobody asks for them
-	grants      *decisions.Desk   // nil: no others carry attempts
-	texts       *reports.Listener // nil: there are no reports of kept texts
-	discovery   *httpfront.Discovery
-	changes     *reloader
-	front       *httpfront.Front
-	limits      budget
+	// Decisions and connections to workers.
+	core         *core.Core
+	workers      *httpfront.Workers
+	grpcWorkers  *grpcfront.Workers
+	names        httpfront.Names
+	metrics      *measure.Metrics  // nil if disabled
+	grants       *decisions.Desk   // nil if no callers outside the router carry attempts
+	cacheReports *reports.Listener // nil if workers do not report their prefix caches
+	discovery    *httpfront.Discovery
+	reloader     *configReloader
+	front        *httpfront.Front
+	budget       resourceBudget
 
-	// What it shares with another process of the router, and its listeners.
-	shared   *operator.Share
-	desk     *operator.Desk
-	serving  atomic.Bool
-	served   chan error // takes the end of each front
-	others   []*grpc.Server
-	handOver context.CancelFunc // cuts the streams of gRPC clients; nil: there are none
-	closers  []func()           // what is closed at the end, the latest first
+	// State shared with another process of the router, and the listeners.
+	shared          *operator.Share
+	control         *operator.Desk
+	serving         atomic.Bool
+	serveErrors     chan error // receives the error that ends a front
+	grpcServers     []*grpc.Server
+	handOverStreams context.CancelFunc // ends the streams of gRPC clients; nil without a gRPC front
+	cleanups        []func()           // run by close in reverse order
 }
 
-// configured reads the files and takes the limits that hold for the whole process.
-func configured(log *slog.Logger) (*process, error) {
-	p := &process{served: make(chan error, 5)}
+// newProcess reads the configuration files and applies the process-wide limits.
+func newProcess(log *slog.Logger) (*process, error) {
+	p := &process{serveErrors: make(chan error, 5)}
 	var err error
-	if p.config, p.site, p.seed, err = load(); err != nil {
+	if p.config, p.site, p.seed, err = loadConfig(); err != nil {
 		return nil, err
 	}
-	p.memory = cmp.Or(max(p.config.Limits.MemoryMB, 0), defaultMB) * (1 << 20)
+	p.memoryBytes = cmp.Or(max(p.config.Limits.MemoryMB, 0), defaultMemoryMB) * (1 << 20)
 	p.classes = httpfront.ClassesOf(p.site.ClassNames)
-	if p.operator, p.routes, err = setup.Read(os.Getenv("ROWANYARD_OPERATOR"), p.memory, p.knows); err != nil {
+	if p.operatorFile, p.routes, err = setup.Read(os.Getenv("ROWANYARD_OPERATOR"), p.memoryBytes, p.hasClass); err != nil {
 		return nil, err
 	}
 	p.log = log.With("router", p.config.Name)
 	if cores := p.config.Limits.Cores; cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(cores)))
 	}
-	p.files = descriptors(p.config.Limits.Sockets)
+	p.descriptors = descriptorLimit(p.config.Limits.Sockets)
 	return p, nil
 }
 
-// knows says whether there is a class of that name.
-func (p *process) knows(class string) bool {
+// hasClass reports whether the settings define a class of that name.
+func (p *process) hasClass(class string) bool {
 	_, ok := p.classes[class]
 	return ok
 }
 
-// atEnd has something done when the process ends.
-func (p *process) atEnd(do func()) { p.closers = append(p.closers, do) }
+// onClose registers a function that close calls.
+func (p *process) onClose(cleanup func()) { p.cleanups = append(p.cleanups, cleanup) }
 
-// close does what is to be done at the end.
+// close runs the registered cleanups, the latest first.
 func (p *process) close() {
-	for i := len(p.closers) - 1; i >= 0; i-- {
-		p.closers[i]()
+	for i := len(p.cleanups) - 1; i >= 0; i-- {
+		p.cleanups[i]()
 	}
 }
 
-// assemble makes the core and what it sends with.
+// assemble creates the core, the clients of the workers and the optional services.
 func (p *process) assemble() error {
-	p.workers = httpfront.NewWorkers(p.site.ConnectTimeout, p.site.ConnIdle, int(workersShare*float64(p.files)), p.log)
+	p.workers = httpfront.NewWorkers(p.site.ConnectTimeout, p.site.ConnIdle, int(workerDescriptorShare*float64(p.descriptors)), p.log)
 	p.workers.Resume = p.site.Resume
 	p.grpcWorkers = grpcfront.NewWorkers(p.site.ConnectTimeout, p.site.ConnIdle)
-	p.atEnd(p.grpcWorkers.Close)
+	p.onClose(p.grpcWorkers.Close)
 	var err error
 	if p.core, err = core.New(p.site.Settings, p.seed, grpcfront.Prober{HTTP: p.workers, GRPC: p.grpcWorkers}, p.log); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if err := p.grantAttempts(); err != nil {
+	if err := p.setUpDecisions(); err != nil {
 		return err
 	}
 	if p.metrics != nil {
 		p.metrics.FollowGuard(&p.core.Guard)
 	}
-	if err := p.hearReports(); err != nil {
+	if err := p.setUpReports(); err != nil {
 		return err
 	}
-	p.names = httpfront.Names{Kinds: p.site.KindNames, Zones: p.site.ZoneNames, Wire: p.operator.Wire}
+	p.names = httpfront.Names{Kinds: p.site.KindNames, Zones: p.site.ZoneNames, Wire: p.operatorFile.Wire}
 	p.core.SetWorkers(true, p.names.Workers(p.config.Known, p.log))
 	return nil
 }
 
-// grantAttempts makes what lets others carry attempts, and what is measured of that.
-func (p *process) grantAttempts() error {
+// setUpDecisions creates the metrics, the traces and the desk that grants attempts to callers outside the router, as enabled.
+func (p *process) setUpDecisions() error {
 	seen := decisions.Seen{}
-	if p.operator.Metrics.Listen != "" {
+	if p.operatorFile.Metrics.Listen != "" {
 		p.metrics = measure.New()
 		seen = p.metrics.Seen()
 	}
-	if to := p.operator.Traces; to.Endpoint != "" {
-		traces, flush, err := measure.Traces(context.Background(), to.Endpoint, to.Share, p.config.Name)
+	if collector := p.operatorFile.Traces; collector.Endpoint != "" {
+		traces, flush, err := measure.Traces(context.Background(), collector.Endpoint, collector.Share, p.config.Name)
 		if err != nil {
 			return fmt.Errorf("traces: %w", err)
 		}
-		p.atEnd(flush)
+		p.onClose(flush)
 		seen.Tracer = traces.Tracer("rowanyard")
 	}
-	if !p.operator.Desk() {
+	if !p.operatorFile.Desk() {
 		return nil
 	}
 	var err error
-	if p.grants, err = decisions.NewDesk(p.core, p.workers, p.operator.Terms(p.site.MaxRetryAfter), seen, p.log); err != nil {
+	if p.grants, err = decisions.NewDesk(p.core, p.workers, p.operatorFile.Terms(p.site.MaxRetryAfter), seen, p.log); err != nil {
 		return err
 	}
 	if p.metrics != nil {
@@ -155,90 +155,90 @@
 	return nil
 }
 
-// hearReports makes what hears from engines which texts they keep.
-func (p *process) hearReports() error {
-	if p.operator.Reports.Listen == "" {
+// setUpReports creates the listener for the workers' prefix-cache reports, if enabled.
+func (p *process) setUpReports() error {
+	if p.operatorFile.Reports.Listen == "" {
 		return nil
 	}
 	var err error
-	if p.texts, err = reports.New(p.core, p.operator.Index(), p.log); err != nil {
+	if p.cacheReports, err = reports.New(p.core, p.operatorFile.Index(), p.log); err != nil {
 		return err
 	}
-	p.core.Texts = p.texts
-	moved := p.core.Moved
+	p.core.Texts = p.cacheReports
+	previous := p.core.Moved
 	p.core.Moved = func(ids []string) {
-		if moved != nil {
-			moved(ids)
+		if previous != nil {
+			previous(ids)
 		}
-		p.texts.Moved(ids)
+		p.cacheReports.Moved(ids)
 	}
 	if p.metrics != nil {
-		p.metrics.FollowTexts(p.texts.Stats)
+		p.metrics.FollowTexts(p.cacheReports.Stats)
 	}
 	return nil
 }
 
-// follow watches discovery, and the files at each signal.
-func (p *process) follow(reload <-chan os.Signal) {
-	p.discovery = httpfront.NewDiscovery(p.names, p.core, int(lineShare*p.memory), p.log)
-	p.atEnd(p.discovery.Close)
+// watchConfiguration follows discovery and reloads the configuration files on each signal.
+func (p *process) watchConfiguration(reload <-chan os.Signal) {
+	p.discovery = httpfront.NewDiscovery(p.names, p.core, int(discoveryLineShare*p.memoryBytes), p.log)
+	p.onClose(p.discovery.Close)
 	p.discovery.Follow(p.config.Discovery, p.config.Known.Seq)
-	p.changes = &reloader{discovery: p.discovery, core: p.core, routes: p.routes, memory: p.memory, known: p.knows, log: p.log,
-		settings: p.operator.Settings.Reload, grants: p.operator.Desk()}
-	p.changes.use(p.site)
-	go p.changes.follow(reload)
+	p.reloader = &configReloader{discovery: p.discovery, core: p.core, routes: p.routes, memoryBytes: p.memoryBytes, classExists: p.hasClass, log: p.log,
+		settingsReload: p.operatorFile.Settings.Reload, grantsEnabled: p.operatorFile.Desk()}
+	p.reloader.setActive(p.site)
+	go p.reloader.handleSignals(reload)
 }
 
-// limit makes the front for HTTP clients and holds everything to the limits.
-func (p *process) limit() {
+// setUpHTTPFront creates the HTTP front and applies the limits to all parts.
+func (p *process) setUpHTTPFront() {
 	p.front = httpfront.New(p.core, p.workers, p.site.ClassNames, describe.Handler, p.log)
 	if p.site.Resume {
-		p.front.HandOver = leastEnd + killMargin - handMargin
+		p.front.HandOver = guaranteedDrain + killMargin - handOverMargin
 	}
-	if len(p.operator.GRPC.WorkerHosts) > 0 {
+	if len(p.operatorFile.GRPC.WorkerHosts) > 0 {
 		p.front.Bridges = map[string]httpfront.Bridge{grpcfront.Wire: p.grpcWorkers.Bridge}
 	}
-	p.limits = budget{memory: p.memory, files: float64(p.files), fronts: 1, front: p.front, workers: p.workers}
-	op := p.operator
-	for _, addr := range []string{op.GRPC.Listen, op.ExtProc.Listen, op.Decisions.Listen, op.Reports.Listen} {
+	p.budget = resourceBudget{memoryBytes: p.memoryBytes, descriptors: float64(p.descriptors), fronts: 1, front: p.front, workers: p.workers}
+	file := p.operatorFile
+	for _, addr := range []string{file.GRPC.Listen, file.ExtProc.Listen, file.Decisions.Listen, file.Reports.Listen} {
 		if addr != "" {
-			p.limits.fronts++
+			p.budget.fronts++
 		}
 	}
-	p.limits.take(1)
-	for _, needs := range []*httpfront.Descriptors{p.workers.Spare, p.discovery.Spare} {
-		needs.From(p.front.Shed)
+	p.budget.apply(1)
+	for _, spare := range []*httpfront.Descriptors{p.workers.Spare, p.discovery.Spare} {
+		spare.From(p.front.Shed)
 	}
 }
 
-// shareWithOthers takes part in what processes of one router share: who is out, the limits, and what was learned.
-func (p *process) shareWithOthers(ctx context.Context) {
+// joinOtherProcesses shares operator requests, limits and learned state with other processes of the router.
+func (p *process) joinOtherProcesses(ctx context.Context) {
 	var err error
 	if p.shared, err = operator.Open(os.Getenv("TMPDIR"), p.config.Name); err != nil {
-		p.log.Error("nothing is shared with another process of this router", "err", err)
+		p.log.Error("can't share state with other processes of this router", "err", err)
 	}
-	p.desk = &operator.Desk{Share: p.shared, Router: p.core, Standby: p.front.Standby, Serving: p.serving.Load, Log: p.log}
-	p.desk.Begin()
+	p.control = &operator.Desk{Share: p.shared, Router: p.core, Standby: p.front.Standby, Serving: p.serving.Load, Log: p.log}
+	p.control.Begin()
 	if !p.shared.Alone() {
-		p.learn()
+		p.restoreLearned()
 	}
-	go p.desk.Watch(ctx, func() any { return p.core.Learned() })
-	go p.limits.share(ctx, p.desk, p.log)
+	go p.control.Watch(ctx, func() any { return p.core.Learned() })
+	go p.budget.followOverlap(ctx, p.control, p.log)
 }
 
-// learn begins with what the other process has learned.
-func (p *process) learn() {
-	var known decide.Learned
-	if ok, err := p.shared.Kept(&known); err != nil {
-		p.log.Error("what the other process had learned can't be read", "err", err)
+// restoreLearned loads the state that the older process has learned.
+func (p *process) restoreLearned() {
+	var learned decide.Learned
+	if ok, err := p.shared.Kept(&learned); err != nil {
+		p.log.Error("can't read the learned state of the other process", "err", err)
 	} else if ok {
-		if err := p.core.Learn(known); err != nil {
-			p.log.Error("what the other process had learned is not taken", "err", err)
+		if err := p.core.Learn(learned); err != nil {
+			p.log.Error("learned state of the other process is not taken", "err", err)
 		}
 	}
 }
 
-// serveOperators listens at the operators' own address, if there is one.
+// serveOperators serves the operator API, if it has an address.
 func (p *process) serveOperators() error {
 	if p.config.Operator == "" {
 		return nil
@@ -247,23 +247,23 @@
 	if err != nil {
 		return fmt.Errorf("operator: %w", err)
 	}
-	p.atEnd(func() { l.Close() })
+	p.onClose(func() { l.Close() })
 	go func() {
-		if err := p.desk.Serve(acceptretry.Listener(p.discovery.Spare.Listener(l)), max(leastCallers, p.files/callersPart)); err != nil {
-			p.log.Error("the operators' address is closed", "err", err)
+		if err := p.control.Serve(acceptretry.Listener(p.discovery.Spare.Listener(l)), max(minOperatorConns, p.descriptors/descriptorsPerOperatorConn)); err != nil {
+			p.log.Error("operator API closed", "err", err)
 		}
 	}()
 	p.log.Info("serving", "front", "operator", "listen", l.Addr().String())
 	return nil
 }
 
-// takeOver takes the streams of the process before, if one serves.
-func (p *process) takeOver() {
+// takeOverStreams takes over the streams of the older process, if there is one.
+func (p *process) takeOverStreams() {
 	if p.shared.Alone() {
 		return
 	}
 	p.log.Info("taking over")
-	if err := p.front.TakeFrom(p.desk.Socket()); err != nil {
-		p.log.Error("no streams are taken over", "err", err)
+	if err := p.front.TakeFrom(p.control.Socket()); err != nil {
+		p.log.Error("streams can't be taken over", "err", err)
 	}
 }
--- a/cmd/rowanyard/reload.go
+++ b/cmd/rowanyard/reload.go
@@ -1,6 +1,6 @@
 package main
 
-// This file takes what has changed in the files of the router when SIGHUP comes. What is bad leaves the old one in force.
+// Reloading of the configuration files on SIGHUP. An invalid file leaves the current state in force.
 
 import (
 	"encoding/json"
@@ -19,31 +19,31 @@
 	"rowanyard/internal/wire"
 )
 
-// reloader owns what of the router's files can change while the process runs.
-type reloader struct {
-	discovery *httpfront.Discovery
-	core      *core.Core
-	routes    *describe.Routes
-	memory    float64                 // the router's limit, which the operator's file is checked against
-	known     func(class string) bool // the classes that there are
-	log       *slog.Logger
+// configReloader applies changes of the configuration files while the process runs.
+type configReloader struct {
+	discovery   *httpfront.Discovery
+	core        *core.Core
+	routes      *describe.Routes
+	memoryBytes float64                 // the memory limit that the operator's file is validated against
+	classExists func(class string) bool // reports whether the settings define a class
+	log         *slog.Logger
 
-	settings bool         // settings are put in force without a restart
-	grants   bool         // others carry attempts, on terms that were made with the settings of the start
-	site     wire.Site    // what is in force
-	longest  atomic.Int64 // the longest deadline that a class has had
+	settingsReload  bool         // settings may change without a restart
+	grantsEnabled   bool         // attempts are granted to callers, on terms that are derived from the settings at the start
+	active          wire.Site    // the settings in force
+	longestDeadline atomic.Int64 // nanoseconds; the longest deadline of any class so far
 }
 
-// follow reloads at each signal.
-func (r *reloader) follow(signals <-chan os.Signal) {
+// handleSignals reloads the files on each signal.
+func (r *configReloader) handleSignals(signals <-chan os.Signal) {
 	for range signals {
 		r.reload()
 	}
 }
 
-// reload reads both files again. What the environment says of discovery was fixed at the start and does not count any more.
-func (r *reloader) reload() {
-	cfg, err := read()
+// reload reads both files again. The discovery address comes from the file: environment overrides apply at the start only.
+func (r *configReloader) reload() {
+	cfg, err := readConfig()
 	if err == nil {
 		_, _, err = net.SplitHostPort(cfg.Discovery)
 	}
@@ -52,18 +52,18 @@
 	} else {
 		r.log.Info("new configuration", "discovery", cfg.Discovery)
 		r.discovery.Follow(cfg.Discovery, 0)
-		r.takeSettings(cfg.Settings)
+		r.reloadSettings(cfg.Settings)
 	}
-	r.takeDescriptions()
+	r.reloadDescriptions()
 }
 
-// takeSettings puts the settings in force for requests that begin from now on, if the operator wants that.
-func (r *reloader) takeSettings(text json.RawMessage) {
-	if !r.settings {
+// reloadSettings applies changed settings to requests that arrive from now on, if the operator's file enables that.
+func (r *configReloader) reloadSettings(text json.RawMessage) {
+	if !r.settingsReload {
 		return
 	}
 	next, err := wire.ParseSite(text)
-	if err == nil && reflect.DeepEqual(next, r.site) {
+	if err == nil && reflect.DeepEqual(next, r.active) {
 		return
 	}
 	began := time.Now()
@@ -74,39 +74,39 @@
 		r.log.Error("new settings are not taken, the old ones hold", "err", err)
 		return
 	}
-	r.use(next)
+	r.setActive(next)
 	r.log.Info("new settings", "took_us", time.Since(began).Microseconds())
 }
 
-// apply hands settings to the core, unless they change what this process was started with.
-func (r *reloader) apply(next wire.Site) error {
-	if err := r.site.NeedsRestart(next); err != nil {
+// apply passes settings to the core. It fails if they change something that needs a restart.
+func (r *configReloader) apply(next wire.Site) error {
+	if err := r.active.NeedsRestart(next); err != nil {
 		return err
 	}
-	if r.grants && next.MaxRetryAfter != r.site.MaxRetryAfter {
+	if r.grantsEnabled && next.MaxRetryAfter != r.active.MaxRetryAfter {
 		return &decide.RestartError{What: "limits.max_retry_after, with ext_proc or decisions"}
 	}
 	return r.core.Apply(next.Settings)
 }
 
-// use notes what is in force.
-func (r *reloader) use(site wire.Site) {
-	r.site = site
-	longest := time.Duration(r.longest.Load())
-	for _, class := range site.Classes {
-		longest = max(longest, class.Deadline)
+// setActive records the settings in force.
+func (r *configReloader) setActive(active wire.Site) {
+	r.active = active
+	longestDeadline := time.Duration(r.longestDeadline.Load())
+	for _, class := range active.Classes {
+		longestDeadline = max(longestDeadline, class.Deadline)
 	}
-	r.longest.Store(int64(longest))
+	r.longestDeadline.Store(int64(longestDeadline))
 }
 
-// takeDescriptions takes the descriptions that the operator's file names for requests that begin from now on. All else in it
-// holds until a restart.
-func (r *reloader) takeDescriptions() {
+// reloadDescriptions applies the API descriptions named by the operator's file to requests that arrive from now on. All
+// other keys of that file need a restart.
+func (r *configReloader) reloadDescriptions() {
 	path := os.Getenv("ROWANYARD_OPERATOR")
 	if path == "" {
 		return
 	}
-	_, next, err := setup.Read(path, r.memory, r.known)
+	_, next, err := setup.Read(path, r.memoryBytes, r.classExists)
 	if err != nil {
 		r.log.Error("new operator's file is not taken, the old one holds", "err", err)
 		return
--- a/cmd/rowanyard/reload_test.go
+++ b/cmd/rowanyard/reload_test.go
@@ -13,9 +13,9 @@
 	"rowanyard/internal/standin"
 )
 
-const reloads = `{"settings": {"reload": true}}`
+const reloadEnabled = `{"settings": {"reload": true}}`
 
-// withSettings is a configuration with another text in its settings, which must be there.
+// withSettings replaces old, which must be present, by new in the settings of a configuration.
 func withSettings(t *testing.T, config []byte, old, new string) []byte {
 	t.Helper()
 	var whole map[string]json.RawMessage
@@ -37,35 +37,35 @@
 	return text
 }
 
-// hangUp gives the program another configuration and waits for the line that tells of it.
-func (p *program) hangUp(t *testing.T, config []byte, line string) {
+// reload replaces the configuration, sends SIGHUP and waits for a log line that matches line.
+func (p *program) reload(t *testing.T, config []byte, line string) {
 	t.Helper()
-	if err := os.WriteFile(p.file, config, 0o600); err != nil {
+	if err := os.WriteFile(p.configFile, config, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	p.line(t, line)
+	p.waitLog(t, line)
 }
 
-// A class's effect changes with SIGHUP, and back. Each message's first writer breaks off after its effect: messages that come
-// from then on follow the change, the one that is under way does not.
-func TestSIGHUPPutsSettingsInForce(t *testing.T) {
-	atWriter, goOn := make(chan struct{}), make(chan struct{})
-	fleet, p := up(t, standin.Options{Writers: 4, Tokens: 3, Behave: func(stage, key string, n int) standin.Fault {
+// SIGHUP changes the effect of a class, and changes it back. The first writer of each message resets the connection after the
+// effect: requests that arrive after a reload follow the new settings, the one in flight does not.
+func TestSIGHUPReloadsSettings(t *testing.T) {
+	atWriter, resume := make(chan struct{}), make(chan struct{})
+	fleet, p := startRouter(t, standin.Options{Writers: 4, Tokens: 3, Behave: func(stage, key string, n int) standin.Fault {
 		if stage != "write" || n > 0 {
 			return standin.None
 		}
 		if key == "under-way" {
 			close(atWriter)
-			<-goOn
+			<-resume
 		}
 		return standin.ResetEarly
-	}}, reloads)
+	}}, reloadEnabled)
 	answer := func(id string) int {
 		t.Helper()
-		res, err := http.DefaultClient.Do(request(p, id, "send-message"))
+		res, err := http.DefaultClient.Do(newRequest(p, id, "send-message"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,7 +75,7 @@
 		}
 		return res.StatusCode
 	}
-	const unsafe, safe = `"effect":"non_idempotent"`, `"effect":"read_like"`
+	const nonIdempotent, readLike = `"effect":"non_idempotent"`, `"effect":"read_like"`
 	config := fleet.Config("x")
 	if status := answer("before"); status != http.StatusBadGateway {
 		t.Errorf("a message that may have run was answered with %d", status)
@@ -83,17 +83,17 @@
 	underWay := make(chan int, 1)
 	go func() { underWay <- answer("under-way") }()
 	<-atWriter
-	// A repeat reads its prompt once more, so it takes more attempts than the settings of before have.
-	next := withSettings(t, withSettings(t, config, unsafe, safe), `"send_cap":4`, `"send_cap":8`)
-	p.hangUp(t, next, `level=INFO msg="new settings"`)
-	close(goOn)
+	// A retry reads its prompt again, which takes more attempts than the old settings allow.
+	next := withSettings(t, withSettings(t, config, nonIdempotent, readLike), `"send_cap":4`, `"send_cap":8`)
+	p.reload(t, next, `level=INFO msg="new settings"`)
+	close(resume)
 	if status := <-underWay; status != http.StatusBadGateway {
-		t.Errorf("a message that came before the change and may have run was answered with %d", status)
+		t.Errorf("a message from before the reload that may have run was answered with %d", status)
 	}
 	if status := answer("since"); status != http.StatusOK {
-		t.Errorf("a message that may be repeated now was answered with %d", status)
+		t.Errorf("a message that may be retried after the reload was answered with %d", status)
 	}
-	p.hangUp(t, config, `level=INFO msg="new settings"`)
+	p.reload(t, config, `level=INFO msg="new settings"`)
 	if status := answer("again"); status != http.StatusBadGateway {
 		t.Errorf("a message that may have run was answered with %d", status)
 	}
@@ -102,9 +102,9 @@
 	}
 }
 
-// Settings that can't be taken leave the old ones in force, and say why.
-func TestSettingsThatCanNotBeReloaded(t *testing.T) {
-	fleet, p := up(t, standin.Options{}, reloads)
+// Settings that can't be applied are logged with the reason and leave the old ones in force.
+func TestRejectedSettingsKeepOldOnes(t *testing.T) {
+	fleet, p := startRouter(t, standin.Options{}, reloadEnabled)
 	config := fleet.Config("x")
 	const kept = `level=ERROR msg="new settings are not taken, the old ones hold" .*`
 	for _, c := range []struct{ old, new, reason string }{
@@ -115,19 +115,19 @@
 		{`"effect":"read_like"`, `"effect":"perhaps"`, "unknown word"},
 		{`"n_instances":1`, `"n_instances":0`, "front 0 of 0"},
 	} {
-		p.hangUp(t, withSettings(t, config, c.old, c.new), kept+c.reason)
+		p.reload(t, withSettings(t, config, c.old, c.new), kept+c.reason)
 	}
-	p.hangUp(t, withSettings(t, config, `"n_instances":1`, `"n_instances":340`), `level=INFO msg="new settings"`)
-	if res, err := http.DefaultClient.Do(request(p, "a1", "draft-reply")); err != nil || res.StatusCode != 200 {
+	p.reload(t, withSettings(t, config, `"n_instances":1`, `"n_instances":340`), `level=INFO msg="new settings"`)
+	if res, err := http.DefaultClient.Do(newRequest(p, "a1", "draft-reply")); err != nil || res.StatusCode != 200 {
 		t.Errorf("%v %v", res, err)
 	}
 }
 
-// Where the operator did not ask for it, SIGHUP changes no setting.
-func TestSettingsAreNotReloadedUnasked(t *testing.T) {
-	fleet, p := up(t, standin.Options{}, "")
+// Without settings.reload in the operator's file, SIGHUP changes no setting.
+func TestSettingsAreNotReloadedUnlessEnabled(t *testing.T) {
+	fleet, p := startRouter(t, standin.Options{}, "")
 	config := withSettings(t, fleet.Config("x"), `"hard_limit":5000000`, `"hard_limit":1`)
-	p.hangUp(t, config, `level=INFO msg="new configuration"`)
+	p.reload(t, config, `level=INFO msg="new configuration"`)
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	for line := range p.lines {
 		if strings.Contains(line, "settings") {
--- a/cmd/rowanyard/serve.go
+++ b/cmd/rowanyard/serve.go
@@ -1,6 +1,6 @@
 package main
 
-// This file owns the listeners of the fronts and how they end.
+// The listeners of the fronts, and their shutdown.
 
 import (
 	"context"
@@ -22,161 +22,161 @@
 	"rowanyard/internal/grpcfront"
 )
 
-// serve opens all fronts, the one for HTTP clients last.
+// serve opens all fronts, the HTTP front last.
 func (p *process) serve() error {
-	listener, err := listenPatiently(p.config.Listen)
+	listener, err := listenWithRetry(p.config.Listen)
 	if err != nil {
 		return err
 	}
-	clients := p.limits.clients(1)
-	if err := p.serveGRPC(clients); err != nil {
+	clientsPerFront := p.budget.clientsPerFront(1)
+	if err := p.serveGRPC(clientsPerFront); err != nil {
 		return err
 	}
 	if err := p.serveMetrics(); err != nil {
 		return err
 	}
-	go func() { p.served <- p.front.Serve(listener, clients) }()
+	go func() { p.serveErrors <- p.front.Serve(listener, clientsPerFront) }()
 	p.serving.Store(true)
-	p.desk.Serves()
+	p.control.Serves()
 	p.log.Info("serving", "front", "http", "listen", listener.Addr().String(), "workers", len(p.config.Known.Hosts))
 	return nil
 }
 
-// serveGRPC opens the fronts that speak gRPC, for so many clients each.
+// serveGRPC opens the enabled gRPC services, each limited to the given number of client connections.
 func (p *process) serveGRPC(clients int) error {
-	op := p.operator
-	if op.GRPC.Listen != "" {
-		over, handOver := context.WithCancel(context.Background())
-		p.handOver = handOver
-		p.atEnd(handOver)
-		front := grpcfront.NewServer(p.core, p.grpcWorkers, p.workers, p.site.ClassNames, op.GRPC.MaxOpen, p.log)
-		front.Over = over
-		if err := p.open("grpc", op.GRPC.Listen, front.GRPC(), clients); err != nil {
+	file := p.operatorFile
+	if file.GRPC.Listen != "" {
+		handOver, handOverStreams := context.WithCancel(context.Background())
+		p.handOverStreams = handOverStreams
+		p.onClose(handOverStreams)
+		front := grpcfront.NewServer(p.core, p.grpcWorkers, p.workers, p.site.ClassNames, file.GRPC.MaxOpen, p.log)
+		front.Over = handOver
+		if err := p.openGRPC("grpc", file.GRPC.Listen, front.GRPC(), clients); err != nil {
 			return err
 		}
 	}
-	if op.ExtProc.Listen != "" {
+	if file.ExtProc.Listen != "" {
 		front := &extproc.Server{Core: p.core, Desk: p.grants, Workers: p.workers, Classes: p.classes, Settings: p.core.Settings, Routes: p.routes,
-			Destination: op.ExtProc.DestinationHeader, Override: op.ExtProc.ModeOverride, MaxOpen: op.ExtProc.MaxOpen, Log: p.log}
-		if err := p.open("ext_proc", op.ExtProc.Listen, front.GRPC(), clients); err != nil {
+			Destination: file.ExtProc.DestinationHeader, Override: file.ExtProc.ModeOverride, MaxOpen: file.ExtProc.MaxOpen, Log: p.log}
+		if err := p.openGRPC("ext_proc", file.ExtProc.Listen, front.GRPC(), clients); err != nil {
 			return err
 		}
 	}
-	if op.Decisions.Listen != "" {
+	if file.Decisions.Listen != "" {
 		front := &decisions.Server{Desk: p.grants, Classes: p.classes, Names: p.site.ClassNames, Settings: p.core.Settings, Routes: p.routes, Log: p.log}
-		if err := p.open("decisions", op.Decisions.Listen, front.GRPC(), clients); err != nil {
+		if err := p.openGRPC("decisions", file.Decisions.Listen, front.GRPC(), clients); err != nil {
 			return err
 		}
 	}
-	if op.Reports.Listen != "" {
-		return p.open("reports", op.Reports.Listen, p.texts.GRPC(), clients)
+	if file.Reports.Listen != "" {
+		return p.openGRPC("reports", file.Reports.Listen, p.cacheReports.GRPC(), clients)
 	}
 	return nil
 }
 
-// open serves a front that speaks gRPC at an address.
-func (p *process) open(name, addr string, server *grpc.Server, clients int) error {
-	l, err := listenPatiently(addr)
+// openGRPC serves a gRPC server at an address; name is used in logs and errors.
+func (p *process) openGRPC(name, addr string, server *grpc.Server, clients int) error {
+	l, err := listenWithRetry(addr)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	p.others = append(p.others, server)
-	go func() { p.served <- server.Serve(netutil.LimitListener(acceptretry.Listener(l), clients)) }()
+	p.grpcServers = append(p.grpcServers, server)
+	go func() { p.serveErrors <- server.Serve(netutil.LimitListener(acceptretry.Listener(l), clients)) }()
 	p.log.Info("serving", "front", name, "listen", l.Addr().String())
 	return nil
 }
 
-// serveMetrics serves those who ask for metrics.
+// serveMetrics serves the metrics page, if enabled.
 func (p *process) serveMetrics() error {
 	if p.metrics == nil {
 		return nil
 	}
-	l, err := net.Listen("tcp", p.operator.Metrics.Listen)
+	l, err := net.Listen("tcp", p.operatorFile.Metrics.Listen)
 	if err != nil {
 		return fmt.Errorf("metrics: %w", err)
 	}
-	pages := http.NewServeMux()
-	pages.Handle("GET /metrics", p.metrics.Handler())
-	server := &http.Server{Handler: pages, ReadHeaderTimeout: scrapeWait, WriteTimeout: 10 * scrapeWait, IdleTimeout: time.Minute}
-	p.atEnd(func() { server.Close() })
-	go server.Serve(netutil.LimitListener(acceptretry.Listener(l), leastCallers))
+	mux := http.NewServeMux()
+	mux.Handle("GET /metrics", p.metrics.Handler())
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: scrapeHeaderTimeout, WriteTimeout: 10 * scrapeHeaderTimeout, IdleTimeout: time.Minute}
+	p.onClose(func() { server.Close() })
+	go server.Serve(netutil.LimitListener(acceptretry.Listener(l), minOperatorConns))
 	p.log.Info("serving", "front", "metrics", "listen", l.Addr().String())
 	return nil
 }
 
-// drain ends all fronts in good order: what has come is answered, streams that still run when the time is over are cut.
+// drain shuts all fronts down gracefully: open requests are answered, streams still running when the time is up are cut.
 func (p *process) drain() {
-	longest := max(leastEnd, time.Duration(p.changes.longest.Load()))
-	defer time.AfterFunc(p.untilKilled()-giveUpTime, p.core.End).Stop()
-	heir, handed := p.desk.Successor()
-	if !handed {
-		heir = ""
+	drainTime := max(guaranteedDrain, time.Duration(p.reloader.longestDeadline.Load()))
+	defer time.AfterFunc(p.untilKilled()-finalAnswerMargin, p.core.End).Stop()
+	successor, hasSuccessor := p.control.Successor()
+	if !hasSuccessor {
+		successor = ""
 	}
-	p.log.Info("draining", "for_at_most", longest.String(), "handed_on", handed)
-	end, cancel := context.WithTimeout(context.Background(), longest+killMargin-endMargin)
+	p.log.Info("draining", "for_at_most", drainTime.String(), "handed_on", hasSuccessor)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTime+killMargin-exitMargin)
 	defer cancel()
-	if p.front.HandOver > 0 && p.handOver != nil {
-		defer time.AfterFunc(p.front.HandOver, p.handOver).Stop()
+	if p.front.HandOver > 0 && p.handOverStreams != nil {
+		defer time.AfterFunc(p.front.HandOver, p.handOverStreams).Stop()
 	}
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
-		p.drainGRPC(end)
+		p.drainGRPC(ctx)
 	}()
-	p.front.Shutdown(end, heir)
+	p.front.Shutdown(ctx, successor)
 	<-drained
-	p.core.Wait(end)
+	p.core.Wait(ctx)
 	stopped, violated := p.core.Guard.Totals()
 	p.log.Info("ended", "stopped", stopped, "violated", violated)
 }
 
-// untilKilled is how long after the signal to end the process is killed at the soonest.
+// untilKilled returns the shortest time from the termination signal to the kill.
 func (p *process) untilKilled() (kill time.Duration) {
 	for _, class := range p.core.Settings().Classes {
-		kill = max(kill, min(leastEnd, class.Deadline)+killMargin)
+		kill = max(kill, min(guaranteedDrain, class.Deadline)+killMargin)
 	}
 	return kill
 }
 
-// drainGRPC ends the fronts that speak gRPC.
-func (p *process) drainGRPC(end context.Context) {
-	var all sync.WaitGroup
-	for _, server := range p.others {
-		all.Go(func() {
-			defer context.AfterFunc(end, server.Stop)() // cuts the streams that still run
+// drainGRPC shuts the gRPC servers down gracefully, and forcibly once ctx ends.
+func (p *process) drainGRPC(ctx context.Context) {
+	var servers sync.WaitGroup
+	for _, server := range p.grpcServers {
+		servers.Go(func() {
+			defer context.AfterFunc(ctx, server.Stop)()
 			server.GracefulStop()
 		})
 	}
-	all.Wait()
+	servers.Wait()
 }
 
-// Limits of the tries to listen where the system is short of something, or another process has the address for a moment.
+// Retries of listen while the system lacks a resource or another process briefly holds the address.
 const (
-	listenTries = 25
-	listenAgain = 200 * time.Millisecond
+	listenAttempts   = 25
+	listenRetryDelay = 200 * time.Millisecond
 )
 
-// listenPatiently is listen, tried again for some seconds.
-func listenPatiently(addr string) (net.Listener, error) {
-	for tries := 1; ; tries++ {
-		l, err := listen(addr)
-		passing := errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENOBUFS) ||
+// listenWithRetry calls listenReusePort, retrying transient errors for about 5 s.
+func listenWithRetry(addr string) (net.Listener, error) {
+	for attempt := 1; ; attempt++ {
+		l, err := listenReusePort(addr)
+		transient := errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENOBUFS) ||
 			errors.Is(err, syscall.ENOMEM) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
-		if err == nil || !passing || tries == listenTries {
+		if err == nil || !transient || attempt == listenAttempts {
 			return l, err
 		}
-		time.Sleep(listenAgain)
+		time.Sleep(listenRetryDelay)
 	}
 }
 
-// listen listens at addr, where another process of this router may listen too: the one that takes over.
-func listen(addr string) (net.Listener, error) {
-	shared := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+// listenReusePort listens at addr with SO_REUSEPORT, so that two processes of this router can listen there during a takeover.
+func listenReusePort(addr string) (net.Listener, error) {
+	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var err error
 		if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
 			return e
 		}
 		return err
 	}}
-	return shared.Listen(context.Background(), "tcp", addr)
+	return config.Listen(context.Background(), "tcp", addr)
 }
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -1,5 +1,5 @@
-// Package setup owns the operator's file: its keys, what they may be, and what they mean together. It must never open
-// a port nor start anything: it reads, checks and says why not.
+// Package setup reads and validates the operator's file, which enables optional fronts and services. It opens no port and
+// starts nothing.
 package setup
 
 import (
@@ -23,72 +23,73 @@
 	"rowanyard/internal/kvindex"
 )
 
-// File is the operator's file. What it leaves out is off, or what is usual.
+// File is the contents of the operator's file. After Read, values that the file leaves out have their defaults.
 type File struct {
 	GRPC struct {
 		Listen      string   `json:"listen"`
-		WorkerHosts []string `json:"worker_hosts"` // workers that speak gRPC, "*" = all of them
-		MaxOpen     int      `json:"max_open"`     // calls open at once, 0 = what the limits allow
+		WorkerHosts []string `json:"worker_hosts"` // hosts of workers that speak gRPC, "*" = all
+		MaxOpen     int      `json:"max_open"`     // calls open at once, 0 = derived from the memory limit
 	} `json:"grpc"`
 	ExtProc struct {
 		Listen            string `json:"listen"`
 		DestinationHeader string `json:"destination_header"`
 		MaxOpen           int64  `json:"max_open"`
-		ModeOverride      bool   `json:"mode_override"` // proxies let the processor change their processing mode
-		OpenAPI           string `json:"openapi"`       // the operator's own descriptions
+		ModeOverride      bool   `json:"mode_override"` // the proxies allow the processor to override their processing mode
+		OpenAPI           string `json:"openapi"`       // paths of the operator's API descriptions
 		AsyncAPI          string `json:"asyncapi"`
 	} `json:"ext_proc"`
 	Decisions struct {
 		Listen string `json:"listen"`
 	} `json:"decisions"`
 	Grants struct {
-		DeliveryMs int `json:"delivery_ms"` // from a caller's decision to act to the first byte at the worker
-		HoldMs     int `json:"hold_ms"`     // what is held ends so long after a caller's last sign
-		HeardMs    int `json:"heard_ms"`    // the silence of a stream after which a caller that watches drops its grants
-		RememberS  int `json:"remember_s"`  // an effect that may have happened is remembered for so long
-		Open       int `json:"open"`        // requests open at once, all callers together
+		DeliveryMs int `json:"delivery_ms"` // from a caller's decision to send to the first byte at the worker
+		HoldMs     int `json:"hold_ms"`     // held state is released this long after the last sign of life from its caller
+		HeardMs    int `json:"heard_ms"`    // silence of a watch stream after which its caller drops its grants
+		RememberS  int `json:"remember_s"`  // for how long an effect that may have happened is remembered
+		Open       int `json:"open"`        // requests open at once, of all callers
 		Callers    int `json:"callers"`     // callers known at once
 		Effects    int `json:"effects"`     // effects remembered at once
 	} `json:"grants"`
 	Reports struct {
 		Listen  string `json:"listen"`
-		Blocks  int    `json:"blocks"`   // known at once, 0 = what the limits allow
-		BoundMs int    `json:"bound_ms"` // what may be wrong is not believed for longer
+		Blocks  int    `json:"blocks"`   // blocks indexed at once, 0 = derived from the memory limit
+		BoundMs int    `json:"bound_ms"` // for how long entries that may be stale are still used
 	} `json:"reports"`
 	Metrics struct {
 		Listen string `json:"listen"`
 	} `json:"metrics"`
 	Settings struct {
-		Reload bool `json:"reload"` // SIGHUP puts the settings of the platform's file in force
+		Reload bool `json:"reload"` // SIGHUP reloads the settings of the platform's file
 	} `json:"settings"`
 	Traces struct {
 		Endpoint string  `json:"endpoint"` // an OTLP/HTTP collector
-		Share    float64 `json:"share"`    // of the requests
+		Share    float64 `json:"share"`    // share of requests that are traced
 	} `json:"traces"`
 }
 
 const (
-	openKB     = 512 // of the memory limit for each call that may be open, where the operator sets none
-	mostOpen   = 256
-	effectKB   = 4 // of the memory limit for each effect that is remembered
-	drainGrace = 500 * time.Millisecond
-	holdMost   = 300 * time.Millisecond
-	wheelTick  = 5 * time.Millisecond
-	feedDepth  = 256
-	idLength   = 64
+	callMemoryKB        = 512 // of the memory limit per open call, for the default of max_open
+	maxDefaultOpenCalls = 256
+	effectMemoryKB      = 4 // of the memory limit per remembered effect
+	drainGrace          = 500 * time.Millisecond
+	maxHold             = 300 * time.Millisecond
+	timerTick           = 5 * time.Millisecond
+	feedDepth           = 256
+	maxIDLength         = 64
 
-	indexShare    = 0.08 // of the memory limit, for the index of what workers keep
-	blockBytes    = 96   // an entry of it, and the room that the table leaves
-	leastBlocks   = 1024
-	reportRate    = 200_000 // changes of blocks that a worker may report in a second ...
-	reportBurst   = 400_000 // ... and at once
-	reportBuffer  = 64
-	reportWorkers = 4096 // room for them is made by need
+	indexMemoryShare      = 0.08 // of the memory limit, for the index of workers' prefix caches
+	indexBytesPerBlock    = 96   // one entry, and the free space in the table
+	minIndexBlocks        = 1024
+	reportBlocksPerSecond = 200_000 // block changes that one worker may report per second
+	reportBlockBurst      = 400_000 // block changes that one worker may report at once
+	maxBufferedReports    = 64
+	maxReportWorkers      = 4096 // memory is allocated as needed
 )
 
-// Read reads and checks a file; "" is an empty one. memory is the router's limit in bytes. known says which classes
-// there are; nil: any. Each error names the file, the place and the reason.
-func Read(path string, memory float64, known func(class string) bool) (*File, *describe.Routes, error) {
+// Read reads and validates the file at path; an empty path stands for an empty file. memoryBytes is the router's memory limit,
+// from which defaults are derived. classExists reports whether a request class exists; if it is nil, every class does. Each
+// error states the file, the position or key, and the reason.
+func Read(path string, memoryBytes float64, classExists func(class string) bool) (*File, *describe.Routes, error) {
 	f := &File{}
 	if path != "" {
 		text, err := os.ReadFile(path)
@@ -99,50 +100,50 @@
 			return nil, nil, fmt.Errorf("%s:%w", path, err)
 		}
 	}
-	if err := f.check(memory); err != nil {
+	if err := f.check(memoryBytes); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if known == nil {
-		known = func(string) bool { return true }
+	if classExists == nil {
+		classExists = func(string) bool { return true }
 	}
-	routes, err := describe.Load(f.ExtProc.OpenAPI, f.ExtProc.AsyncAPI, known)
+	routes, err := describe.Load(f.ExtProc.OpenAPI, f.ExtProc.AsyncAPI, classExists)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: ext_proc: %w", path, err)
 	}
 	return f, routes, nil
 }
 
-// parse reads the text; errors begin with the line.
+// parse decodes text; errors begin with the line number.
 func (f *File) parse(text []byte) error {
 	line := func(offset int64) int {
 		return 1 + bytes.Count(text[:min(max(0, int(offset)), len(text))], []byte("\n"))
 	}
 	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields() // a misspelt key would leave a front off in silence
+	d.DisallowUnknownFields() // a misspelled key would silently leave a front disabled
 	err := d.Decode(f)
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var mismatch *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
 		return fmt.Errorf("%d: %w", line(syntax.Offset), err)
-	case errors.As(err, &kind):
-		return fmt.Errorf("%d: %s: %s, want %s", line(kind.Offset), kind.Field, kind.Value, kind.Type)
+	case errors.As(err, &mismatch):
+		return fmt.Errorf("%d: %s: %s, want %s", line(mismatch.Offset), mismatch.Field, mismatch.Value, mismatch.Type)
 	case err == io.EOF, errors.Is(err, io.ErrUnexpectedEOF):
-		return fmt.Errorf("%d: it ends in the middle", line(int64(len(text))))
-	case err != nil: // an unknown key: the decoder does not say where, but its name does
+		return fmt.Errorf("%d: unexpected end of file", line(int64(len(text))))
+	case err != nil: // the decoder does not report the position of an unknown key: search for its name
 		if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
-			return fmt.Errorf("%d: %s: no such key", line(int64(bytes.Index(text, []byte(name)))), strings.Trim(name, `"`))
+			return fmt.Errorf("%d: %s: unknown key", line(int64(bytes.Index(text, []byte(name)))), strings.Trim(name, `"`))
 		}
 		return fmt.Errorf("%d: %w", line(d.InputOffset()), err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return fmt.Errorf("%d: something follows its end", line(d.InputOffset()))
+		return fmt.Errorf("%d: unexpected data after the end", line(d.InputOffset()))
 	}
 	return nil
 }
 
-// check fills in what is usual and refuses what can't be.
-func (f *File) check(memory float64) error {
+// check fills in defaults and rejects invalid values.
+func (f *File) check(memoryBytes float64) error {
 	listens := map[string]string{}
 	for _, l := range []struct{ key, addr string }{{"grpc.listen", f.GRPC.Listen}, {"ext_proc.listen", f.ExtProc.Listen},
 		{"decisions.listen", f.Decisions.Listen}, {"reports.listen", f.Reports.Listen}, {"metrics.listen", f.Metrics.Listen}} {
@@ -154,44 +155,44 @@
 			return fmt.Errorf("%s: %w", l.key, err)
 		}
 		if other, ok := listens[l.addr]; ok && port != "0" {
-			return fmt.Errorf("%s: %s is %s too", l.key, l.addr, other)
+			return fmt.Errorf("%s: %s is already used by %s", l.key, l.addr, other)
 		}
 		listens[l.addr] = l.key
 	}
 	g := &f.Grants
 	for _, n := range []struct {
-		key  string
-		v    int
-		most int
+		key   string
+		v     int
+		limit int
 	}{{"grpc.max_open", f.GRPC.MaxOpen, 1 << 20}, {"ext_proc.max_open", int(f.ExtProc.MaxOpen), 1 << 20}, {"grants.delivery_ms", g.DeliveryMs, 499},
-		{"grants.hold_ms", g.HoldMs, int(holdMost.Milliseconds())}, {"grants.heard_ms", g.HeardMs, 499}, {"grants.remember_s", g.RememberS, 24 * 3600},
+		{"grants.hold_ms", g.HoldMs, int(maxHold.Milliseconds())}, {"grants.heard_ms", g.HeardMs, 499}, {"grants.remember_s", g.RememberS, 24 * 3600},
 		{"grants.open", g.Open, 1 << 20}, {"grants.callers", g.Callers, 1 << 16}, {"grants.effects", g.Effects, 1 << 24},
 		{"reports.blocks", f.Reports.Blocks, 1 << 26}, {"reports.bound_ms", f.Reports.BoundMs, 60000}} {
-		if n.v < 0 || n.v > n.most {
-			return fmt.Errorf("%s: %d, want 0 to %d", n.key, n.v, n.most)
+		if n.v < 0 || n.v > n.limit {
+			return fmt.Errorf("%s: %d, want 0 to %d", n.key, n.v, n.limit)
 		}
 	}
 	if f.ExtProc.Listen == "" && f.Decisions.Listen == "" && (f.ExtProc.OpenAPI != "" || f.ExtProc.AsyncAPI != "") {
-		return errors.New("ext_proc.openapi, ext_proc.asyncapi: descriptions, and neither ext_proc.listen nor decisions.listen to use them")
+		return errors.New("ext_proc.openapi, ext_proc.asyncapi: used by neither ext_proc.listen nor decisions.listen, which are not set")
 	}
 	if f.ExtProc.Listen == "" && f.ExtProc.ModeOverride {
-		return errors.New("ext_proc.mode_override: without ext_proc.listen")
+		return errors.New("ext_proc.mode_override: requires ext_proc.listen")
 	}
-	most := max(1, min(mostOpen, int(memory/(openKB<<10))))
-	f.GRPC.MaxOpen = cmp.Or(f.GRPC.MaxOpen, most)
-	f.ExtProc.MaxOpen = cmp.Or(f.ExtProc.MaxOpen, int64(most))
+	limit := max(1, min(maxDefaultOpenCalls, int(memoryBytes/(callMemoryKB<<10))))
+	f.GRPC.MaxOpen = cmp.Or(f.GRPC.MaxOpen, limit)
+	f.ExtProc.MaxOpen = cmp.Or(f.ExtProc.MaxOpen, int64(limit))
 	f.ExtProc.DestinationHeader = strings.ToLower(cmp.Or(f.ExtProc.DestinationHeader, extproc.DestinationHeader))
 	if !httpfront.ValidID(f.ExtProc.DestinationHeader) {
-		return fmt.Errorf("ext_proc.destination_header: %q is no header's name", f.ExtProc.DestinationHeader)
+		return fmt.Errorf("ext_proc.destination_header: %q is not a valid header name", f.ExtProc.DestinationHeader)
 	}
-	g.DeliveryMs, g.HoldMs, g.HeardMs = cmp.Or(g.DeliveryMs, 50), cmp.Or(g.HoldMs, int(holdMost.Milliseconds())), cmp.Or(g.HeardMs, 300)
+	g.DeliveryMs, g.HoldMs, g.HeardMs = cmp.Or(g.DeliveryMs, 50), cmp.Or(g.HoldMs, int(maxHold.Milliseconds())), cmp.Or(g.HeardMs, 300)
 	g.RememberS, g.Callers = cmp.Or(g.RememberS, 60), cmp.Or(g.Callers, 1024)
-	g.Open = cmp.Or(g.Open, 2*int(f.ExtProc.MaxOpen)) // one caller alone gets half of them
-	g.Effects = cmp.Or(g.Effects, max(1, int(memory/(effectKB<<10))))
+	g.Open = cmp.Or(g.Open, 2*int(f.ExtProc.MaxOpen)) // a single caller may use half of them
+	g.Effects = cmp.Or(g.Effects, max(1, int(memoryBytes/(effectMemoryKB<<10))))
 	if err := f.Terms(0).Check(); err != nil {
 		return fmt.Errorf("grants: %w", err)
 	}
-	f.Reports.Blocks = cmp.Or(f.Reports.Blocks, max(leastBlocks, int(indexShare*memory/blockBytes)))
+	f.Reports.Blocks = cmp.Or(f.Reports.Blocks, max(minIndexBlocks, int(indexMemoryShare*memoryBytes/indexBytesPerBlock)))
 	f.Reports.BoundMs = cmp.Or(f.Reports.BoundMs, 2000)
 	if err := f.Index().Check(); err != nil {
 		return fmt.Errorf("reports: %w", err)
@@ -202,34 +203,34 @@
 	if f.Traces.Endpoint != "" {
 		u, err := url.Parse(f.Traces.Endpoint)
 		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			return fmt.Errorf("traces.endpoint: %q is no address such as http://127.0.0.1:4318", f.Traces.Endpoint)
+			return fmt.Errorf("traces.endpoint: %q is not a URL such as http://127.0.0.1:4318", f.Traces.Endpoint)
 		}
 		f.Traces.Share = cmp.Or(f.Traces.Share, 0.01)
 	} else if f.Traces.Share > 0 {
-		return errors.New("traces.share: without traces.endpoint")
+		return errors.New("traces.share: requires traces.endpoint")
 	}
 	return nil
 }
 
-// Terms are what grants are given on.
+// GrantTerms returns the terms of grants. maxWait is the longest Retry-After that clients are given.
 func (f *File) Terms(maxWait time.Duration) grant.Terms {
 	g := f.Grants
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	return grant.Terms{Drain: drainGrace, Delivery: ms(g.DeliveryMs), Hold: ms(g.HoldMs), Heard: ms(g.HeardMs),
-		Remember: time.Duration(g.RememberS) * time.Second, MaxWait: maxWait, Tick: wheelTick, Open: g.Open, Callers: g.Callers,
-		Effects: g.Effects, Longest: idLength, FeedDepth: feedDepth}
+		Remember: time.Duration(g.RememberS) * time.Second, MaxWait: maxWait, Tick: timerTick, Open: g.Open, Callers: g.Callers,
+		Effects: g.Effects, Longest: maxIDLength, FeedDepth: feedDepth}
 }
 
-// Index is what is known of the texts that workers keep.
+// IndexSettings returns the settings of the index of workers' prefix caches.
 func (f *File) Index() kvindex.Settings {
-	return kvindex.Settings{Blocks: f.Reports.Blocks, Workers: reportWorkers, Bound: time.Duration(f.Reports.BoundMs) * time.Millisecond,
-		Buffered: reportBuffer, Rate: reportRate, Burst: reportBurst}
+	return kvindex.Settings{Blocks: f.Reports.Blocks, Workers: maxReportWorkers, Bound: time.Duration(f.Reports.BoundMs) * time.Millisecond,
+		Buffered: maxBufferedReports, Rate: reportBlocksPerSecond, Burst: reportBlockBurst}
 }
 
-// Desk says whether anything lets others carry attempts.
+// NeedsGrants reports whether an enabled service grants attempts to callers outside the router.
 func (f *File) Desk() bool { return f.ExtProc.Listen != "" || f.Decisions.Listen != "" }
 
-// Wire says how a worker is spoken to.
+// Wire returns the protocol that a worker speaks: grpcfront.Wire, or "" for HTTP.
 func (f *File) Wire(e httpfront.Entry) string {
 	for _, h := range f.GRPC.WorkerHosts {
 		if h == "*" || h == e.Host {
