--- a/internal/describe/describe.go
+++ b/internal/describe/describe.go
@@ -1,6 +1,6 @@
-// Package describe owns the descriptions: the OpenAPI one of the HTTP front and the AsyncAPI one of
-// the token stream, which the program serves, and an operator's own, from which routes and classes
-// are read. It must never decide what happens to a request that a description does not name.
+// Package describe holds the API descriptions that the program serves, OpenAPI for the HTTP front and AsyncAPI for the token
+// stream, and reads routes and request classes from an operator's descriptions. What happens to requests that no description
+// covers is up to the caller.
 package describe
 
 import (
@@ -27,16 +27,16 @@
 //go:embed asyncapi.yaml
 var AsyncAPI []byte
 
-// Where the program serves them.
+// Paths at which Handler serves the descriptions.
 const (
 	PathOpenAPI  = "/openapi.yaml"
 	PathAsyncAPI = "/asyncapi.yaml"
 )
 
-// Extension is what an operator's descriptions carry at an operation to name its class.
+// Extension is the key by which an operation in an operator's description names its request class.
 const Extension = "x-rowanyard-class"
 
-// Handler serves the descriptions, and next the rest.
+// Handler serves the embedded descriptions and passes all other requests to next.
 func Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text := map[string][]byte{PathOpenAPI: OpenAPI, PathAsyncAPI: AsyncAPI}[r.URL.Path]
@@ -52,23 +52,23 @@
 // Route is one operation of a description.
 type Route struct {
 	Method, Path string
-	Class        string // "" = the request tells it
+	Class        string // "" = named by the request
 }
 
-// Routes are the operations that the router takes. None of them: it takes all POSTs.
+// Routes is the set of operations that the router accepts. An empty or nil set accepts all POST requests.
 type Routes struct{ all atomic.Pointer[[]Route] }
 
-// Replace takes other routes from now on; requests that have found theirs keep it.
-func (r *Routes) Replace(by *Routes) {
+// Replace replaces the routes by those of next. It is safe to call while Find is in use.
+func (r *Routes) Replace(next *Routes) {
 	var none []Route
 	all := &none
-	if by != nil && by.all.Load() != nil {
-		all = by.all.Load()
+	if next != nil && next.all.Load() != nil {
+		all = next.all.Load()
 	}
 	r.all.Store(all)
 }
 
-// list is the operations as they are now.
+// list returns the current routes.
 func (r *Routes) list() []Route {
 	if r == nil || r.all.Load() == nil {
 		return nil
@@ -76,7 +76,7 @@
 	return *r.all.Load()
 }
 
-// Find returns the route of a request. Segments in braces stand for any one segment.
+// Find returns the route of a request. A path segment in braces matches any one non-empty segment.
 func (r *Routes) Find(method, path string) (Route, bool) {
 	all := r.list()
 	if len(all) == 0 {
@@ -96,18 +96,17 @@
 		return false
 	}
 	for i := range p {
-		braces := strings.HasPrefix(p[i], "{") && strings.HasSuffix(p[i], "}") && q[i] != ""
-		if p[i] != q[i] && !braces {
+		wildcard := strings.HasPrefix(p[i], "{") && strings.HasSuffix(p[i], "}") && q[i] != ""
+		if p[i] != q[i] && !wildcard {
 			return false
 		}
 	}
 	return true
 }
 
-// Load reads an operator's descriptions; either file may be "". The operations that name a class
-// become routes. A class that the settings don't have, or a file without any route, is an error: a
-// misspelt one would leave requests unrouted in silence.
-func Load(openapi, asyncapi string, known func(class string) bool) (*Routes, error) {
+// Load reads an operator's descriptions; either path may be "". Operations that name a class become routes. An unknown class,
+// or a file without any route, is an error, because a misspelled name would silently leave requests without a route.
+func Load(openapi, asyncapi string, classExists func(class string) bool) (*Routes, error) {
 	var all []Route
 	for _, f := range []struct {
 		path string
@@ -128,7 +127,7 @@
 			return nil, fmt.Errorf("%s: no operation has %s", f.path, Extension)
 		}
 		for _, x := range routes {
-			if !known(x.Class) {
+			if !classExists(x.Class) {
 				return nil, fmt.Errorf("%s: %s %s: unknown class %q", f.path, x.Method, x.Path, x.Class)
 			}
 		}
@@ -146,7 +145,7 @@
 
 // readOpenAPI reads the routes of an OpenAPI 3 description.
 func readOpenAPI(text []byte) ([]Route, error) {
-	loader := openapi3.NewLoader() // refers to nothing outside the file
+	loader := openapi3.NewLoader() // does not follow references outside the file
 	doc, err := loader.LoadFromData(text)
 	if err != nil {
 		return nil, err
@@ -167,7 +166,7 @@
 			if !ok {
 				continue
 			}
-			class, err := word(v)
+			class, err := extensionString(v)
 			if err != nil {
 				return nil, fmt.Errorf("%s %s: %w", method, path, err)
 			}
@@ -177,7 +176,8 @@
 	return all, nil
 }
 
-func word(v any) (string, error) {
+// extensionString returns the string value of an extension.
+func extensionString(v any) (string, error) {
 	if raw, ok := v.(json.RawMessage); ok {
 		var s string
 		if err := json.Unmarshal(raw, &s); err != nil {
@@ -191,8 +191,8 @@
 	return "", fmt.Errorf("%s: not a word", Extension)
 }
 
-// asyncAPI is the part of an AsyncAPI 3 description that routes rest on.
-type asyncAPI struct {
+// asyncAPIDocument is the part of an AsyncAPI 3 description that routes are read from.
+type asyncAPIDocument struct {
 	Version  string `yaml:"asyncapi"`
 	Channels map[string]struct {
 		Address string `yaml:"address"`
@@ -211,10 +211,10 @@
 	} `yaml:"operations"`
 }
 
-// readAsyncAPI reads the routes of an AsyncAPI 3 description: an operation is at its channel's
-// address, with the method of its HTTP binding, POST without one.
+// readAsyncAPI reads the routes of an AsyncAPI 3 description: the path of an operation is its channel's address, the method
+// that of its HTTP binding, by default POST.
 func readAsyncAPI(text []byte) ([]Route, error) {
-	var doc asyncAPI
+	var doc asyncAPIDocument
 	if err := yaml.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
--- a/internal/describe/describe_test.go
+++ b/internal/describe/describe_test.go
@@ -12,7 +12,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-const async = `asyncapi: 3.0.0
+const asyncAPIText = `asyncapi: 3.0.0
 channels:
   drafts: {address: /drafts/stream}
 operations:
@@ -20,7 +20,7 @@
   other: {action: send, channel: {$ref: "#/channels/drafts"}}
 `
 
-const open = `openapi: 3.0.3
+const openAPIText = `openapi: 3.0.3
 info: {title: t, version: "1"}
 servers: [{url: "http://h/api"}]
 paths:
@@ -29,7 +29,7 @@
     get: {parameters: [{name: b, in: path, required: true, schema: {type: string}}], responses: {"200": {description: d}}}
 `
 
-func file(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "f")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -37,10 +37,10 @@
 	return path
 }
 
-func known(class string) bool { return class == "send-message" || class == "draft-reply" }
+func classExists(class string) bool { return class == "send-message" || class == "draft-reply" }
 
 func TestRoutesFromBothDescriptions(t *testing.T) {
-	r, err := Load(file(t, open), file(t, async), known)
+	r, err := Load(writeFile(t, openAPIText), writeFile(t, asyncAPIText), classExists)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,28 +54,28 @@
 	}
 }
 
-func TestBadDescriptionsAreErrors(t *testing.T) {
+func TestLoadRejectsBadDescriptions(t *testing.T) {
 	for name, texts := range map[string][2]string{
-		"class":    {strings.Replace(open, "send-message", "sent", 1), ""},
-		"no class": {strings.Replace(open, Extension, "x-else", 1), ""},
-		"number":   {strings.Replace(open, "send-message", "[1]", 1), ""},
-		"version":  {"", strings.Replace(async, "3.0.0", "2.6.0", 1)},
-		"channel":  {"", strings.Replace(async, "#/channels/drafts", "#/channels/x", 2)},
+		"class":    {strings.Replace(openAPIText, "send-message", "sent", 1), ""},
+		"no class": {strings.Replace(openAPIText, Extension, "x-else", 1), ""},
+		"number":   {strings.Replace(openAPIText, "send-message", "[1]", 1), ""},
+		"version":  {"", strings.Replace(asyncAPIText, "3.0.0", "2.6.0", 1)},
+		"channel":  {"", strings.Replace(asyncAPIText, "#/channels/drafts", "#/channels/x", 2)},
 		"garbage":  {":", ""},
 	} {
 		paths := [2]string{}
 		for i, text := range texts {
 			if text != "" {
-				paths[i] = file(t, text)
+				paths[i] = writeFile(t, text)
 			}
 		}
-		if _, err := Load(paths[0], paths[1], known); err == nil || strings.Contains(err.Error(), "\n\n") {
+		if _, err := Load(paths[0], paths[1], classExists); err == nil || strings.Contains(err.Error(), "\n\n") {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func TestOwnOpenAPIIsValid(t *testing.T) {
+func TestServedOpenAPIIsValid(t *testing.T) {
 	loader := openapi3.NewLoader()
 	doc, err := loader.LoadFromData(OpenAPI)
 	if err != nil {
@@ -86,8 +86,8 @@
 	}
 }
 
-func TestOwnAsyncAPIRefersToWhatItHas(t *testing.T) {
-	var doc asyncAPI
+func TestServedAsyncAPIRefersToItsOwnChannel(t *testing.T) {
+	var doc asyncAPIDocument
 	if err := yaml.Unmarshal(AsyncAPI, &doc); err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 
 func FuzzDescriptions(f *testing.F) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	for _, text := range []string{open, async} {
+	for _, text := range []string{openAPIText, asyncAPIText} {
 		f.Add(text)
 		for range 30 {
 			i, j := rng.IntN(len(text)), rng.IntN(len(text))
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,7 @@
-// Package operator is the operators' own address: status, maintenance of workers, standby. This file owns
-// the calls and what they have asked for, in this process and in the one that takes over from it. It must
-// never decide where requests go: a worker that is out counts as draining, and the rest is the module's.
+// Package operator implements the operator API: status, maintenance of workers, and standby.
+//
+// What operators have asked for is shared with other processes of the same router through a file, so that it survives an
+// upgrade. The package does not route requests: a worker in maintenance counts as draining, and package decide does the rest.
 package operator
 
 import (
@@ -17,169 +18,170 @@
 )
 
 const (
-	callTime = 2 * time.Second        // a call has come and gone after this
-	lookTime = 100 * time.Millisecond // the other process's news is looked for so often
-	keepTime = time.Second            // what is known is kept so often
-	maxWho   = 256                    // bytes of a worker's id
+	callTimeout      = 2 * time.Second        // for reading a call and for writing its answer
+	pollInterval     = 100 * time.Millisecond // between reads of the shared file
+	saveInterval     = time.Second            // between saves of the learned state
+	maxWorkerIDBytes = 256
 )
 
-// Router is what the calls act on.
+// Router is the part of the core that operator calls act on.
 type Router interface {
-	// Known says whether the list of workers has this one.
+	// Known reports whether the list of workers contains id.
 	Known(id string) bool
-	// SetBanned names all workers that are out for maintenance.
+	// SetBanned replaces the set of workers that are in maintenance.
 	SetBanned(ids []string)
 }
 
-// Desk carries out the operators' calls.
+// Controller carries out operators' calls and follows the state that processes of one router share. It is an http.Handler.
+// Its exported fields must be set before Start.
 type Desk struct {
 	Share   *Share
 	Router  Router
-	Standby func(on bool) // empties the fronts, or puts them back to work
-	Serving func() bool
+	Standby func(on bool) // makes the fronts shed their clients, or accept them again
+	Serving func() bool   // reports whether the fronts are open
 	Log     *slog.Logger
 
-	mu     sync.Mutex
-	state  State
-	mine   int            // this process's number
-	unkept []func(*State) // changes that are not in the file yet, the oldest first
+	mu      sync.Mutex
+	state   State
+	number  int            // of this process, from 1 in order of start
+	unsaved []func(*State) // changes that the shared file does not have yet, oldest first
 }
 
-// Begin takes what holds from before: what an older process was told.
-func (d *Desk) Begin() {
-	alone := d.Share.Alone()
-	d.change(func(st *State) {
-		if d.mine == 0 {
-			d.mine = st.Started + 1
+// Start registers this process in the shared file and adopts the state that an older process left there.
+func (c *Desk) Begin() {
+	alone := c.Share.Alone()
+	c.update(func(st *State) {
+		if c.number == 0 {
+			c.number = st.Started + 1
 		}
-		if alone && st.Serving < d.mine { // nobody serves any more
+		if alone && st.Serving < c.number { // no process serves any more
 			st.Serving = 0
 		}
-		st.Started = max(st.Started, d.mine)
+		st.Started = max(st.Started, c.number)
 	})
-	if err := d.Share.Join(d.mine); err != nil {
-		d.Log.Error("another process can't see that this one runs", "err", err)
+	if err := c.Share.Join(c.number); err != nil {
+		c.Log.Error("can't show other processes of this router that this one runs", "err", err)
 	}
 }
 
-// Serves tells an older process that this one has begun to serve.
-func (d *Desk) Serves() { d.change(func(st *State) { st.Serving = max(st.Serving, d.mine) }) }
+// MarkServing tells older processes that this one has started to serve.
+func (c *Desk) Serves() { c.update(func(st *State) { st.Serving = max(st.Serving, c.number) }) }
 
-// Socket is where this process takes the streams of an older one.
-func (d *Desk) Socket() string { return d.Share.Socket(d.mine) }
+// SocketPath returns the path of the socket on which this process receives the streams of an older one.
+func (c *Desk) Socket() string { return c.Share.Socket(c.number) }
 
-// Successor says whether a newer process serves in this one's place, and where it takes streams. One that has
-// served and died is none.
-func (d *Desk) Successor() (string, bool) {
-	d.look()
-	d.mu.Lock()
-	serving := d.state.Serving
-	d.mu.Unlock()
-	return d.Share.Socket(serving), serving > d.mine && d.Share.Runs(serving)
+// Successor reports whether a newer process serves and still runs, and returns the path of the socket on which it receives
+// streams.
+func (c *Desk) Successor() (string, bool) {
+	c.refresh()
+	c.mu.Lock()
+	serving := c.state.Serving
+	c.mu.Unlock()
+	return c.Share.Socket(serving), serving > c.number && c.Share.Runs(serving)
 }
 
-// Watch follows what the other process is told, and keeps what this one knows for the next, until ctx ends.
-func (d *Desk) Watch(ctx context.Context, known func() any) {
-	kept := time.Now()
-	for t := time.NewTicker(lookTime); ; {
+// Watch follows the shared file and regularly saves what learned returns for the next process, until ctx ends.
+func (c *Desk) Watch(ctx context.Context, learned func() any) {
+	saved := time.Now()
+	for t := time.NewTicker(pollInterval); ; {
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return
 		case <-t.C:
 		}
-		if _, newer := d.Successor(); newer || time.Since(kept) < keepTime {
+		if _, newer := c.Successor(); newer || time.Since(saved) < saveInterval {
 			continue
 		}
-		kept = time.Now()
-		if err := d.Share.Keep(known()); err != nil {
-			d.Log.Error("nothing is kept for an upgrade", "err", err)
+		saved = time.Now()
+		if err := c.Share.Keep(learned()); err != nil {
+			c.Log.Error("the learned state is not kept for an upgrade", "err", err)
 		}
 	}
 }
 
-// look takes what the other process was told, and writes what could not be written before.
-func (d *Desk) look() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.Share.path == "" {
+// refresh adopts the shared state, or retries to write changes that could not be written before.
+func (c *Desk) refresh() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.Share.path == "" {
 		return
 	}
-	st, err := d.Share.Load()
-	if len(d.unkept) > 0 || err != nil {
-		d.keep()
+	st, err := c.Share.Load()
+	if len(c.unsaved) > 0 || err != nil {
+		c.saveChanges()
 		return
 	}
-	d.take(st)
+	c.setState(st)
 }
 
-// change changes the state here and in the file. Where the file fails it holds here all the same, and is written as soon as that
-// can be done: what operators were told has been done must not be taken back.
-func (d *Desk) change(change func(*State)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	before := len(d.unkept)
-	d.unkept = append(d.unkept, change)
-	if err := d.keep(); err != nil && before == 0 {
-		d.Log.Error("what operators asked for is not kept yet for an upgrade", "err", err)
+// update changes the state in this process and in the shared file. If the file can't be written, the change still takes
+// effect in this process and is written as soon as possible: a call that was answered with success must not be undone.
+func (c *Desk) update(update func(*State)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	pending := len(c.unsaved)
+	c.unsaved = append(c.unsaved, update)
+	if err := c.saveChanges(); err != nil && pending == 0 {
+		c.Log.Error("changes that operators asked for are not kept for an upgrade yet", "err", err)
 	}
 }
 
-// keep makes the changes that are not in the file yet, here and there. The caller holds the lock.
-func (d *Desk) keep() error {
-	known := d.state
-	known.Banned = slices.Clone(known.Banned)
-	st, err := d.Share.Update(known, d.unkept...)
+// saveChanges applies the unsaved changes to the file and to this process. The caller holds the lock.
+func (c *Desk) saveChanges() error {
+	local := c.state
+	local.Banned = slices.Clone(local.Banned)
+	st, err := c.Share.Update(local, c.unsaved...)
 	if err != nil {
-		apply(&known, d.unkept)
-		d.take(known)
+		applyChanges(&local, c.unsaved)
+		c.setState(local)
 		return err
 	}
-	if len(d.unkept) > 1 {
-		d.Log.Info("what operators asked for is kept now", "changes", len(d.unkept))
+	if len(c.unsaved) > 1 {
+		c.Log.Info("changes that operators asked for are kept now", "changes", len(c.unsaved))
 	}
-	d.unkept = nil
-	d.take(st)
+	c.unsaved = nil
+	c.setState(st)
 	return nil
 }
 
-// take makes st what holds here.
-func (d *Desk) take(st State) {
-	old := d.state
-	d.state = st
+// setState replaces the state of this process and passes differences on. The caller holds the lock.
+func (c *Desk) setState(st State) {
+	old := c.state
+	c.state = st
 	if !slices.Equal(old.Banned, st.Banned) {
-		d.Log.Info("maintenance", "out", st.Banned)
-		d.Router.SetBanned(st.Banned)
+		c.Log.Info("maintenance", "out", st.Banned)
+		c.Router.SetBanned(st.Banned)
 	}
 	if old.Standby != st.Standby {
-		d.Log.Info("standby", "on", st.Standby)
-		d.Standby(st.Standby)
+		c.Log.Info("standby", "on", st.Standby)
+		c.Standby(st.Standby)
 	}
 }
 
-func (d *Desk) out(id string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return slices.Contains(d.state.Banned, id)
+func (c *Desk) inMaintenance(id string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Contains(c.state.Banned, id)
 }
 
-// ServeHTTP carries out one call.
-func (d *Desk) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	method, call := http.MethodPost, func() int { return http.StatusOK }
+// ServeHTTP implements http.Handler.
+func (c *Desk) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	method, run := http.MethodPost, func() int { return http.StatusOK }
 	switch r.URL.Path {
 	case "/status":
 		method = http.MethodGet
-		call = func() int {
-			if !d.Serving() {
+		run = func() int {
+			if !c.Serving() {
 				return http.StatusServiceUnavailable
 			}
 			return http.StatusOK
 		}
 	case "/maintenance/enter", "/maintenance/exit":
-		call = func() int { return d.maintain(r.URL.Query()["who"], r.URL.Path == "/maintenance/enter") }
+		run = func() int { return c.setMaintenance(r.URL.Query()["who"], r.URL.Path == "/maintenance/enter") }
 	case "/standby", "/active":
-		call = func() int {
-			d.change(func(st *State) { st.Standby = r.URL.Path == "/standby" })
+		run = func() int {
+			c.update(func(st *State) { st.Standby = r.URL.Path == "/standby" })
 			return http.StatusOK
 		}
 	default:
@@ -191,23 +193,23 @@
 		http.Error(w, "wrong method", http.StatusMethodNotAllowed)
 		return
 	}
-	code := call()
+	code := run()
 	if code != http.StatusOK {
-		d.Log.Warn("operator's call refused", "path", r.URL.Path, "query", r.URL.RawQuery, "status", code)
+		c.Log.Warn("operator's call refused", "path", r.URL.Path, "query", r.URL.RawQuery, "status", code)
 	}
 	w.WriteHeader(code)
 }
 
-// maintain takes a worker out or puts it back. Taking it out twice is the same as once.
-func (d *Desk) maintain(who []string, enter bool) int {
-	if len(who) != 1 || who[0] == "" || len(who[0]) > maxWho {
+// setMaintenance puts the worker that ids names into maintenance or takes it out, and returns an HTTP status. It is idempotent.
+func (c *Desk) setMaintenance(ids []string, enter bool) int {
+	if len(ids) != 1 || ids[0] == "" || len(ids[0]) > maxWorkerIDBytes {
 		return http.StatusBadRequest
 	}
-	id := who[0]
-	if !d.Router.Known(id) && !d.out(id) {
+	id := ids[0]
+	if !c.Router.Known(id) && !c.inMaintenance(id) {
 		return http.StatusNotFound
 	}
-	d.change(func(st *State) {
+	c.update(func(st *State) {
 		st.Banned = slices.DeleteFunc(st.Banned, func(b string) bool { return b == id })
 		if enter {
 			st.Banned = append(st.Banned, id)
@@ -216,13 +218,13 @@
 	return http.StatusOK
 }
 
-// Serve answers calls on l, one a connection, until l is closed. Whoever connects and says nothing makes
-// room for others, of whom most are held at once.
-func (d *Desk) Serve(l net.Listener, most int) error {
-	server := &http.Server{Handler: d, ReadTimeout: callTime, WriteTimeout: callTime,
-		ErrorLog: slog.NewLogLogger(d.Log.Handler(), slog.LevelDebug)}
+// Serve answers calls on l, one per connection, until l is closed. At most maxConns connections are open at once; silent ones
+// are closed to make room for new ones.
+func (c *Desk) Serve(l net.Listener, maxConns int) error {
+	server := &http.Server{Handler: c, ReadTimeout: callTimeout, WriteTimeout: callTimeout,
+		ErrorLog: slog.NewLogLogger(c.Log.Handler(), slog.LevelDebug)}
 	server.SetKeepAlivesEnabled(false)
-	if err := server.Serve(httpfront.Guard(server, l, most, d.Log)); !errors.Is(err, net.ErrClosed) {
+	if err := server.Serve(httpfront.Guard(server, l, maxConns, c.Log)); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
 	return nil
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -12,16 +12,16 @@
 	"testing"
 )
 
-// fleet is a Router that knows some workers.
-type fleet struct {
-	listed []string
-	out    []string
+// fakeRouter is a Router with a fixed list of workers.
+type fakeRouter struct {
+	workers []string
+	banned  []string
 }
 
-func (f *fleet) Known(id string) bool   { return slices.Contains(f.listed, id) }
-func (f *fleet) SetBanned(ids []string) { f.out = slices.Clone(ids) }
+func (f *fakeRouter) Known(id string) bool   { return slices.Contains(f.workers, id) }
+func (f *fakeRouter) SetBanned(ids []string) { f.banned = slices.Clone(ids) }
 
-func open(t *testing.T, dir string) *Share {
+func openShared(t *testing.T, dir string) *Share {
 	t.Helper()
 	s, err := Open(dir, "n/1")
 	if err != nil {
@@ -30,7 +30,7 @@
 	return s
 }
 
-func desk(s *Share, f *fleet) *Desk {
+func newController(s *Share, f *fakeRouter) *Desk {
 	return &Desk{Share: s, Router: f, Standby: func(bool) {}, Serving: func() bool { return true }, Log: slog.New(slog.DiscardHandler)}
 }
 
@@ -40,15 +40,15 @@
 	return w.Code
 }
 
-// What one process is told the other must know: calls reach whichever of two is asked.
-func TestTwoProcessesShareWhatOperatorsAsk(t *testing.T) {
+// While two processes run, a call may reach either of them: each must adopt what the other was asked for.
+func TestTwoProcessesShareOperatorState(t *testing.T) {
 	dir := t.TempDir()
-	a, b := open(t, dir), open(t, dir)
+	a, b := openShared(t, dir), openShared(t, dir)
 	if !a.Alone() || b.Alone() {
-		t.Fatal("which process came first is not seen")
+		t.Fatal("the older process is not recognized")
 	}
-	fa, fb := &fleet{listed: []string{"w1", "w2"}}, &fleet{listed: []string{"w2"}}
-	old, next := desk(a, fa), desk(b, fb)
+	oldRouter, nextRouter := &fakeRouter{workers: []string{"w1", "w2"}}, &fakeRouter{workers: []string{"w2"}}
+	old, next := newController(a, oldRouter), newController(b, nextRouter)
 	old.Begin()
 	old.Serves()
 	next.Begin()
@@ -59,93 +59,93 @@
 		}
 	}
 	if _, newer := old.Successor(); newer {
-		t.Error("succeeded by a process that does not serve")
+		t.Error("a process that does not serve counts as successor")
 	}
 	next.Serves()
-	if at, newer := old.Successor(); !newer || at != next.Socket() {
-		t.Errorf("successor %q %v, want %q", at, newer, next.Socket())
+	if socket, newer := old.Successor(); !newer || socket != next.Socket() {
+		t.Errorf("successor %q %v, want %q", socket, newer, next.Socket())
 	}
-	next.look()
-	if !slices.Equal(fb.out, []string{"w1"}) {
-		t.Errorf("the next process has out %v", fb.out)
+	next.refresh()
+	if !slices.Equal(nextRouter.banned, []string{"w1"}) {
+		t.Errorf("the next process has in maintenance %v", nextRouter.banned)
 	}
-	// A worker that is out may be called back where it is not listed any more.
-	if got := call(next, http.MethodPost, "/maintenance/exit?who=w1"); got != 200 || len(fb.out) != 0 {
-		t.Errorf("back: %d, out %v", got, fb.out)
+	// A worker may leave maintenance after it has been removed from the list.
+	if got := call(next, http.MethodPost, "/maintenance/exit?who=w1"); got != 200 || len(nextRouter.banned) != 0 {
+		t.Errorf("maintenance exit: %d, still in maintenance %v", got, nextRouter.banned)
 	}
-	old.look()
-	if len(fa.out) != 0 {
-		t.Errorf("the old process still has out %v", fa.out)
+	old.refresh()
+	if len(oldRouter.banned) != 0 {
+		t.Errorf("the old process still has in maintenance %v", oldRouter.banned)
 	}
-	b.mine.Close() // the next process dies: the old one must not leave its address to nobody
+	b.processLock.Close() // the next process dies: the old one must not hand its address over to it
 	if _, newer := old.Successor(); newer {
-		t.Error("succeeded by a process that has died")
+		t.Error("a process that has died counts as successor")
 	}
-	a.alive.Close()
+	a.aliveLock.Close()
 	if !b.Alone() {
-		t.Error("the next process does not see that it is alone")
+		t.Error("the next process does not notice that it is alone")
 	}
 }
 
-// A file that can't be read or written must not stop what is asked of this process.
-func TestCallsHoldWithoutTheFile(t *testing.T) {
+// Calls take effect in this process even if the shared file can't be read or written.
+func TestCallsTakeEffectWithoutSharedFile(t *testing.T) {
 	dir := t.TempDir()
-	s, f := open(t, dir), &fleet{listed: []string{"w1"}}
+	s, f := openShared(t, dir), &fakeRouter{workers: []string{"w1"}}
 	os.WriteFile(s.path, []byte("{"), 0o600)
-	d := desk(s, f)
+	d := newController(s, f)
 	d.Begin()
 	os.RemoveAll(dir)
-	if got := call(d, http.MethodPost, "/maintenance/enter?who=w1"); got != 200 || !slices.Equal(f.out, []string{"w1"}) {
-		t.Errorf("%d, out %v", got, f.out)
+	if got := call(d, http.MethodPost, "/maintenance/enter?who=w1"); got != 200 || !slices.Equal(f.banned, []string{"w1"}) {
+		t.Errorf("%d, out %v", got, f.banned)
 	}
-	d.look()
-	if none, err := Open("", "x"); err != nil || !none.Alone() {
-		t.Error("nothing to share")
+	d.refresh()
+	if unshared, err := Open("", "x"); err != nil || !unshared.Alone() {
+		t.Error("not alone without a directory to share")
 	}
 }
 
-// The folder may fail for a while, at a write, a sync or a rename. What an operator was told has been done holds meanwhile, is not
-// taken back by what the file says, and is in the file once that can be written.
-func TestWhatWasAskedIsOwedWhileTheFolderFails(t *testing.T) {
+// Writes of the shared file may fail for a while, at a write, a sync or a rename. A change that was acknowledged must stay in
+// effect meanwhile, must not be undone by the file's old contents, and must be written once that is possible.
+func TestChangesAreKeptWhileWritesFail(t *testing.T) {
 	dir := t.TempDir()
-	s, f := open(t, dir), &fleet{listed: []string{"w1", "w2"}}
-	d := desk(s, f)
+	s, f := openShared(t, dir), &fakeRouter{workers: []string{"w1", "w2"}}
+	d := newController(s, f)
 	d.Begin()
 	if call(d, http.MethodPost, "/maintenance/enter?who=w1") != 200 {
 		t.Fatal("refused")
 	}
-	for _, fails := range []error{syscall.ENOSPC, syscall.EIO} {
-		s.write = func(string, []byte) error { return fails }
+	for _, fault := range []error{syscall.ENOSPC, syscall.EIO} {
+		s.writeFile = func(string, []byte) error { return fault }
 		for _, path := range []string{"/maintenance/enter?who=w2", "/maintenance/exit?who=w1"} {
 			if got := call(d, http.MethodPost, path); got != 200 {
-				t.Errorf("%v: %s: %d", fails, path, got)
+				t.Errorf("%v: %s: %d", fault, path, got)
 			}
 		}
-		if d.look(); !slices.Equal(f.out, []string{"w2"}) {
-			t.Errorf("%v: out %v, taken back", fails, f.out)
+		if d.refresh(); !slices.Equal(f.banned, []string{"w2"}) {
+			t.Errorf("%v: in maintenance %v, the change was undone", fault, f.banned)
 		}
-		s.write = writeDurably
-		d.look()
+		s.writeFile = writeDurably
+		d.refresh()
 		if st, err := s.Load(); err != nil || !slices.Equal(st.Banned, []string{"w2"}) || st.Started != 1 {
-			t.Errorf("%v: the file has %+v, %v", fails, st, err)
+			t.Errorf("%v: the file has %+v, %v", fault, st, err)
 		}
 		call(d, http.MethodPost, "/maintenance/exit?who=w2")
 		call(d, http.MethodPost, "/maintenance/enter?who=w1")
 	}
 }
 
-// A file that is empty, half written or noise does not undo what this process knows, and is made whole again.
-func TestAGarbledFileIsMadeWhole(t *testing.T) {
+// A shared file that is empty, truncated or garbage does not undo the state of this process, and is rewritten.
+func TestCorruptFileIsReplaced(t *testing.T) {
 	for _, text := range []string{"", `{"started":1,"ban`, "\x00\x00", "[]"} {
-		s, f := open(t, t.TempDir()), &fleet{listed: []string{"w1"}}
-		d := desk(s, f)
+		s, f := openShared(t, t.TempDir()), &fakeRouter{workers: []string{"w1"}}
+		d := newController(s, f)
 		d.Begin()
 		call(d, http.MethodPost, "/maintenance/enter?who=w1")
 		if err := os.WriteFile(s.path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if d.look(); !slices.Equal(f.out, []string{"w1"}) {
-			t.Errorf("%q: out %v", text, f.out)
+		if d.refresh(); !slices.Equal(f.banned, []string{"w1"}) {
+			t.Errorf("%q: out %v", text, f.banned)
 		}
 		if st, err := s.Load(); err != nil || !slices.Equal(st.Banned, []string{"w1"}) || st.Started != 1 {
 			t.Errorf("%q: the file has %+v, %v", text, st, err)
@@ -153,14 +153,14 @@
 	}
 }
 
-// A file is replaced whole or not at all, and nothing half written is left.
-func TestAFailedWriteLeavesTheOldText(t *testing.T) {
+// A file is replaced completely or not at all, and no partial file is left.
+func TestFailedWriteLeavesOldContents(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	if err := writeDurably(path, []byte("old")); err != nil {
 		t.Fatal(err)
 	}
-	fails := func(*os.File) error { return syscall.EIO }
-	if err := replaceFile(path, []byte("new"), fails); !errors.Is(err, syscall.EIO) {
+	failingSync := func(*os.File) error { return syscall.EIO }
+	if err := replaceFile(path, []byte("new"), failingSync); !errors.Is(err, syscall.EIO) {
 		t.Errorf("%v", err)
 	}
 	if text, _ := os.ReadFile(path); string(text) != "old" {
@@ -171,23 +171,23 @@
 	}
 }
 
-// A process that has the lock and is stopped holds no call up.
-func TestAStoppedProcessHoldsNoCallUp(t *testing.T) {
-	s, f := open(t, t.TempDir()), &fleet{listed: []string{"w1"}}
-	d := desk(s, f)
+// A stopped process that holds the lock must not block calls.
+func TestLockHeldByStoppedProcessBlocksNoCall(t *testing.T) {
+	s, f := openShared(t, t.TempDir()), &fakeRouter{workers: []string{"w1"}}
+	d := newController(s, f)
 	d.Begin()
 	other, err := os.Open(s.path + ".lock")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := lockWithin(other, lockWait); err != nil {
+	if err := lockWithTimeout(other, lockTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if got := call(d, http.MethodPost, "/maintenance/enter?who=w1"); got != 200 || len(f.out) != 1 {
-		t.Errorf("%d, out %v", got, f.out)
+	if got := call(d, http.MethodPost, "/maintenance/enter?who=w1"); got != 200 || len(f.banned) != 1 {
+		t.Errorf("%d, out %v", got, f.banned)
 	}
 	other.Close()
-	if d.look(); len(d.unkept) != 0 {
-		t.Errorf("%d changes are not written", len(d.unkept))
+	if d.refresh(); len(d.unsaved) != 0 {
+		t.Errorf("%d unsaved changes left", len(d.unsaved))
 	}
 }
--- a/internal/operator/share.go
+++ b/internal/operator/share.go
@@ -1,8 +1,8 @@
 package operator
 
-// This file owns what two processes of one router share while one takes over from the other: a small file in
-// the folder that both have, and a lock that tells whether the older one still runs. It must never hold a
-// call up, nor be needed for serving: where the file can't be had, each process goes by what it knows.
+// State shared by two processes of one router while one takes over from the other: a small file in a common directory, and
+// locks that show which processes still run. Serving and operator calls do not depend on it: if the file is unavailable,
+// each process goes by its own state.
 
 import (
 	"encoding/json"
@@ -17,52 +17,53 @@
 	"time"
 )
 
-// State is what operators have asked for and what holds until they take it back, over upgrades too.
+// State is the contents of the shared file. Operators' requests in it hold until they are revoked, across upgrades.
 type State struct {
-	Started int      `json:"started"` // processes that have started so far
-	Serving int      `json:"serving"` // the number of the latest that has begun to serve
-	Banned  []string `json:"banned"`  // workers that are out for maintenance
-	Standby bool     `json:"standby"` // the router is to be empty
+	Started int      `json:"started"` // number of processes started so far
+	Serving int      `json:"serving"` // number of the latest process that has started to serve
+	Banned  []string `json:"banned"`  // workers in maintenance
+	Standby bool     `json:"standby"` // the fronts shed their clients
 }
 
-// Share is one process's side of the file. The zero value shares nothing.
+// SharedState is one process's view of the state shared with other processes of its router. The zero value shares nothing.
 type Share struct {
-	path  string
-	alive *os.File // locked for as long as the process that has it runs
-	mu    sync.Mutex
-	alone bool
-	mine  *os.File                             // locked too, and named by this process's number
-	write func(path string, text []byte) error // writeDurably, but for tests
+	path        string
+	aliveLock   *os.File // locked by the oldest running process
+	mu          sync.Mutex
+	alone       bool
+	processLock *os.File                             // named by this process's number and locked while it runs
+	writeFile   func(path string, text []byte) error // writeDurably; replaced in tests
 }
 
-// Limits of the wait for another process that writes.
+// The wait for another process that writes the file.
 const (
-	lockWait = 200 * time.Millisecond
-	lockLook = 5 * time.Millisecond
+	lockTimeout      = 200 * time.Millisecond
+	lockPollInterval = 5 * time.Millisecond
 )
 
-// Open joins the router's other processes in dir; "" shares nothing.
+// Open opens the state that processes of the named router share in dir. With an empty dir nothing is shared.
 func Open(dir, name string) (*Share, error) {
-	s := &Share{write: writeDurably}
+	s := &Share{writeFile: writeDurably}
 	if dir == "" {
 		return s, nil
 	}
-	plain := strings.Map(func(r rune) rune {
+	fileName := strings.Map(func(r rune) rune {
 		if r >= '0' && r <= '9' || r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r == '-' || r == '_' {
 			return r
 		}
 		return '.'
 	}, name)
-	path := filepath.Join(dir, "rowanyard-"+plain+".json")
-	alive, err := os.OpenFile(path+".alive", os.O_CREATE|os.O_RDWR, 0o600)
+	path := filepath.Join(dir, "rowanyard-"+fileName+".json")
+	aliveLock, err := os.OpenFile(path+".alive", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return s, err
 	}
-	s.path, s.alive = path, alive
+	s.path, s.aliveLock = path, aliveLock
 	return s, nil
 }
 
-// Socket is where the process with this number takes streams; "" where nothing is shared.
+// SocketPath returns the path of the socket on which the process with this number receives streams, or "" if nothing is
+// shared.
 func (s *Share) Socket(number int) string {
 	if s.path == "" {
 		return ""
@@ -70,39 +71,39 @@
 	return fmt.Sprintf("%s.%d", s.path, number)
 }
 
-// Alone says that no other process of the router runs that came before this one.
+// Alone reports whether no older process of the router still runs.
 func (s *Share) Alone() bool {
-	if s.alive == nil {
+	if s.aliveLock == nil {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.alone { // the lock goes with its process, however that ends
-		s.alone = syscall.Flock(int(s.alive.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil
+	if !s.alone { // the system releases the lock when its process ends, however it ends
+		s.alone = syscall.Flock(int(s.aliveLock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil
 	}
 	return s.alone
 }
 
-// Join marks the process with this number as running.
+// MarkRunning marks the process with this number, this one, as running until it ends.
 func (s *Share) Join(number int) error {
 	if s.path == "" {
 		return nil
 	}
-	_ = os.Remove(s.lockOf(number - 2)) // long gone
-	file, err := os.OpenFile(s.lockOf(number), os.O_CREATE|os.O_RDWR, 0o600)
+	_ = os.Remove(s.processLockPath(number - 2)) // that process has ended
+	file, err := os.OpenFile(s.processLockPath(number), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return err
 	}
-	s.mine = file
+	s.processLock = file
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 }
 
-// Runs says whether the process with this number, not this one, still runs.
+// IsRunning reports whether the process with this number, which must be another one, still runs.
 func (s *Share) Runs(number int) bool {
 	if s.path == "" {
 		return false
 	}
-	file, err := os.Open(s.lockOf(number))
+	file, err := os.Open(s.processLockPath(number))
 	if err != nil {
 		return false
 	}
@@ -110,9 +111,9 @@
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) != nil
 }
 
-func (s *Share) lockOf(number int) string { return fmt.Sprintf("%s.%d.alive", s.path, number) }
+func (s *Share) processLockPath(number int) string { return fmt.Sprintf("%s.%d.alive", s.path, number) }
 
-// Load reads the file; one that is not there yet says nothing.
+// Load reads the shared state. It returns the zero State if there is no file yet.
 func (s *Share) Load() (State, error) {
 	var st State
 	if s.path == "" {
@@ -131,36 +132,37 @@
 	return st, nil
 }
 
-// Update changes the file, in order. What can't be read is replaced by what this process knew: it would never get better. Where
-// it returns an error the file may hold the old text or the new one, and the same changes are to be made again.
-func (s *Share) Update(known State, changes ...func(*State)) (State, error) {
+// Update applies changes to the file in order and returns the new state. A file that can't be read is replaced by fallback
+// with the changes, because it would stay unreadable. After an error the file may hold the old or the new state, and the
+// caller should apply the same changes again.
+func (s *Share) Update(fallback State, changes ...func(*State)) (State, error) {
 	if s.path == "" {
-		apply(&known, changes)
-		return known, nil
+		applyChanges(&fallback, changes)
+		return fallback, nil
 	}
 	lock, err := os.OpenFile(s.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return State{}, err
 	}
 	defer lock.Close()
-	if err := lockWithin(lock, lockWait); err != nil {
+	if err := lockWithTimeout(lock, lockTimeout); err != nil {
 		return State{}, err
 	}
 	st, err := s.Load()
 	if err != nil {
-		st = known
+		st = fallback
 		st.Banned = slices.Clone(st.Banned)
 	}
-	apply(&st, changes)
+	applyChanges(&st, changes)
 	text, err := json.Marshal(st)
 	if err == nil {
-		err = s.write(s.path, text)
+		err = s.writeFile(s.path, text)
 	}
 	return st, err
 }
 
-// apply makes changes.
-func apply(st *State, changes []func(*State)) {
+// applyChanges applies changes in order and normalizes the list of workers.
+func applyChanges(st *State, changes []func(*State)) {
 	for _, change := range changes {
 		change(st)
 	}
@@ -168,22 +170,22 @@
 	st.Banned = slices.Compact(st.Banned)
 }
 
-// lockWithin locks a file. Guards calls against another process that has the lock and is stopped.
-func lockWithin(file *os.File, wait time.Duration) error {
-	for begun := time.Now(); ; time.Sleep(lockLook) {
+// lockWithTimeout locks a file, but gives up after timeout, so that a stopped process that holds the lock blocks no call.
+func lockWithTimeout(file *os.File, timeout time.Duration) error {
+	for start := time.Now(); ; time.Sleep(lockPollInterval) {
 		err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		busy := errors.Is(err, syscall.EWOULDBLOCK) || errors.Is(err, syscall.EINTR)
-		if !busy || time.Since(begun) > wait {
+		if !busy || time.Since(start) > timeout {
 			return err
 		}
 	}
 }
 
-// replaceFile writes a file such that a reader finds the old text or the new one, never a part. sync is called on the new one
-// before it takes the old one's place.
+// replaceFile replaces a file atomically: readers see the old or the new contents, never a part. sync is called on the new
+// file before it is renamed.
 func replaceFile(path string, text []byte, sync func(*os.File) error) error {
-	fresh := path + ".new"
-	file, err := os.OpenFile(fresh, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	temp := path + ".new"
+	file, err := os.OpenFile(temp, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -191,19 +193,19 @@
 	if err == nil {
 		err = sync(file)
 	}
-	if closed := file.Close(); err == nil {
-		err = closed
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
-		err = os.Rename(fresh, path)
+		err = os.Rename(temp, path)
 	}
 	if err != nil {
-		_ = os.Remove(fresh) // what is half written takes room that may be short
+		_ = os.Remove(temp) // a partial file would use space, which may be what is lacking
 	}
 	return err
 }
 
-// writeDurably replaces a file such that the new text lasts once it returns.
+// writeDurably replaces a file atomically; the new contents are on disk when it returns without an error.
 func writeDurably(path string, text []byte) error {
 	if err := replaceFile(path, text, (*os.File).Sync); err != nil {
 		return err
@@ -216,7 +218,7 @@
 	return dir.Sync()
 }
 
-// Keep writes down what this process knows for the next one. Nothing of it is owed, so that it need not last.
+// SaveLearned writes the learned state for the next process. Losing it is harmless, so the file is not synced.
 func (s *Share) Keep(v any) error {
 	if s.path == "" {
 		return nil
@@ -228,7 +230,7 @@
 	return replaceFile(s.path+".learned", text, func(*os.File) error { return nil })
 }
 
-// Kept reads what an older process knew; it says no where there is nothing.
+// LoadLearned reads the learned state of an older process into v. It reports false if there is none.
 func (s *Share) Kept(v any) (bool, error) {
 	if s.path == "" {
 		return false, nil
