--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure owns what operators see of the desk in figures: metrics for scraping, and traces of requests through
-// caller, grants, attempts and end. It must never decide, hold anything a peer names without bound (no metric is
-// labelled by a caller, a request or a worker), nor run where the operator's file does not ask for it.
+// Package measure exports Prometheus metrics, and OpenTelemetry traces of requests from the caller through grants and attempts
+// to the end. No metric has a caller, request or worker as label, so that peers can't make the number of series grow. Both
+// are off unless the operator's file enables them.
 package measure
 
 import (
@@ -23,59 +23,59 @@
 	"rowanyard/internal/kvindex"
 )
 
-// Metrics are the desk's.
+// Metrics holds the metrics of the decision service and the collectors registered with it.
 type Metrics struct {
-	registry *prometheus.Registry
-	answers  *prometheus.HistogramVec
-	refusals *prometheus.CounterVec
-	ages     *prometheus.HistogramVec
-	delays   prometheus.Histogram
+	registry         *prometheus.Registry
+	choiceTimes      *prometheus.HistogramVec
+	refusals         *prometheus.CounterVec
+	grantAges        *prometheus.HistogramVec
+	revocationDelays prometheus.Histogram
 }
 
-// New returns Metrics. Count is asked at each scrape; set it with Follow.
+// New returns Metrics. The Collect methods add metrics that are computed at each scrape.
 func New() *Metrics {
 	m := &Metrics{registry: prometheus.NewRegistry(),
-		answers: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "rowanyard_choice_seconds",
+		choiceTimes: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "rowanyard_choice_seconds",
 			Help: "From a caller's call to the grant that answers it, by stage.", Buckets: prometheus.ExponentialBuckets(0.0005, 2, 14)}, []string{"stage"}),
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "rowanyard_refusals_total",
 			Help: "Calls that were refused, by reason."}, []string{"reason"}),
-		ages: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "rowanyard_grant_age_seconds",
+		grantAges: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "rowanyard_grant_age_seconds",
 			Help: "How old grants were when they were reported, revoked or expired.", Buckets: prometheus.ExponentialBuckets(0.001, 2, 14)}, []string{"state"}),
-		delays: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "rowanyard_revocation_delay_seconds",
+		revocationDelays: prometheus.NewHistogram(prometheus.HistogramOpts{Name: "rowanyard_revocation_delay_seconds",
 			Help: "From the news of a drain to its revocations on a caller's stream.", Buckets: prometheus.ExponentialBuckets(0.0001, 2, 14)}),
 	}
-	m.registry.MustRegister(m.answers, m.refusals, m.ages, m.delays)
+	m.registry.MustRegister(m.choiceTimes, m.refusals, m.grantAges, m.revocationDelays)
 	return m
 }
 
-// Seen is what a Desk tells.
+// Hooks returns the hooks by which a decisions.Desk reports events to m.
 func (m *Metrics) Seen() decisions.Seen {
 	return decisions.Seen{
-		Granted: func(stage string, wait time.Duration) { m.answers.WithLabelValues(stage).Observe(wait.Seconds()) },
+		Granted: func(stage string, wait time.Duration) { m.choiceTimes.WithLabelValues(stage).Observe(wait.Seconds()) },
 		Refused: func(reason string) { m.refusals.WithLabelValues(reason).Inc() },
-		Ended:   func(s grant.State, age time.Duration) { m.ages.WithLabelValues(s.String()).Observe(age.Seconds()) },
-		Revoked: func(delay time.Duration) { m.delays.Observe(delay.Seconds()) },
+		Ended:   func(s grant.State, age time.Duration) { m.grantAges.WithLabelValues(s.String()).Observe(age.Seconds()) },
+		Revoked: func(delay time.Duration) { m.revocationDelays.Observe(delay.Seconds()) },
 	}
 }
 
-// Follow has each scrape count what is open at the desk.
-func (m *Metrics) Follow(d *decisions.Desk) { m.registry.MustRegister(open{d}) }
+// CollectGrants adds the grants, requests, callers and effects of d.
+func (m *Metrics) Follow(d *decisions.Desk) { m.registry.MustRegister(grantCollector{d}) }
 
-// FollowGuard has each scrape count what the guards have found.
-func (m *Metrics) FollowGuard(g *invariant.Guard) { m.registry.MustRegister(guarded{g}) }
+// CollectGuard adds the counts of g.
+func (m *Metrics) FollowGuard(g *invariant.Guard) { m.registry.MustRegister(guardCollector{g}) }
 
-// guarded collects what guards have found.
-type guarded struct{ guard *invariant.Guard }
+// guardCollector collects the counts of an invariant.Guard.
+type guardCollector struct{ guard *invariant.Guard }
 
 var descGuard = prometheus.NewDesc("rowanyard_guard_total",
 	"Steps that a guard stopped as two events had crossed (result=stopped), and invariants that did not hold (result=violated).",
 	[]string{"step", "result"}, nil)
 
 // Describe implements prometheus.Collector.
-func (c guarded) Describe(to chan<- *prometheus.Desc) { to <- descGuard }
+func (c guardCollector) Describe(to chan<- *prometheus.Desc) { to <- descGuard }
 
 // Collect implements prometheus.Collector.
-func (c guarded) Collect(to chan<- prometheus.Metric) {
+func (c guardCollector) Collect(to chan<- prometheus.Metric) {
 	for _, count := range c.guard.Counts() {
 		step := count.Step.String()
 		to <- prometheus.MustNewConstMetric(descGuard, prometheus.CounterValue, float64(count.Stopped), step, "stopped")
@@ -83,13 +83,13 @@
 	}
 }
 
-// Handler serves the metrics.
+// Handler serves the metrics page.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{MaxRequestsInFlight: 4})
 }
 
-// open collects what is open.
-type open struct{ desk *decisions.Desk }
+// grantCollector counts the entries of a desk's grant table.
+type grantCollector struct{ desk *decisions.Desk }
 
 var (
 	descGrants   = prometheus.NewDesc("rowanyard_grants", "Grants that are known, by state.", []string{"state"}, nil)
@@ -99,14 +99,14 @@
 )
 
 // Describe implements prometheus.Collector.
-func (o open) Describe(to chan<- *prometheus.Desc) {
+func (o grantCollector) Describe(to chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descGrants, descRequests, descEffects, descCallers} {
 		to <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (o open) Collect(to chan<- prometheus.Metric) {
+func (o grantCollector) Collect(to chan<- prometheus.Metric) {
 	var c grant.Counts
 	o.desk.Table(func(_ time.Duration, t *grant.Table) { c = t.Count() })
 	for s := grant.Offered; s <= grant.Expired; s++ {
@@ -118,69 +118,72 @@
 }
 
 const (
-	traceQueue = 512 // spans that wait to be sent; more are dropped
-	traceEvery = 2 * time.Second
-	traceEnd   = 300 * time.Millisecond
+	maxQueuedSpans     = 512 // further spans are dropped
+	traceBatchInterval = 2 * time.Second
+	traceFlushTimeout  = 300 * time.Millisecond
 )
 
-// Traces sends a share of the requests' traces to an OTLP/HTTP collector. close sends what waits, within a short time.
-func Traces(ctx context.Context, endpoint string, share float64, router string) (p *sdktrace.TracerProvider, close func(), err error) {
+// NewTracerProvider returns a tracer provider that sends the given share of traces to an OTLP/HTTP collector. shutdown sends
+// queued spans, but gives up after a short time.
+func Traces(ctx context.Context, endpoint string, share float64, router string) (provider *sdktrace.TracerProvider, shutdown func(), err error) {
 	u, err := url.Parse(endpoint)
 	if err != nil {
 		return nil, nil, err
 	}
-	if strings.Trim(u.Path, "/") == "" { // the collector's usual place
+	if strings.Trim(u.Path, "/") == "" { // the default path of OTLP/HTTP
 		u = u.JoinPath("v1", "traces")
 	}
-	out, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(u.String()))
+	exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(u.String()))
 	if err != nil {
 		return nil, nil, err
 	}
-	p = sdktrace.NewTracerProvider(sdktrace.WithBatcher(out, sdktrace.WithMaxQueueSize(traceQueue), sdktrace.WithBatchTimeout(traceEvery)),
+	provider = sdktrace.NewTracerProvider(sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(maxQueuedSpans), sdktrace.WithBatchTimeout(traceBatchInterval)),
 		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(share))),
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "rowanyard"), attribute.String("service.instance.id", router))))
-	return p, func() {
-		ctx, stop := context.WithTimeout(context.Background(), traceEnd)
+	return provider, func() {
+		ctx, stop := context.WithTimeout(context.Background(), traceFlushTimeout)
 		defer stop()
-		p.Shutdown(ctx)
+		provider.Shutdown(ctx)
 	}, nil
 }
 
-// FollowTexts has each scrape count what is known of the texts that workers keep.
-func (m *Metrics) FollowTexts(stats func() kvindex.Stats) { m.registry.MustRegister(texts{stats}) }
+// CollectCacheReports adds what stats reports on the prefix caches of workers.
+func (m *Metrics) FollowTexts(stats func() kvindex.Stats) {
+	m.registry.MustRegister(cacheCollector{stats})
+}
 
-// texts collects what is known of texts.
-type texts struct{ stats func() kvindex.Stats }
+// cacheCollector collects the statistics of the index of workers' prefix caches.
+type cacheCollector struct{ stats func() kvindex.Stats }
 
 var (
 	descBlocks    = prometheus.NewDesc("rowanyard_kv_blocks", "Blocks of text that workers report to keep, known now.", nil, nil)
-	descReporters = prometheus.NewDesc("rowanyard_kv_workers", "Workers of which reports are known.", nil, nil)
+	descWorkers   = prometheus.NewDesc("rowanyard_kv_workers", "Workers of which reports are known.", nil, nil)
 	descGaps      = prometheus.NewDesc("rowanyard_kv_gaps_total", "Times that a worker's reports had a gap.", nil, nil)
 	descReplays   = prometheus.NewDesc("rowanyard_kv_replays_total", "Gaps that were filled in time.", nil, nil)
-	descAged      = prometheus.NewDesc("rowanyard_kv_aged_total", "Gaps that were not: the worker's knowledge went.", nil, nil)
-	descBad       = prometheus.NewDesc("rowanyard_kv_refused_total", "Reports, or parts of them, that count for nothing, by reason.", []string{"reason"}, nil)
+	descLost      = prometheus.NewDesc("rowanyard_kv_aged_total", "Gaps that were not: the worker's knowledge went.", nil, nil)
+	descRefused   = prometheus.NewDesc("rowanyard_kv_refused_total", "Reports, or parts of them, that count for nothing, by reason.", []string{"reason"}, nil)
 	descPredicted = prometheus.NewDesc("rowanyard_kv_predictions_total", "Reads at workers whose kept length was predicted.", nil, nil)
 	descWrong     = prometheus.NewDesc("rowanyard_kv_wrong_predictions_total", "Of these, predicted wrong by more than a tenth and 64 tokens.", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
-func (x texts) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descBlocks, descReporters, descGaps, descReplays, descAged, descBad, descPredicted, descWrong} {
+func (x cacheCollector) Describe(to chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{descBlocks, descWorkers, descGaps, descReplays, descLost, descRefused, descPredicted, descWrong} {
 		to <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (x texts) Collect(to chan<- prometheus.Metric) {
+func (x cacheCollector) Collect(to chan<- prometheus.Metric) {
 	s := x.stats()
 	to <- prometheus.MustNewConstMetric(descBlocks, prometheus.GaugeValue, float64(s.Blocks))
-	to <- prometheus.MustNewConstMetric(descReporters, prometheus.GaugeValue, float64(s.Workers))
+	to <- prometheus.MustNewConstMetric(descWorkers, prometheus.GaugeValue, float64(s.Workers))
 	to <- prometheus.MustNewConstMetric(descGaps, prometheus.CounterValue, float64(s.Gaps))
 	to <- prometheus.MustNewConstMetric(descReplays, prometheus.CounterValue, float64(s.Replays))
-	to <- prometheus.MustNewConstMetric(descAged, prometheus.CounterValue, float64(s.Aged))
+	to <- prometheus.MustNewConstMetric(descLost, prometheus.CounterValue, float64(s.Aged))
 	to <- prometheus.MustNewConstMetric(descPredicted, prometheus.CounterValue, float64(s.Predicted))
 	to <- prometheus.MustNewConstMetric(descWrong, prometheus.CounterValue, float64(s.Wrong))
 	for reason, n := range s.Refused {
-		to <- prometheus.MustNewConstMetric(descBad, prometheus.CounterValue, float64(n), reason)
+		to <- prometheus.MustNewConstMetric(descRefused, prometheus.CounterValue, float64(n), reason)
 	}
 }
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -25,10 +25,10 @@
 	"rowanyard/internal/wire"
 )
 
-// One request that a caller carries shows in the metrics and as one trace: the request, its read and its write.
-func TestARequestIsMeasuredAndTraced(t *testing.T) {
+// A request that a caller carries appears in the metrics and as one trace: the request, its read and its write.
+func TestRequestIsMeasuredAndTraced(t *testing.T) {
 	spans := make(chan *collector.ExportTraceServiceRequest, 10)
-	otlp := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { // a stand-in collector
+	otlp := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { // a fake collector
 		text, _ := io.ReadAll(r.Body)
 		m := &collector.ExportTraceServiceRequest{}
 		if r.URL.Path != "/v1/traces" || proto.Unmarshal(text, m) != nil {
@@ -75,7 +75,7 @@
 	g, _, err := desk.Choose(context.Background(), ask)
 	must(err)
 	if err := desk.Report("p", 999, grant.Read, core.Result{}, false); err == nil {
-		t.Error("a grant that never was")
+		t.Error("a report on an unknown grant was accepted")
 	}
 	page := func() string {
 		w := httptest.NewRecorder()
@@ -118,7 +118,7 @@
 	}
 	for _, p := range parents {
 		if !roots[p] {
-			t.Error("an attempt outside its request")
+			t.Error("the parent of an attempt is not the request")
 		}
 	}
 }
