--- a/internal/grpcfront/bench_test.go
+++ b/internal/grpcfront/bench_test.go
@@ -13,17 +13,17 @@
 	"rowanyard/internal/standin"
 )
 
-// BenchmarkFronts compares the two paths side by side: an HTTP client with HTTP workers and a gRPC
-// client with gRPC workers, a request to each by turns, at workers that take 40 ms to read and 5 ms a
-// token. It reports medians and the middle half of the times in ms, and how far gRPC lies off HTTP/1.1
-// in per cent. It stays out of CI: go test -run - -bench Fronts -benchtime 300x ./internal/grpcfront
+// BenchmarkFronts compares an HTTP client with HTTP workers to a gRPC client with gRPC workers. Requests alternate between
+// the two; the workers take 40 ms to read and 5 ms per token. It reports the median and the interquartile range of the times
+// in ms, and the difference of gRPC from HTTP/1.1 in per cent. It is not part of CI:
+// go test -run - -bench Fronts -benchtime 300x ./internal/grpcfront
 func BenchmarkFronts(b *testing.B) {
 	o := standin.Options{Readers: 2, Writers: 2, Tokens: 20, TokenTime: 5 * time.Millisecond, ReadTime: 40 * time.Millisecond}
 	plain := start(b, o)
 	o.GRPC = true
 	tokens := start(b, o)
 	var first, whole [2][]float64
-	note := func(i int, began, token time.Time) {
+	record := func(i int, began, token time.Time) {
 		first[i] = append(first[i], token.Sub(began).Seconds()*1e3)
 		whole[i] = append(whole[i], time.Since(began).Seconds()*1e3)
 	}
@@ -47,7 +47,7 @@
 			}
 		}
 		res.Body.Close()
-		note(0, began, token)
+		record(0, began, token)
 
 		began, token = time.Now(), time.Time{}
 		call, err := tokens.grpc.Complete(context.Background(), tokens.request("draft-reply", "k", 4*time.Second))
@@ -56,7 +56,7 @@
 				token = time.Now()
 			}
 		}
-		note(1, began, token)
+		record(1, began, token)
 	}
 	for name, times := range map[string][2][]float64{"first": first, "whole": whole} {
 		var median [2]float64
--- a/internal/grpcfront/bridge.go
+++ b/internal/grpcfront/bridge.go
@@ -1,8 +1,7 @@
 package grpcfront
 
-// This file owns the way between the two wires: a gRPC client's request at a server that speaks
-// HTTP, and an HTTP client's at one that speaks gRPC. It translates messages and events, and must
-// never change what they say.
+// Translation between the two protocols: gRPC clients' requests for model servers that speak HTTP, and HTTP clients' requests
+// for model servers that speak gRPC. Messages and events keep their meaning.
 
 import (
 	"bufio"
@@ -24,20 +23,21 @@
 	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// chat is what an HTTP request's body says that has a field of ours.
-type chat struct {
+// chatRequest holds those parts of an HTTP request's body that have a field of their own in pb.CompleteRequest.
+type chatRequest struct {
 	Model     string          `json:"model"`
 	MaxTokens int64           `json:"max_tokens"`
 	Messages  json.RawMessage `json:"messages"`
 }
 
-type message struct {
+// chatMessage is one message of an HTTP request's body.
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// sse is one event of an HTTP stream.
-type sse struct {
+// streamEvent is the data of one server-sent event of an HTTP answer.
+type streamEvent struct {
 	Choices []choice `json:"choices"`
 	Usage   *usage   `json:"usage,omitempty"`
 }
@@ -53,34 +53,34 @@
 }
 
 type usage struct {
-	PromptTokens     int64   `json:"prompt_tokens"`
-	CompletionTokens int64   `json:"completion_tokens"`
-	Details          details `json:"prompt_tokens_details"`
+	PromptTokens     int64         `json:"prompt_tokens"`
+	CompletionTokens int64         `json:"completion_tokens"`
+	Details          promptDetails `json:"prompt_tokens_details"`
 }
 
-type details struct {
+type promptDetails struct {
 	CachedTokens int64 `json:"cached_tokens"`
 }
 
 const (
 	eventPrefix = "data: "
-	eventDone   = "[DONE]"
+	doneEvent   = "[DONE]"
 )
 
-// overHTTP carries a gRPC client's request to servers that speak HTTP.
+// overHTTP returns a carrier of a gRPC client's request for servers that speak HTTP.
 func overHTTP(w *httpfront.Workers, r *pb.CompleteRequest) core.Carrier {
 	body := r.Parameters.AsMap()
 	if body == nil {
 		body = make(map[string]any)
 	}
-	messages := make([]message, 0, len(r.Messages))
+	messages := make([]chatMessage, 0, len(r.Messages))
 	for _, m := range r.Messages {
-		messages = append(messages, message{m.Role, m.Content})
+		messages = append(messages, chatMessage{m.Role, m.Content})
 	}
 	body["model"], body["stream"], body["max_tokens"], body["messages"] = r.Model, true, r.MaxOutputTokens, messages
 	text, err := json.Marshal(body)
-	if err != nil { // a parameter that is no number
-		return broken{fmt.Errorf("parameters: %w", err)}
+	if err != nil { // a parameter that JSON can't represent, such as NaN
+		return invalidRequest{fmt.Errorf("parameters: %w", err)}
 	}
 	head := http.Header{}
 	head.Set("Content-Type", "application/json")
@@ -92,13 +92,13 @@
 		labels = fmt.Sprintf("prefix=%016x,", r.Prefix) + labels
 	}
 	head.Set("X-Labels", labels)
-	return decoded{&httpfront.Exchange{Workers: w, Method: http.MethodPost, URI: httpfront.PathChat, Head: head, Body: text}}
+	return chunkDecoder{&httpfront.Exchange{Workers: w, Method: http.MethodPost, URI: httpfront.PathChat, Head: head, Body: text}}
 }
 
-// decoded makes chunks of the events that its carrier streams.
-type decoded struct{ core.Carrier }
+// chunkDecoder is a carrier that decodes the event streams of another carrier into chunks.
+type chunkDecoder struct{ core.Carrier }
 
-func (d decoded) Try(ctx context.Context, a core.Attempt) core.Result {
+func (d chunkDecoder) Try(ctx context.Context, a core.Attempt) core.Result {
 	res := d.Carrier.Try(ctx, a)
 	if s, ok := res.Stream.(httpfront.Stream); ok {
 		res.Stream = &eventChunks{Stream: s, in: bufio.NewReader(s)}
@@ -106,7 +106,7 @@
 	return res
 }
 
-// eventChunks reads chunks from a stream of events.
+// eventChunks decodes a stream of events into chunks. It is a chunkStream.
 type eventChunks struct {
 	httpfront.Stream
 	in *bufio.Reader
@@ -125,14 +125,14 @@
 	}
 }
 
-// parseEvent reads one line of a stream; lines that bring no event give none.
+// parseEvent decodes one line of an event stream. It returns nil for lines that carry no chunk.
 func parseEvent(line string) (*pb.Chunk, error) {
 	text, ok := strings.CutPrefix(line, strings.TrimSpace(eventPrefix))
 	text = strings.TrimSpace(text)
-	if !ok || text == eventDone || text == "" {
+	if !ok || text == doneEvent || text == "" {
 		return nil, nil
 	}
-	var e sse
+	var e streamEvent
 	if err := json.Unmarshal([]byte(text), &e); err != nil {
 		return nil, fmt.Errorf("event: %w", err)
 	}
@@ -149,7 +149,7 @@
 	return c, nil
 }
 
-// Bridge is a httpfront.Bridge: it carries an HTTP client's request to servers that speak gRPC.
+// Bridge returns a carrier of an HTTP client's request for servers that speak gRPC. It is an httpfront.Bridge.
 func (w *Workers) Bridge(q decide.Request, id, class string, body []byte) core.Carrier {
 	r := &pb.CompleteRequest{Id: id, Class: class, Session: q.Session, Prefix: q.Prefix, PromptTokens: int64(q.Prompt),
 		PrefixTokens: int64(q.PrefixLen), MaxOutputTokens: int64(q.MaxOutput), Estimate: durationpb.New(q.Hint),
@@ -160,16 +160,16 @@
 	case q.Repeat:
 		r.Resent = pb.Resent_RESENT_RETRY
 	}
-	if err := fromBody(r, body); err != nil { // a message in a form that has no place in ours
-		return broken{fmt.Errorf("body: %w", err)}
+	if err := fromBody(r, body); err != nil { // a message of a form that pb.Message can't represent
+		return invalidRequest{fmt.Errorf("body: %w", err)}
 	}
-	return encoded{&exchange{workers: w, req: r}}
+	return eventEncoder{&exchange{workers: w, req: r}}
 }
 
-// fromBody takes over what an HTTP body says. Nothing of it may get lost: what is neither a message nor
-// a field of ours goes along as a parameter, and what a message can't hold is an error.
+// fromBody fills r from an HTTP request's body. Nothing in the body is dropped: keys without a field of their own become
+// parameters, and messages that pb.Message can't represent are an error.
 func fromBody(r *pb.CompleteRequest, body []byte) error {
-	var b chat
+	var b chatRequest
 	var rest map[string]any
 	if err := json.Unmarshal(body, &rest); err != nil {
 		return err
@@ -179,7 +179,7 @@
 	}
 	strict := json.NewDecoder(bytes.NewReader(b.Messages))
 	strict.DisallowUnknownFields()
-	var messages []message
+	var messages []chatMessage
 	if len(b.Messages) > 0 {
 		if err := strict.Decode(&messages); err != nil {
 			return err
@@ -203,29 +203,29 @@
 	return err
 }
 
-// broken carries nothing.
-type broken struct{ err error }
+// invalidRequest is the carrier of a request that can't be translated: every attempt fails before anything is sent.
+type invalidRequest struct{ err error }
 
-func (b broken) Try(context.Context, core.Attempt) core.Result {
+func (b invalidRequest) Try(context.Context, core.Attempt) core.Result {
 	return core.Result{Status: decide.Moot, Err: b.err}
 }
 
-func (b broken) Release(context.Context, core.Worker) error { return b.err }
+func (b invalidRequest) Release(context.Context, core.Worker) error { return b.err }
 
-// encoded makes events of the chunks that its exchange streams.
-type encoded struct{ *exchange }
+// eventEncoder is an exchange whose chunk streams are encoded as events.
+type eventEncoder struct{ *exchange }
 
-func (e encoded) Try(ctx context.Context, a core.Attempt) core.Result {
+func (e eventEncoder) Try(ctx context.Context, a core.Attempt) core.Result {
 	res := e.exchange.Try(ctx, a)
-	if c, ok := res.Stream.(chunks); ok {
+	if c, ok := res.Stream.(chunkStream); ok {
 		res.Stream = &chunkEvents{from: c}
 	}
 	return res
 }
 
-// chunkEvents is a stream of events made of chunks.
+// chunkEvents encodes a stream of chunks as server-sent events. It is an httpfront.Stream.
 type chunkEvents struct {
-	from chunks
+	from chunkStream
 	buf  bytes.Buffer
 	done bool
 }
@@ -244,7 +244,7 @@
 		switch {
 		case errors.Is(err, io.EOF):
 			c.done = true
-			c.buf.WriteString(eventPrefix + eventDone + "\n\n")
+			c.buf.WriteString(eventPrefix + doneEvent + "\n\n")
 		case err != nil:
 			return 0, err
 		default:
@@ -254,23 +254,23 @@
 	return c.buf.Read(p)
 }
 
-// writeEvent writes a chunk as the events of an HTTP stream: content first, then usage.
-func writeEvent(to *bytes.Buffer, c *pb.Chunk) {
-	put := func(e sse) {
+// writeEvent appends a chunk to out as events of an HTTP stream: content first, then usage.
+func writeEvent(out *bytes.Buffer, c *pb.Chunk) {
+	write := func(e streamEvent) {
 		text, _ := json.Marshal(e)
-		to.WriteString(eventPrefix)
-		to.Write(text)
-		to.WriteString("\n\n")
+		out.WriteString(eventPrefix)
+		out.Write(text)
+		out.WriteString("\n\n")
 	}
 	if c.Content != "" || c.FinishReason != "" || c.Usage == nil {
 		ch := choice{Delta: delta{c.Content}}
 		if c.FinishReason != "" {
 			ch.FinishReason = &c.FinishReason
 		}
-		put(sse{Choices: []choice{ch}})
+		write(streamEvent{Choices: []choice{ch}})
 	}
 	if u := c.Usage; u != nil {
-		put(sse{Choices: []choice{}, Usage: &usage{u.PromptTokens, u.CompletionTokens, details{u.CachedTokens}}})
+		write(streamEvent{Choices: []choice{}, Usage: &usage{u.PromptTokens, u.CompletionTokens, promptDetails{u.CachedTokens}}})
 	}
 }
 
--- a/internal/grpcfront/bridge_test.go
+++ b/internal/grpcfront/bridge_test.go
@@ -20,16 +20,16 @@
 	"rowanyard/internal/httpfront"
 )
 
-const event = `data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":"stop"}],"usage":{"prompt_tokens":5,"completion_tokens":2,"prompt_tokens_details":{"cached_tokens":4}}}`
+const sampleEvent = `data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":"stop"}],"usage":{"prompt_tokens":5,"completion_tokens":2,"prompt_tokens_details":{"cached_tokens":4}}}`
 
-// What the bridge writes as events it reads back as the same chunks.
+// Chunks that are encoded as events decode to the same chunks.
 func FuzzEvent(f *testing.F) {
 	rng := rand.New(rand.NewPCG(5, 6))
-	f.Add(event)
+	f.Add(sampleEvent)
 	for range 40 {
-		i, j := rng.IntN(len(event)), rng.IntN(len(event))
-		f.Add(event[:i])
-		f.Add(event[:min(i, j)] + event[max(i, j):])
+		i, j := rng.IntN(len(sampleEvent)), rng.IntN(len(sampleEvent))
+		f.Add(sampleEvent[:i])
+		f.Add(sampleEvent[:min(i, j)] + sampleEvent[max(i, j):])
 	}
 	f.Fuzz(func(t *testing.T, line string) {
 		c, err := parseEvent(line)
@@ -54,8 +54,8 @@
 	})
 }
 
-// An HTTP body that has no place in our messages is never sent: nothing of it may be lost on the way.
-func TestBridgeSendsNoBodyThatItCantCarry(t *testing.T) {
+// An HTTP body that pb.CompleteRequest can't represent is never sent, because a part of it would be lost.
+func TestBridgeRejectsBodyItCannotTranslate(t *testing.T) {
 	w := NewWorkers(0, 0)
 	c := w.Bridge(decide.Request{}, "a", "draft-reply", []byte(`{"messages":[{"role":"user","content":[{"type":"image"}]}]}`))
 	if r := c.Try(context.Background(), core.Attempt{}); r.Status != decide.Moot || r.Err == nil {
@@ -63,20 +63,20 @@
 	}
 }
 
-// Parameters that our messages do not name pass both ways.
+// Parameters without a field of their own survive the translation in both directions.
 func TestBridgeKeepsParameters(t *testing.T) {
 	r := &pb.CompleteRequest{}
 	if err := fromBody(r, []byte(`{"model":"m","stream":true,"max_tokens":7,"temperature":0.5,"stop":["x"],"messages":[{"role":"user","content":"c"}]}`)); err != nil {
 		t.Fatal(err)
 	}
 	back := &pb.CompleteRequest{}
-	body := overHTTP(nil, r).(decoded).Carrier.(*httpfront.Exchange).Body
+	body := overHTTP(nil, r).(chunkDecoder).Carrier.(*httpfront.Exchange).Body
 	if err := fromBody(back, body); err != nil || !proto.Equal(r, back) || back.Parameters.Fields["temperature"].GetNumberValue() != 0.5 {
 		t.Errorf("%v: %s", err, body)
 	}
 }
 
-// Too many open calls are refused, not failed: nothing has run, and the client is told when to come back.
+// Calls beyond the limit are refused, not failed: nothing has run, and the client is told when to retry.
 func TestTooManyOpenCallsAreRefused(t *testing.T) {
 	c, err := core.New(decide.Settings{Fronts: 1, MaxRetryAfter: 100 * time.Millisecond}, 1, nil, nil)
 	if err != nil {
@@ -92,9 +92,8 @@
 	}
 }
 
-// Servers come and go under new addresses all day: connections without a call must not stay for good, and
-// one that has a call must not be closed.
-func TestConnectionsToServersThatLeftAreClosed(t *testing.T) {
+// Servers come and go under new addresses: connections without a call must be closed eventually, those with a call must not.
+func TestUnusedConnectionsAreClosed(t *testing.T) {
 	w := NewWorkers(time.Second, 15*time.Second)
 	defer w.Close()
 	_, busy, err := w.conn("127.0.0.1:1")
@@ -109,7 +108,7 @@
 		}
 		done()
 		for _, s := range w.conns {
-			s.used = s.used.Add(-2 * connKept)
+			s.lastUsed = s.lastUsed.Add(-2 * unusedConnTimeout)
 		}
 	}
 	if len(w.conns) != 2 || w.conns["127.0.0.1:1"] == nil {
--- a/internal/grpcfront/calledoff_test.go
+++ b/internal/grpcfront/calledoff_test.go
@@ -13,37 +13,37 @@
 	"rowanyard/internal/grpcfront/pb"
 )
 
-// endTeller is a model server that reads without end and answers for its load when the test says so.
-type endTeller struct {
+// cancelRecorder is a model server whose reads end only when cancelled, and whose load reports wait for the test.
+type cancelRecorder struct {
 	pb.UnimplementedModelServerServer
-	came, ended, asked chan struct{}
-	answer             chan struct{}
+	started, cancelled, probed chan struct{}
+	allowAnswer                chan struct{}
 }
 
-func (s *endTeller) Read(ctx context.Context, _ *pb.WorkRequest) (*pb.ReadReply, error) {
-	close(s.came)
+func (s *cancelRecorder) Read(ctx context.Context, _ *pb.WorkRequest) (*pb.ReadReply, error) {
+	close(s.started)
 	<-ctx.Done()
-	close(s.ended)
+	close(s.cancelled)
 	return nil, ctx.Err()
 }
 
-func (s *endTeller) Load(ctx context.Context, _ *pb.LoadRequest) (*pb.LoadReport, error) {
-	close(s.asked)
+func (s *cancelRecorder) Load(ctx context.Context, _ *pb.LoadRequest) (*pb.LoadReport, error) {
+	close(s.probed)
 	select {
-	case <-s.answer:
+	case <-s.allowAnswer:
 	case <-ctx.Done():
 	}
 	return &pb.LoadReport{}, nil
 }
 
-// A call that must not run twice is called off: Try returns after the server has answered what came behind the end of it on
-// the same connection, and by then the server has seen that end.
-func TestACalledOffCallEndsAfterItsServerHasSeenIt(t *testing.T) {
+// When a call that must not run twice is cancelled, Try returns only after the server has answered a later call on the same
+// connection: by then it has seen the cancellation.
+func TestCancelledCallEndsAfterServerHasSeenCancellation(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &endTeller{came: make(chan struct{}), ended: make(chan struct{}), asked: make(chan struct{}), answer: make(chan struct{})}
+	s := &cancelRecorder{started: make(chan struct{}), cancelled: make(chan struct{}), probed: make(chan struct{}), allowAnswer: make(chan struct{})}
 	server := grpc.NewServer()
 	pb.RegisterModelServerServer(server, s)
 	go server.Serve(l)
@@ -57,15 +57,15 @@
 		done <- x.Try(ctx, core.Attempt{To: core.Worker{Addr: l.Addr().String(), Wire: Wire}, Read: true, Deadline: time.Now().Add(time.Minute),
 			Settle: time.Minute, Allowed: func() bool { return true }})
 	}()
-	<-s.came
+	<-s.started
 	stop()
 	select {
-	case <-s.asked:
+	case <-s.probed:
 	case res := <-done:
-		t.Fatalf("%+v before its server has answered", res)
+		t.Fatalf("Try returned %+v before the server has answered", res)
 	}
-	<-s.ended
-	close(s.answer)
+	<-s.cancelled
+	close(s.allowAnswer)
 	if res := <-done; res.Status != decide.Cancelled {
 		t.Errorf("%+v", res)
 	}
--- a/internal/grpcfront/deadline_test.go
+++ b/internal/grpcfront/deadline_test.go
@@ -15,24 +15,24 @@
 	"rowanyard/internal/grpcfront/pb"
 )
 
-// waitTeller is a model server that tells the time that it was given for a read.
-type waitTeller struct {
+// waitRecorder is a model server that records the time limits of reads.
+type waitRecorder struct {
 	pb.UnimplementedModelServerServer
-	told chan time.Duration
+	waits chan time.Duration
 }
 
-func (s *waitTeller) Read(_ context.Context, r *pb.WorkRequest) (*pb.ReadReply, error) {
-	s.told <- r.Wait.AsDuration()
+func (s *waitRecorder) Read(_ context.Context, r *pb.WorkRequest) (*pb.ReadReply, error) {
+	s.waits <- r.Wait.AsDuration()
 	return &pb.ReadReply{}, nil
 }
 
-// A server is told the time that is left when the message is written, not when the attempt began: its connection may come
-// up late.
-func TestALateConnectionTellsWhatIsLeftThen(t *testing.T) {
+// A server is told the time that is left when the message is written, not when the attempt started: the connection may take
+// long to be established.
+func TestWaitExcludesConnectionTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const comesUp, wait, pipeSize = 240 * time.Millisecond, time.Second, 64 << 10
+		const dialTime, wait, pipeSize = 240 * time.Millisecond, time.Second, 64 << 10
 		l := bufconn.Listen(pipeSize)
-		s := &waitTeller{told: make(chan time.Duration, 1)}
+		s := &waitRecorder{waits: make(chan time.Duration, 1)}
 		server := grpc.NewServer()
 		pb.RegisterModelServerServer(server, s)
 		go server.Serve(l)
@@ -40,7 +40,7 @@
 		w := NewWorkers(time.Second, time.Minute)
 		defer w.Close()
 		w.dialer = func(ctx context.Context, _ string) (net.Conn, error) {
-			time.Sleep(comesUp)
+			time.Sleep(dialTime)
 			return l.DialContext(ctx)
 		}
 		x := &exchange{workers: w, req: &pb.CompleteRequest{Id: "a"}}
@@ -49,8 +49,8 @@
 		if res.Status != decide.Read {
 			t.Fatalf("%+v", res)
 		}
-		if got := <-s.told; got != wait-comesUp {
-			t.Errorf("the server was told %v, %v was left", got, wait-comesUp)
+		if got := <-s.waits; got != wait-dialTime {
+			t.Errorf("the server was told %v, %v was left", got, wait-dialTime)
 		}
 	})
 }
--- a/internal/grpcfront/flush_test.go
+++ b/internal/grpcfront/flush_test.go
@@ -14,7 +14,7 @@
 	"rowanyard/internal/standin"
 )
 
-// stepWriter streams what a test gives it, chunk by chunk.
+// stepWriter is a model server that streams chunks as the test provides them.
 type stepWriter struct {
 	pb.UnimplementedModelServerServer
 	chunks map[string]chan string // by request id
@@ -29,8 +29,9 @@
 	return nil
 }
 
-// Each chunk reaches its client before the next one comes: the server writes one only after the client has had the one before.
-func TestEachChunkIsPassedOnAsItComes(t *testing.T) {
+// Each chunk reaches the client without waiting for the next one: the server writes a chunk only after the client has received
+// the previous one.
+func TestEachChunkIsRelayedImmediately(t *testing.T) {
 	const streams, rounds = 8, 6
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +43,7 @@
 	go server.Serve(l)
 	t.Cleanup(server.Stop)
 	r := start(t, standin.Options{GRPC: true})
-	r.writesAt(l.Addr().String())
+	r.replaceWriter(l.Addr().String())
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
 	requests := make([]*pb.CompleteRequest, streams)
@@ -66,7 +67,7 @@
 					chunks <- fmt.Sprint(n)
 				}
 				if c, err := call.Recv(); err != nil || c.Content != fmt.Sprint(n) {
-					t.Errorf("%v instead of %d: %v", c, n, err)
+					t.Errorf("got %v, want %d: %v", c, n, err)
 					return
 				}
 			}
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -1,8 +1,6 @@
-// Package grpcfront is the second front: gRPC with token streams, towards clients and towards the
-// model servers that answer by gRPC. This file owns the side of the clients.
-//
-// It must never decide anything about a request, send one again, or hold back a final answer; all
-// of that is the core's. It is off unless an operator's file turns it on.
+// Package grpcfront is the gRPC front: it serves clients by gRPC with token streams, and carries attempts to model servers
+// that speak gRPC. Routing, retries and final answers are the responsibility of package core. The front is off unless the
+// operator's file enables it.
 package grpcfront
 
 import (
@@ -27,68 +25,68 @@
 )
 
 const (
-	maxMessage = 256<<10 + 4<<10 // a body and what names it
-	maxTokens  = 1 << 30
-	maxWait    = 10 * time.Minute
-	firstWord  = 2 * time.Second // a connection is open for calls after this
-	idleTime   = time.Minute     // or without a call for so long is closed
-	maxStreams = 256             // calls on one connection
+	maxMessageBytes   = 256<<10 + 4<<10 // a body of 256 KiB and the other fields
+	maxTokens         = 1 << 30
+	maxFirstTokenWait = 10 * time.Minute
+	handshakeTimeout  = 2 * time.Second // for the handshake of a new connection
+	connIdleTimeout   = time.Minute     // without a call
+	maxStreamsPerConn = 256
 )
 
-// Server serves gRPC clients.
+// Server implements the Completions service for gRPC clients.
 type Server struct {
 	pb.UnimplementedCompletionsServer
-	// Over ends when streams that still run are handed over: they break, and their clients ask another router
-	// for the rest. nil: never. Set before serving.
-	Over    context.Context
-	core    *core.Core
-	workers *Workers
-	http    *httpfront.Workers
-	classes map[string]int
-	log     *slog.Logger
-	open    chan struct{} // bounds the calls that are open at once
+	// HandOver, if not nil, ends when running streams are to be handed over: they break with DATA_LOSS, and their clients
+	// ask another router for the rest. It must be set before serving.
+	Over      context.Context
+	core      *core.Core
+	workers   *Workers
+	http      *httpfront.Workers
+	classes   map[string]int
+	log       *slog.Logger
+	openCalls chan struct{} // one element per open call
 }
 
-// NewServer returns a Server of the classes with the given names; at most maxOpen calls are open at once.
+// NewServer returns a Server for the named request classes. Calls beyond maxOpen open ones are refused.
 func NewServer(c *core.Core, w *Workers, h *httpfront.Workers, classNames []string, maxOpen int, log *slog.Logger) *Server {
-	s := &Server{core: c, workers: w, http: h, classes: make(map[string]int), log: log, open: make(chan struct{}, maxOpen)}
+	s := &Server{core: c, workers: w, http: h, classes: make(map[string]int), log: log, openCalls: make(chan struct{}, maxOpen)}
 	for i, name := range classNames {
 		s.classes[name] = i
 	}
 	return s
 }
 
-// Bounds are the limits of a server towards clients that say nothing, stand idle or send too much.
+// ServerLimits returns options that bound message sizes, headers, idle connections and concurrent streams of a gRPC server.
 func Bounds(message int) []grpc.ServerOption {
-	return []grpc.ServerOption{grpc.MaxRecvMsgSize(message), grpc.MaxHeaderListSize(maxHeads),
-		grpc.ConnectionTimeout(firstWord), grpc.MaxConcurrentStreams(maxStreams),
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTime})}
+	return []grpc.ServerOption{grpc.MaxRecvMsgSize(message), grpc.MaxHeaderListSize(maxHeaderBytes),
+		grpc.ConnectionTimeout(handshakeTimeout), grpc.MaxConcurrentStreams(maxStreamsPerConn),
+		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: connIdleTimeout})}
 }
 
 // GRPC returns a gRPC server with this front's service registered.
 func (s *Server) GRPC() *grpc.Server {
-	g := grpc.NewServer(append(Bounds(maxMessage), grpc.StreamInterceptor(s.guard))...)
+	g := grpc.NewServer(append(Bounds(maxMessageBytes), grpc.StreamInterceptor(s.recoverPanic))...)
 	pb.RegisterCompletionsServer(g, s)
 	return g
 }
 
-// guard ends a call that panicked with a failure, not the router.
-func (s *Server) guard(srv any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) (err error) {
+// recoverPanic is a stream interceptor that fails a call whose handler panics, instead of ending the router.
+func (s *Server) recoverPanic(srv any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, handler grpc.StreamHandler) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			s.log.Error("call panicked", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 			err = status.Error(codes.Internal, "failed")
 		}
 	}()
-	return next(srv, ss)
+	return handler(srv, ss)
 }
 
-// Complete implements the service: one request, one final answer.
+// Complete implements pb.CompletionsServer. Each request gets exactly one final status.
 func (s *Server) Complete(req *pb.CompleteRequest, out grpc.ServerStreamingServer[pb.Chunk]) error {
 	select {
-	case s.open <- struct{}{}:
-		defer func() { <-s.open }()
-	default: // guards the memory limit; nothing has run
+	case s.openCalls <- struct{}{}:
+		defer func() { <-s.openCalls }()
+	default: // bounds memory; nothing has run
 		return refusal(codes.ResourceExhausted, "too many calls are open", s.core.Busy())
 	}
 	q, err := s.parse(out.Context(), req)
@@ -96,11 +94,11 @@
 		s.log.Info("bad request", "err", err)
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
-	free, ok := s.core.Claim(req.Id)
-	if !ok { // the first request with it goes on untouched
+	releaseID, ok := s.core.Claim(req.Id)
+	if !ok { // the earlier request with this id is not affected
 		return status.Errorf(codes.AlreadyExists, "id: %q is open already", req.Id)
 	}
-	defer free()
+	defer releaseID()
 	q.Kept = s.core.Kept(func() (text []byte) {
 		for _, m := range req.Messages {
 			text = append(text, m.Content...)
@@ -116,30 +114,30 @@
 	case core.Gone:
 		return status.FromContextError(context.Cause(out.Context())).Err()
 	}
-	// Not UNAVAILABLE, DEADLINE_EXCEEDED or ABORTED: clients and meshes send those again by
-	// themselves, and the request may have had its effect.
+	// Not UNAVAILABLE, DEADLINE_EXCEEDED or ABORTED: clients and service meshes retry those automatically, and the request
+	// may have had its effect.
 	return status.Error(codes.Internal, "failed, it may have run")
 }
 
-// refusal is a status that invites the client to come back, and says when.
+// refusal returns a status error with a RetryInfo detail that tells the client when to retry.
 func refusal(code codes.Code, text string, after time.Duration) error {
 	st := status.New(code, text)
-	if with, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)}); err == nil {
-		st = with
+	if detailed, err := st.WithDetails(&errdetails.RetryInfo{RetryDelay: durationpb.New(after)}); err == nil {
+		st = detailed
 	}
 	return st.Err()
 }
 
-// relay passes a worker's stream on, chunk by chunk.
-func relay(a core.Answer, out grpc.ServerStreamingServer[pb.Chunk], over context.Context) error {
-	from := a.Stream.(chunks)
-	defer from.Close()
+// relay forwards a worker's stream to the client, chunk by chunk, and reports its end to the core.
+func relay(a core.Answer, out grpc.ServerStreamingServer[pb.Chunk], handOver context.Context) error {
+	stream := a.Stream.(chunkStream)
+	defer stream.Close()
 	for first := true; ; first = false {
-		if !first && over != nil && over.Err() != nil {
+		if !first && handOver != nil && handOver.Err() != nil {
 			a.Ended(decide.Cancelled)
 			return status.Error(codes.DataLoss, "the router ends, ask for the rest")
 		}
-		c, err := from.Recv()
+		c, err := stream.Recv()
 		switch {
 		case err == io.EOF:
 			a.Ended(decide.Served)
@@ -158,7 +156,7 @@
 	}
 }
 
-// parse reads the values that decisions rest on.
+// parse validates a request and returns what routing decisions depend on.
 func (s *Server) parse(ctx context.Context, r *pb.CompleteRequest) (decide.Request, error) {
 	var q decide.Request
 	class, ok := s.classes[r.Class]
@@ -175,7 +173,7 @@
 	}
 	left := r.FirstTokenWithin.AsDuration()
 	if r.FirstTokenWithin == nil {
-		left = maxWait
+		left = maxFirstTokenWait
 	}
 	if end, ok := ctx.Deadline(); ok {
 		left = min(left, time.Until(end))
@@ -183,7 +181,7 @@
 		return q, fmt.Errorf("first_token_within: missing, and the call has no deadline")
 	}
 	hint := r.Estimate.AsDuration()
-	if left < 0 || left > maxWait || hint < 0 || hint > time.Hour {
+	if left < 0 || left > maxFirstTokenWait || hint < 0 || hint > time.Hour {
 		return q, fmt.Errorf("first_token_within or estimate: out of range")
 	}
 	return decide.Request{Label: r.Id, Class: class, TimeLeft: left, Session: r.Session, Prefix: r.Prefix, Prompt: int(r.PromptTokens),
--- a/internal/grpcfront/front_test.go
+++ b/internal/grpcfront/front_test.go
@@ -33,14 +33,14 @@
 	"rowanyard/internal/wire"
 )
 
-// router is a whole router in this process, with both fronts before one core.
+// router is a complete router in the test process, with an HTTP and a gRPC front on one core.
 type router struct {
-	fleet *standin.Fleet
-	core  *core.Core
-	grpc  pb.CompletionsClient
-	http  string
-	ids   atomic.Int64
-	over  context.CancelFunc // hands the streams over
+	fleet    *standin.Fleet
+	core     *core.Core
+	grpc     pb.CompletionsClient
+	http     string
+	ids      atomic.Int64
+	handOver context.CancelFunc // hands running streams over
 }
 
 func start(t testing.TB, o standin.Options) *router {
@@ -75,9 +75,9 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
 	grpcFront := grpcfront.NewServer(c, gw, hw, site.ClassNames, 200, log)
-	over, handOver := context.WithCancel(context.Background())
-	t.Cleanup(handOver)
-	grpcFront.Over = over
+	handOver, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	grpcFront.Over = handOver
 	server := grpcFront.GRPC()
 	go server.Serve(l)
 	t.Cleanup(server.Stop)
@@ -89,7 +89,7 @@
 	front.Bridges = map[string]httpfront.Bridge{grpcfront.Wire: gw.Bridge}
 	plain := httptest.NewServer(front)
 	t.Cleanup(plain.Close)
-	return &router{fleet: fleet, core: c, grpc: pb.NewCompletionsClient(conn), http: plain.URL, over: handOver}
+	return &router{fleet: fleet, core: c, grpc: pb.NewCompletionsClient(conn), http: plain.URL, handOver: cancel}
 }
 
 func (r *router) request(class, key string, within time.Duration) *pb.CompleteRequest {
@@ -98,7 +98,7 @@
 		MaxOutputTokens: 10, FirstTokenWithin: durationpb.New(within), Messages: []*pb.Message{{Role: "user", Content: key}}}
 }
 
-// complete makes one call and returns its text and its one final status.
+// complete makes one call and returns the text and the final status.
 func (r *router) complete(ctx context.Context, req *pb.CompleteRequest) (string, error) {
 	s, err := r.grpc.Complete(ctx, req)
 	if err != nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// writesAt has another server than the fleet's write.
-func (r *router) writesAt(addr string) {
+// replaceWriter replaces the fleet's writers by the server at addr.
+func (r *router) replaceWriter(addr string) {
 	var workers []core.Worker
 	for i, h := range r.fleet.Hosts() {
 		w := core.Worker{Addr: h.Dial, Wire: grpcfront.Wire, Server: decide.Server{ID: h.Host, Kind: i, Cell: 1}}
@@ -130,27 +130,27 @@
 	r.core.SetWorkers(true, workers)
 }
 
-// settled waits until nothing is left to do for any request.
-func (r *router) settled(t testing.TB) {
+// waitIdle waits until all work for requests has ended, and fails if workers still hold state.
+func (r *router) waitIdle(t testing.TB) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	r.core.Wait(ctx)
 	if ctx.Err() != nil {
-		t.Fatal("requests never settle")
+		t.Fatal("requests do not end")
 	}
 	if n := r.fleet.Held(); n > 0 {
 		t.Errorf("%d states are still held", n)
 	}
 }
 
-func eachWire(t *testing.T, test func(t *testing.T, grpc bool)) {
+func forEachWire(t *testing.T, test func(t *testing.T, grpc bool)) {
 	t.Run("grpc workers", func(t *testing.T) { test(t, true) })
 	t.Run("http workers", func(t *testing.T) { test(t, false) })
 }
 
-func TestTokensFromBothClientsAndBothWorkers(t *testing.T) {
-	eachWire(t, func(t *testing.T, grpc bool) {
+func TestTokensOverEachClientAndWorkerProtocol(t *testing.T) {
+	forEachWire(t, func(t *testing.T, grpc bool) {
 		r := start(t, standin.Options{GRPC: grpc, Tokens: 3})
 		text, err := r.complete(context.Background(), r.request("send-message", "k", time.Second))
 		if text != "t0 t1 t2 " || err != nil {
@@ -172,11 +172,11 @@
 				t.Errorf("http client: %d %v, no %s in %q", res.StatusCode, err, want, body)
 			}
 		}
-		r.settled(t)
+		r.waitIdle(t)
 	})
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryInfo(t *testing.T) {
 	r := start(t, standin.Options{GRPC: true, Behave: func(stage, _ string, _ int) standin.Fault { return standin.TurnAway }})
 	_, err := r.complete(context.Background(), r.request("send-message", "k", 300*time.Millisecond))
 	st := status.Convert(err)
@@ -191,9 +191,9 @@
 	t.Errorf("no RetryInfo in %v", st.Details())
 }
 
-// A client must not be invited to send a message again that may have gone out.
+// A client must not be told to retry a request that may have run.
 func TestFailureThatMayHaveRunInvitesNoRetry(t *testing.T) {
-	eachWire(t, func(t *testing.T, grpc bool) {
+	forEachWire(t, func(t *testing.T, grpc bool) {
 		for _, f := range []standin.Fault{standin.ResetEarly, standin.Error, standin.Hang} {
 			r := start(t, standin.Options{GRPC: grpc, Writers: 2, Behave: func(stage, _ string, _ int) standin.Fault {
 				if stage == "write" {
@@ -208,31 +208,31 @@
 			if n := r.fleet.Calls("write", "k"); n != 1 {
 				t.Errorf("fault %d: written %d times", f, n)
 			}
-			r.settled(t)
+			r.waitIdle(t)
 		}
 	})
 }
 
-func TestBadRequestsAreToldAndNeverSent(t *testing.T) {
+func TestBadRequestsAreRejectedAndNeverSent(t *testing.T) {
 	r := start(t, standin.Options{GRPC: true})
-	for _, spoil := range []func(*pb.CompleteRequest){
+	for _, corrupt := range []func(*pb.CompleteRequest){
 		func(q *pb.CompleteRequest) { q.Id = "a/b" }, func(q *pb.CompleteRequest) { q.Class = "none" },
 		func(q *pb.CompleteRequest) { q.PromptTokens = -1 }, func(q *pb.CompleteRequest) { q.FirstTokenWithin = nil },
 		func(q *pb.CompleteRequest) { q.Estimate = durationpb.New(-1) },
 	} {
 		req := r.request("draft-reply", "bad", time.Second)
-		spoil(req)
+		corrupt(req)
 		if _, err := r.complete(context.Background(), req); status.Code(err) != codes.InvalidArgument {
 			t.Error(err)
 		}
 	}
 	if n := r.fleet.Calls("read", "bad"); n != 0 {
-		t.Errorf("%d were sent", n)
+		t.Errorf("%d attempts were sent", n)
 	}
 }
 
-func TestClientThatCancelsMidStreamGetsOneFinalAnswer(t *testing.T) {
-	eachWire(t, func(t *testing.T, grpc bool) {
+func TestClientCancellingMidStreamGetsOneFinalStatus(t *testing.T) {
+	forEachWire(t, func(t *testing.T, grpc bool) {
 		r := start(t, standin.Options{GRPC: grpc, Tokens: 4, Behave: func(stage, _ string, _ int) standin.Fault { return standin.Stop }})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -253,17 +253,17 @@
 		if status.Code(err) != codes.Canceled || finals != 1 {
 			t.Errorf("%d final answers, the last %v", finals, err)
 		}
-		r.settled(t)
+		r.waitIdle(t)
 		if n := r.fleet.Effects()["send-message k"]; n != 1 {
 			t.Errorf("%d effects", n)
 		}
 	})
 }
 
-// The run that the brief asks for: streams reset at random, from a fixed seed, and no send-message
-// may have its effect twice. Clients come back after refusals only, as the protocol lets them.
+// With streams reset at random, from a fixed seed, no send-message may have its effect twice. Clients retry after refusals
+// only, as the protocol allows.
 func TestRandomResetsRepeatNoEffect(t *testing.T) {
-	eachWire(t, func(t *testing.T, grpc bool) {
+	forEachWire(t, func(t *testing.T, grpc bool) {
 		r := start(t, standin.Options{GRPC: grpc, Readers: 3, Writers: 4, Tokens: 4,
 			Behave: standin.Random(7, 0.06, standin.ResetEarly, standin.ResetLate, standin.Error, standin.TurnAway)})
 		const clients, each, tries = 16, 25, 3
@@ -284,7 +284,7 @@
 						if err == nil {
 							served.Add(1)
 							if text != "t0 t1 t2 t3 " {
-								t.Errorf("%s: a stream that is not whole ended well: %q", key, text)
+								t.Errorf("%s: an incomplete stream ended without an error: %q", key, text)
 							}
 						} else {
 							failed.Add(1)
@@ -295,7 +295,7 @@
 			})
 		}
 		all.Wait()
-		r.settled(t)
+		r.waitIdle(t)
 		for key, n := range r.fleet.Effects() {
 			if n > 1 && strings.HasPrefix(key, "send-message ") {
 				t.Errorf("%s ran %d times", key, n)
@@ -303,14 +303,14 @@
 		}
 		t.Logf("%d calls: %d served, %d refused, %d failed", finals.Load(), served.Load(), refused.Load(), failed.Load())
 		if served.Load() < clients*each/2 || failed.Load() == 0 {
-			t.Error("the run did not meet what it is for")
+			t.Error("too few requests served, or none failed: the run proves nothing")
 		}
 	})
 }
 
-// Guards against grpc-go's own "transparent" resend of a call that a server says it has not
-// processed: the server here reads the whole call, then claims that.
-func TestRefusedStreamIsNotSentAgainByTheLibrary(t *testing.T) {
+// grpc-go resends a call "transparently" if the server claims not to have processed it. The server here reads the whole call
+// before it claims so: the call must not be resent.
+func TestRefusedStreamIsNotResentByGRPC(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -342,15 +342,15 @@
 		}
 	}()
 	r := start(t, standin.Options{GRPC: true})
-	r.writesAt(l.Addr().String())
+	r.replaceWriter(l.Addr().String())
 	_, err = r.complete(context.Background(), r.request("send-message", "k", time.Second))
 	if status.Code(err) != codes.Internal || calls.Load() != 1 {
 		t.Errorf("the writer was called %d times: %v", calls.Load(), err)
 	}
 }
 
-// A stream that would run into the kill after a SIGTERM breaks in a way that lets its client ask for the rest,
-// after something of it has passed.
+// A stream that would still run at the kill after SIGTERM breaks, after some chunks, with a status that lets its client ask
+// another router for the rest.
 func TestStreamsAreHandedOver(t *testing.T) {
 	r := start(t, standin.Options{GRPC: true, Tokens: 1000, TokenTime: 20 * time.Millisecond})
 	ctx, stop := context.WithTimeout(context.Background(), 15*time.Second)
@@ -362,7 +362,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.over()
+	r.handOver()
 	for err == nil {
 		_, err = s.Recv()
 	}
--- a/internal/grpcfront/silence_test.go
+++ b/internal/grpcfront/silence_test.go
@@ -11,9 +11,9 @@
 	"rowanyard/internal/standin"
 )
 
-// All calls to a model server share one connection. Once that has fallen silent with no error, a call that is left unanswered
-// has the next one made on a new connection.
-func TestASilentConnectionIsReplaced(t *testing.T) {
+// All calls to a model server share one connection. If it goes silent without an error, a call that times out makes the next
+// one use a new connection.
+func TestSilentConnectionIsReplaced(t *testing.T) {
 	var proxy *faultproxy.Proxy
 	fleet, err := standin.Start(standin.Options{GRPC: true, Via: func(host, address string) string {
 		if host != "writer-1" {
@@ -47,6 +47,6 @@
 		t.Fatal("answered on a silent connection")
 	}
 	if err := probe(long); err != nil {
-		t.Errorf("the call after it: %v", err)
+		t.Errorf("call after the timeout: %v", err)
 	}
 }
--- a/internal/grpcfront/workers.go
+++ b/internal/grpcfront/workers.go
@@ -1,8 +1,7 @@
 package grpcfront
 
-// This file owns the connections to model servers that speak gRPC: attempts, releases and probes.
-// What comes back is turned into the core's outcomes here. It must never send an attempt a second
-// time on its own, nor let grpc-go do so.
+// Connections to model servers that speak gRPC: attempts, releases and probes, and the translation of their outcomes for the
+// core. Nothing here sends an attempt twice, and grpc-go is kept from doing so.
 
 import (
 	"context"
@@ -26,49 +25,49 @@
 	"rowanyard/internal/httpfront"
 )
 
-// Wire is the name of gRPC in a core.Worker.
+// Wire marks workers that speak gRPC in a core.Worker.
 const Wire = "grpc"
 
-// TurnedAway is the trailer of a call that was turned away before it ran.
+// TurnedAwayTrailer is the trailer by which a model server marks a call that it rejected before running it.
 const TurnedAway = "rowanyard-turned-away"
 
 const (
-	idleShare  = 0.6 // connections go idle after this share of the servers' limit
-	maxChunk   = 256 << 10
-	maxHeads   = 16 << 10
-	connKept   = time.Minute // a connection without a call for so long may be closed
-	backoffMin = 100 * time.Millisecond
-	backoffMax = time.Second
+	idleTimeoutShare  = 0.6 // of the servers' limit on idle connections
+	maxChunkBytes     = 256 << 10
+	maxHeaderBytes    = 16 << 10
+	unusedConnTimeout = time.Minute // without a call
+	backoffMin        = 100 * time.Millisecond
+	backoffMax        = time.Second
 
-	shortestWait = time.Millisecond // that a server is told, where less is left
+	minWait = time.Millisecond // the least that a server is told
 )
 
-// Workers holds one connection to each model server that speaks gRPC.
+// Workers holds one connection to each model server that speaks gRPC. It is safe for concurrent use.
 type Workers struct {
-	connect time.Duration
-	idle    time.Duration
-	dialer  func(ctx context.Context, addr string) (net.Conn, error) // the system's, but for tests
-	mu      sync.Mutex
-	conns   map[string]*server
+	connectTimeout time.Duration
+	idleTimeout    time.Duration
+	dialer         func(ctx context.Context, addr string) (net.Conn, error) // replaced in tests
+	mu             sync.Mutex
+	conns          map[string]*serverConn
 }
 
-// server is the connection to one model server.
-type server struct {
+// serverConn is the connection to one model server.
+type serverConn struct {
 	*grpc.ClientConn
-	calls   int       // under way
-	used    time.Time // when the latest one ended
-	retired bool      // it has fallen silent: it is closed after its last call
+	activeCalls int       // calls that use the connection now
+	lastUsed    time.Time // when the latest call ended
+	retired     bool      // replaced by a new connection, closed after its last call
 }
 
-// NewWorkers returns a client.
+// NewWorkers returns Workers without connections. connIdle is the time after which servers close idle connections.
 func NewWorkers(connectTimeout, connIdle time.Duration) *Workers {
-	return &Workers{connect: connectTimeout, idle: time.Duration(idleShare * float64(connIdle)), conns: make(map[string]*server),
+	return &Workers{connectTimeout: connectTimeout, idleTimeout: time.Duration(idleTimeoutShare * float64(connIdle)), conns: make(map[string]*serverConn),
 		dialer: func(ctx context.Context, addr string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "tcp", addr)
 		}}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (w *Workers) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,66 +76,65 @@
 	}
 }
 
-// conn returns the connection to a server, for one call that ends with done. Connections that have had no
-// call for connKept are closed: servers come and go under new addresses for as long as the router runs.
+// conn returns the connection to a server for one call; the caller calls done when the call has ended. Connections that have
+// had no call for unusedConnTimeout are closed, because servers come and go under new addresses while the router runs.
 func (w *Workers) conn(addr string) (conn *grpc.ClientConn, done func(), err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.conns[addr]
 	if s == nil {
-		for old, o := range w.conns {
-			if o.calls == 0 && time.Since(o.used) > connKept {
-				o.Close()
-				delete(w.conns, old)
+		for otherAddr, other := range w.conns {
+			if other.activeCalls == 0 && time.Since(other.lastUsed) > unusedConnTimeout {
+				other.Close()
+				delete(w.conns, otherAddr)
 			}
 		}
 		c, err := w.dial(addr)
 		if err != nil {
 			return nil, nil, err
 		}
-		s = &server{ClientConn: c}
+		s = &serverConn{ClientConn: c}
 		w.conns[addr] = s
 	}
-	s.calls++
+	s.activeCalls++
 	return s.ClientConn, sync.OnceFunc(func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		s.calls, s.used = s.calls-1, time.Now()
-		if s.retired && s.calls == 0 {
+		s.activeCalls, s.lastUsed = s.activeCalls-1, time.Now()
+		if s.retired && s.activeCalls == 0 {
 			s.Close()
 		}
 	}), nil
 }
 
-// retire has the next call to a server made on a new connection. Guards against one that has fallen silent with no error: all
-// calls share it, and the kernel tells after a quarter of an hour.
+// retire makes the next call to a server use a new connection. All calls share one connection: if it has gone silent without an
+// error, they would fail until the kernel reports the loss after a quarter of an hour.
 func (w *Workers) retire(addr string, conn *grpc.ClientConn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s := w.conns[addr]; s != nil && s.ClientConn == conn {
-		s.retired = true // the caller's own call is among those under way
+		s.retired = true // the caller's own call still counts as active
 		delete(w.conns, addr)
 	}
 }
 
 func (w *Workers) dial(addr string) (*grpc.ClientConn, error) {
-	return grpc.NewClient("passthrough:///"+addr, // there is no DNS
+	return grpc.NewClient("passthrough:///"+addr, // addresses are not names to resolve
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithContextDialer(w.dialer),
 		grpc.WithDisableServiceConfig(),
-		// Guards against a second send that nobody decided on. DisableRetry leaves "transparent"
-		// retries on; a call whose message is out is committed, and so never retried, where nothing
-		// of it may be buffered.
+		// No call may be sent twice unless the core decides so. DisableRetry leaves "transparent" retries on; with a retry
+		// buffer of size 0, a call is committed once its message has been sent, and so is never retried.
 		grpc.WithDisableRetry(),
-		grpc.WithDefaultCallOptions(grpc.MaxRetryRPCBufferSize(0), grpc.MaxCallRecvMsgSize(maxChunk)),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: w.connect,
+		grpc.WithDefaultCallOptions(grpc.MaxRetryRPCBufferSize(0), grpc.MaxCallRecvMsgSize(maxChunkBytes)),
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: w.connectTimeout,
 			Backoff: backoff.Config{BaseDelay: backoffMin, Multiplier: 1.6, Jitter: 0.2, MaxDelay: backoffMax}}),
-		grpc.WithMaxHeaderListSize(maxHeads),
-		grpc.WithIdleTimeout(w.idle))
+		grpc.WithMaxHeaderListSize(maxHeaderBytes),
+		grpc.WithIdleTimeout(w.idleTimeout))
 }
 
-// chunks is a stream of an answer. Recv returns io.EOF at its good end.
-type chunks interface {
+// chunkStream is the stream of an answer. Recv returns io.EOF after its regular end.
+type chunkStream interface {
 	Recv() (*pb.Chunk, error)
 	Close() error
 }
@@ -145,14 +143,14 @@
 type exchange struct {
 	workers *Workers
 	req     *pb.CompleteRequest
-	http    core.Carrier // for servers that speak HTTP, may be nil
+	http    core.Carrier // for servers that speak HTTP; nil if there is none
 }
 
 func (s *Server) exchange(req *pb.CompleteRequest) *exchange {
 	return &exchange{workers: s.workers, req: req, http: overHTTP(s.http, req)}
 }
 
-var errConnect = errors.New("no connection in time")
+var errConnectTimeout = errors.New("connection not established in time")
 
 // Try implements core.Carrier.
 func (x *exchange) Try(ctx context.Context, a core.Attempt) core.Result {
@@ -169,73 +167,73 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := func(why error) { cancel(why); done() }
-	up := time.AfterFunc(x.workers.connect, func() { cancel(errConnect) })
+	connectTimer := time.AfterFunc(x.workers.connectTimeout, func() { cancel(errConnectTimeout) })
 	call, err := conn.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true}, method)
-	if !up.Stop() && err == nil {
-		err = errConnect
+	if !connectTimer.Stop() && err == nil {
+		err = errConnectTimeout
 	}
 	switch {
-	case err != nil && (ctx.Err() == nil || errors.Is(context.Cause(ctx), errConnect)):
+	case err != nil && (ctx.Err() == nil || errors.Is(context.Cause(ctx), errConnectTimeout)):
 		stop(nil)
 		return core.Result{Status: decide.ConnectFailed, Err: err}
-	case err != nil || !a.Allowed(): // called off, or the server began to drain: nothing is out
+	case err != nil || !a.Allowed(): // cancelled, or the server has started to drain: nothing was sent
 		stop(nil)
 		return core.Result{Status: decide.Moot, Err: err}
 	}
-	if a.Verify { // probes go on the same connection: one that is answered shows that it is alive
+	if a.Verify { // probes use the same connection, so an answered probe shows that it is alive
 		a.Verified()
 	}
-	// Only now: the connection may have taken up to the connect timeout to come up.
-	msg := &pb.WorkRequest{Request: x.req, Wait: durationpb.New(max(shortestWait, a.Remaining()))}
+	// Computed here and not earlier, because the connection may have taken up to the connect timeout to be established.
+	msg := &pb.WorkRequest{Request: x.req, Wait: durationpb.New(max(minWait, a.Remaining()))}
 	if err := call.SendMsg(msg); err != nil {
-		// An error here is io.EOF where the server has ended the call, by then it may have run.
-		return x.failure(ctx, a, stop, call, call.RecvMsg(&pb.Chunk{}))
+		// The error is io.EOF if the server has ended the call. The request may have run by then.
+		return x.failedResult(ctx, a, stop, call, call.RecvMsg(&pb.Chunk{}))
 	}
 	_ = call.CloseSend()
 	if read {
 		var reply pb.ReadReply
 		if err := call.RecvMsg(&reply); err != nil {
-			return x.failure(ctx, a, stop, call, err)
+			return x.failedResult(ctx, a, stop, call, err)
 		}
 		stop(nil)
 		return core.Result{Status: decide.Read, Kept: int(min(max(0, reply.CachedTokens), maxTokens))}
 	}
 	first := new(pb.Chunk)
 	if err := call.RecvMsg(first); err != nil {
-		return x.failure(ctx, a, stop, call, err)
+		return x.failedResult(ctx, a, stop, call, err)
 	}
 	s := &tokenStream{call: call, first: first, stop: stop}
-	s.stall = time.AfterFunc(time.Hour, func() { cancel(errors.New("the stream fell silent")) })
-	s.stall.Stop()
+	s.stallTimer = time.AfterFunc(time.Hour, func() { cancel(errors.New("no chunk on the stream within the stall limit")) })
+	s.stallTimer.Stop()
 	return core.Result{Stream: s}
 }
 
-// failure names the end of a call whose message may have reached the server.
-func (x *exchange) failure(ctx context.Context, a core.Attempt, stop context.CancelCauseFunc, call grpc.ClientStream, err error) core.Result {
-	called := ctx.Err() != nil
+// failedResult classifies the end of a call whose message may have reached the server.
+func (x *exchange) failedResult(ctx context.Context, a core.Attempt, stop context.CancelCauseFunc, call grpc.ClientStream, err error) core.Result {
+	cancelled := ctx.Err() != nil
 	stop(nil)
 	res := core.Result{Status: decide.Errored, Err: err}
 	code := status.Code(err)
-	away := len(metadata.MD(call.Trailer()).Get(TurnedAway)) > 0
+	turnedAway := len(metadata.MD(call.Trailer()).Get(TurnedAway)) > 0
 	switch {
-	case away && code == codes.FailedPrecondition:
+	case turnedAway && code == codes.FailedPrecondition:
 		return core.Result{Status: decide.Full, NoState: true}
-	case away && (code == codes.Unavailable || code == codes.ResourceExhausted):
+	case turnedAway && (code == codes.Unavailable || code == codes.ResourceExhausted):
 		res.Status = decide.Full
-	case called:
-		x.settle(a)
+	case cancelled:
+		x.awaitCancellation(a)
 		res.Status = decide.Cancelled
 	case code == codes.Unavailable || code == codes.Canceled || errors.Is(err, io.EOF):
 		res.Status = decide.Reset
 	case err == nil:
-		res.Err = errors.New("an answer where none was due")
+		res.Err = errors.New("an answer where none is expected")
 	}
 	return res
 }
 
-// settle waits until the server has seen the end of a call that was called off: a call that was made behind it on the same
-// connection has been answered, or the connection has ended.
-func (x *exchange) settle(a core.Attempt) {
+// awaitCancellation waits until the server has seen the cancellation of a call: a later call on the same connection has been
+// answered, or the connection has ended. It waits for at most the attempt's limit.
+func (x *exchange) awaitCancellation(a core.Attempt) {
 	if a.Settle <= 0 {
 		return
 	}
@@ -276,13 +274,13 @@
 		return decide.Probed{}, err
 	}
 	p := decide.Probed{Queue: -1, Tokens: -1}
-	if r.Queue != nil && *r.Queue >= 0 && *r.Queue <= maxTokens { // what makes no sense is not told
+	if r.Queue != nil && *r.Queue >= 0 && *r.Queue <= maxTokens { // an implausible value counts as not reported
 		p.Queue = *r.Queue
 	}
 	return p, nil
 }
 
-// Prober asks each worker for its load in the way that it speaks.
+// Prober is a core.Prober that asks each worker for its load by the worker's own protocol.
 type Prober struct {
 	HTTP, GRPC core.Prober
 }
@@ -295,22 +293,22 @@
 	return p.HTTP.Probe(ctx, at)
 }
 
-// tokenStream is a model server's answer from its first chunk on.
+// tokenStream is a model server's answer, starting with its first chunk. It is a chunkStream.
 type tokenStream struct {
-	call  grpc.ClientStream
-	first *pb.Chunk
-	stop  context.CancelCauseFunc
-	stall *time.Timer
+	call       grpc.ClientStream
+	first      *pb.Chunk
+	stop       context.CancelCauseFunc
+	stallTimer *time.Timer
 }
 
-// Recv returns the next chunk. A server that says nothing for httpfront.StallLimit is taken for gone.
+// Recv returns the next chunk. It fails if the server sends nothing for httpfront.StallLimit.
 func (s *tokenStream) Recv() (*pb.Chunk, error) {
 	if c := s.first; c != nil {
 		s.first = nil
 		return c, nil
 	}
-	s.stall.Reset(httpfront.StallLimit)
-	defer s.stall.Stop()
+	s.stallTimer.Reset(httpfront.StallLimit)
+	defer s.stallTimer.Stop()
 	c := new(pb.Chunk)
 	if err := s.call.RecvMsg(c); err != nil {
 		return nil, err
@@ -320,7 +318,7 @@
 
 // Close ends the call.
 func (s *tokenStream) Close() error {
-	s.stall.Stop()
+	s.stallTimer.Stop()
 	s.stop(nil)
 	return nil
 }
