--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts Router instances on the simulator's wire: batches on
-// standard input, one flushed reply a batch on standard output.
+// Command simhost runs router instances for the simulator. It reads batches of events from standard input and writes the
+// resulting actions of each batch to standard output before it reads the next one; see package wire for the format.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run answers each batch of in on out until the input ends or is malformed.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	h := host{routers: make(map[string]*decide.Router)}
@@ -41,13 +41,13 @@
 	}
 }
 
-// host keeps the instances; they share nothing but the output.
+// host holds the router instances, by name. They share only the output.
 type host struct {
 	writer  wire.Writer
 	routers map[string]*decide.Router
 }
 
-// handle gives one event to its instance; a panic becomes a fault report.
+// handle passes an event to its instance. A panic is reported as a failure of that instance.
 func (h *host) handle(now time.Duration, ev wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -68,11 +68,12 @@
 		return
 	}
 	if r := h.routers[ev.Front]; r != nil {
-		deliver(r, now, ev.Body)
+		dispatch(r, now, ev.Body)
 	}
 }
 
-func deliver(r *decide.Router, now time.Duration, body any) {
+// dispatch calls the method of r that takes an event of body's type.
+func dispatch(r *decide.Router, now time.Duration, body any) {
 	switch e := body.(type) {
 	case decide.ServerList:
 		r.Servers(now, e)
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestRunEndsOnBadInput(t *testing.T) {
+func TestRunStopsOnMalformedInput(t *testing.T) {
 	var out bytes.Buffer
 	err := run(strings.NewReader("tick 10 1\nring front_0\neof_batch\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "batch 1, line 2") || strings.Contains(err.Error(), "\n") {
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestBadSettingsBecomeAFault(t *testing.T) {
+func TestBadSettingsAreReportedAsFailure(t *testing.T) {
 	var out bytes.Buffer
 	in := "tick 10 1\nhello front_0 5 {\"me\":3,\"n_instances\":1}\neof_batch\n"
 	if err := run(strings.NewReader(in), &out); err != nil || !strings.Contains(out.String(), "bail_out front_0") {
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -10,23 +10,23 @@
 	"rowanyard/decide"
 )
 
-// fields takes a line apart, one value at a time, and keeps the first error.
-type fields struct {
-	rest string
-	more bool
-	err  error
+// fieldParser splits a line into space-separated values, read one at a time, and keeps the first error.
+type fieldParser struct {
+	rest string // the unread part of the line
+	more bool   // whether another value follows
+	err  error  // the first error
 }
 
-func newFields(line string) *fields { return &fields{rest: line, more: true} }
+func newFieldParser(line string) *fieldParser { return &fieldParser{rest: line, more: true} }
 
-func (f *fields) fail(field, why string) {
+func (f *fieldParser) fail(field, reason string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("field %s: %s", field, why)
+		f.err = fmt.Errorf("field %s: %s", field, reason)
 	}
 }
 
-// word returns the next value, empty when it is absent ("-").
-func (f *fields) word(field string) string {
+// word returns the next value. It is empty where the line marks the value as absent ("-").
+func (f *fieldParser) word(field string) string {
 	if !f.more {
 		f.fail(field, "missing")
 		return ""
@@ -42,22 +42,22 @@
 	return w
 }
 
-// text returns all that is left of the line.
-func (f *fields) text() string {
+// remainder returns the unread part of the line.
+func (f *fieldParser) remainder() string {
 	t := f.rest
 	f.rest, f.more = "", false
 	return t
 }
 
-// end reports the first error, or that values are left over.
-func (f *fields) end() error {
+// end returns the first error. A line with unread values is an error.
+func (f *fieldParser) end() error {
 	if f.err == nil && f.more {
 		f.fail("end of line", fmt.Sprintf("unexpected %q", f.rest))
 	}
 	return f.err
 }
 
-func (f *fields) uint(field string) uint64 {
+func (f *fieldParser) uint(field string) uint64 {
 	w := f.word(field)
 	if w == "" {
 		return 0
@@ -69,7 +69,7 @@
 	return v
 }
 
-func (f *fields) id(field string) decide.RequestID {
+func (f *fieldParser) requestID(field string) decide.RequestID {
 	w := f.word(field)
 	v, err := strconv.ParseUint(w, 10, 64)
 	if err != nil {
@@ -78,7 +78,8 @@
 	return decide.RequestID(v)
 }
 
-func (f *fields) seed(field string) uint64 {
+// seed reads a signed or unsigned 64-bit integer.
+func (f *fieldParser) seed(field string) uint64 {
 	w := f.word(field)
 	if v, err := strconv.ParseInt(w, 10, 64); err == nil {
 		return uint64(v)
@@ -90,7 +91,8 @@
 	return v
 }
 
-func (f *fields) number(field string) float64 {
+// float reads a number of magnitude 1e15 at most.
+func (f *fieldParser) float(field string) float64 {
 	w := f.word(field)
 	if w == "" {
 		return 0
@@ -103,8 +105,8 @@
 	return v
 }
 
-// clock reads whole microseconds.
-func (f *fields) clock(field string) time.Duration {
+// microseconds reads a whole number of microseconds.
+func (f *fieldParser) microseconds(field string) time.Duration {
 	w := f.word(field)
 	if w == "" {
 		return 0
@@ -117,7 +119,8 @@
 	return time.Duration(v) * time.Microsecond
 }
 
-func (f *fields) key(field string) uint64 {
+// hexKey reads a hexadecimal key.
+func (f *fieldParser) hexKey(field string) uint64 {
 	w := f.word(field)
 	if w == "" {
 		return 0
@@ -129,7 +132,7 @@
 	return v
 }
 
-func (f *fields) bool(field string) bool {
+func (f *fieldParser) bool(field string) bool {
 	switch w := f.word(field); w {
 	case "1":
 		return true
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -1,5 +1,5 @@
-// Package wire reads and prints the simulator's line protocol and maps its
-// words to the types of package decide.
+// Package wire reads and writes the simulator's line protocol and translates it to and from the types of package decide.
+// It also parses the JSON settings, which routers inside and outside the simulator share.
 package wire
 
 import (
@@ -14,84 +14,83 @@
 	"rowanyard/decide"
 )
 
-// Batch is what happened at one moment, in order of arrival.
+// Batch holds the events of one moment, in order of arrival.
 type Batch struct {
 	Now    time.Duration
 	Seq    uint64
 	Events []Event
 }
 
-// Event is one thing that an instance is told. Body is one of Hello, Exit,
-// Left, Ring, Ignored, decide.ServerList, decide.Request, decide.Started or
-// decide.Outcome.
+// Event is an input to one router instance. Body is one of InstanceStarted, InstanceStopped, ClientLeft, TimerFired,
+// Ignored, decide.ServerList, decide.Request, decide.Started, decide.Outcome or decide.Probed.
 type Event struct {
 	Front string
 	Body  any
 }
 
 type (
-	// Hello starts an instance.
+	// InstanceStarted starts a router instance. An instance of the same name is replaced.
 	Hello struct {
 		Seed     uint64
 		Settings decide.Settings
 	}
-	// Exit ends an instance.
+	// InstanceStopped ends a router instance.
 	Exit struct{}
-	// Left says that a client is gone.
+	// ClientLeft reports that the client of a request has gone away.
 	Left struct{ ID decide.RequestID }
-	// Ring is a timer come due.
+	// TimerFired reports that a timer is due.
 	Ring struct{ Token uint64 }
-	// Ignored is a well-formed event that no decision rests on.
+	// Ignored stands for a well-formed event that the router doesn't use.
 	Ignored struct{}
 )
 
 var (
-	statuses = map[string]decide.Status{
+	attemptStatuses = map[string]decide.Status{
 		"GOOD": decide.Served, "half_done": decide.Read, "FULL": decide.Full, "BAD": decide.Errored,
 		"LATE": decide.TimedOut, "NOCONN": decide.ConnectFailed, "RST": decide.Reset,
 		"CXL": decide.Cancelled, "NOP": decide.Moot,
 	}
-	states = map[string]decide.ServerState{
+	serverStates = map[string]decide.ServerState{
 		"healthy": decide.Ready, "cordoned": decide.Draining, "deregistered": decide.Gone,
 	}
 )
 
-// Reader reads batches.
+// Reader reads batches of events.
 type Reader struct {
-	in   *bufio.Reader
-	line int
+	in         *bufio.Reader
+	lineNumber int
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16)}
 }
 
-// Next reads one batch. It returns io.EOF at the end of the input between
-// batches; any other error names batch, line and field.
+// Next reads one batch. It returns io.EOF where the input ends between two batches. Any other error says where in the
+// batch it occurred; for input that ends inside a batch it wraps io.ErrUnexpectedEOF.
 func (r *Reader) Next() (Batch, error) {
 	var b Batch
-	r.line = 0
+	r.lineNumber = 0
 	text, err := r.readLine()
 	if errors.Is(err, io.EOF) && text == "" {
 		return b, io.EOF
 	}
 	if err != nil {
-		return b, fmt.Errorf("before a batch: %w", noEOF(err))
+		return b, fmt.Errorf("before a batch: %w", unexpectedEOF(err))
 	}
-	f := newFields(text)
+	f := newFieldParser(text)
 	if f.word("message") != "tick" {
 		return b, fmt.Errorf("line 1: field message: want tick, got %q", text)
 	}
-	b.Now = f.clock("sim_time")
+	b.Now = f.microseconds("sim_time")
 	b.Seq = f.uint("turn")
 	if err := f.end(); err != nil {
 		return b, fmt.Errorf("line 1: %w", err)
 	}
 	for {
-		done, err := r.event(&b)
+		done, err := r.readEvent(&b)
 		if err != nil {
-			return b, fmt.Errorf("batch %d, line %d: %w", b.Seq, r.line, err)
+			return b, fmt.Errorf("batch %d, line %d: %w", b.Seq, r.lineNumber, err)
 		}
 		if done {
 			return b, nil
@@ -99,16 +98,16 @@
 	}
 }
 
-// event reads one event into b, or the end of the batch.
-func (r *Reader) event(b *Batch) (done bool, err error) {
+// readEvent reads one event into b. done reports that the batch has ended instead.
+func (r *Reader) readEvent(b *Batch) (done bool, err error) {
 	text, err := r.readLine()
 	if err != nil {
-		return false, noEOF(err)
+		return false, unexpectedEOF(err)
 	}
 	if text == "eof_batch" {
 		return true, nil
 	}
-	f := newFields(text)
+	f := newFieldParser(text)
 	name := f.word("message")
 	parse, ok := parsers[name]
 	if !ok {
@@ -130,38 +129,39 @@
 
 func (r *Reader) readLine() (string, error) {
 	text, err := r.in.ReadString('\n')
-	r.line++
+	r.lineNumber++
 	if err != nil {
 		return text, err
 	}
 	return strings.TrimSuffix(text, "\n"), nil
 }
 
-func noEOF(err error) error {
+// unexpectedEOF replaces io.EOF by an error that wraps io.ErrUnexpectedEOF. It returns other errors as they are.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return fmt.Errorf("field message: input ends inside a batch: %w", io.ErrUnexpectedEOF)
 	}
 	return err
 }
 
-// parsers read the fields of each message.
-var parsers = map[string]func(*fields, *Reader) any{
-	"hello": hello, "exit": func(*fields, *Reader) any { return Exit{} },
-	"roster_change": roster, "inbound": inbound, "head_received": started, "reply": reply,
-	"left": func(f *fields, _ *Reader) any { return Left{f.id("handle")} },
-	"ring": func(f *fields, _ *Reader) any { return Ring{f.uint("key_back")} },
-	"pong": pong, "whisper": ignore(2), "place_note": ignore(5),
+// parsers maps the name of each message to the function that reads its fields.
+var parsers = map[string]func(*fieldParser, *Reader) any{
+	"hello": parseHello, "exit": func(*fieldParser, *Reader) any { return Exit{} },
+	"roster_change": parseServerList, "inbound": parseRequest, "head_received": parseStarted, "reply": parseOutcome,
+	"left": func(f *fieldParser, _ *Reader) any { return Left{f.requestID("handle")} },
+	"ring": func(f *fieldParser, _ *Reader) any { return Ring{f.uint("key_back")} },
+	"pong": parseProbeResult, "whisper": skipFields(2), "place_note": skipFields(5),
 }
 
-// pong reads a probe's result. One that brings no load is nothing to decide on.
-func pong(f *fields, _ *Reader) any {
-	f.clock("rtt")
+// parseProbeResult reads a probe's result. A failed probe and one that reports no load are Ignored.
+func parseProbeResult(f *fieldParser, _ *Reader) any {
+	f.microseconds("rtt")
 	word := f.word("state_code")
-	if _, ok := statuses[word]; !ok {
+	if _, ok := attemptStatuses[word]; !ok {
 		f.fail("state_code", fmt.Sprintf("unknown word %q", word))
 	}
-	p := decide.Probed{Server: f.word("engine"), Queue: -1, Tokens: -1}
-	told := false
+	result := decide.Probed{Server: f.word("engine"), Queue: -1, Tokens: -1}
+	hasLoad := false
 	for pair := range strings.SplitSeq(f.word("load"), ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		if !ok {
@@ -174,22 +174,22 @@
 		}
 		switch name {
 		case "pending":
-			p.Queue, told = v, true
+			result.Queue, hasLoad = v, true
 		case "x0":
-			p.Held = v
+			result.Held = v
 		case "x1":
-			p.Tokens, told = v*1000, true
+			result.Tokens, hasLoad = v*1000, true
 		}
 	}
-	if !told || word != "GOOD" {
+	if !hasLoad || word != "GOOD" {
 		return Ignored{}
 	}
-	return p
+	return result
 }
 
-// ignore reads over an event's n fields.
-func ignore(n int) func(*fields, *Reader) any {
-	return func(f *fields, _ *Reader) any {
+// skipFields returns a parser that skips the n fields of an event.
+func skipFields(n int) func(*fieldParser, *Reader) any {
+	return func(f *fieldParser, _ *Reader) any {
 		for i := range n {
 			f.word(strconv.Itoa(i + 1))
 		}
@@ -197,9 +197,9 @@
 	}
 }
 
-func hello(f *fields, _ *Reader) any {
+func parseHello(f *fieldParser, _ *Reader) any {
 	h := Hello{Seed: f.seed("entropy")}
-	s, err := parseSettings(f.text())
+	s, err := parseSettings(f.remainder())
 	if err != nil {
 		f.fail("config", err.Error())
 	}
@@ -207,107 +207,107 @@
 	return h
 }
 
-func roster(f *fields, r *Reader) any {
-	var l decide.ServerList
+func parseServerList(f *fieldParser, r *Reader) any {
+	var list decide.ServerList
 	switch form := f.word("form"); form {
 	case "incr":
 	case "total", "warm_copy":
-		l.Whole = true
+		list.Whole = true
 	case "lost":
-		l.Failed = true
+		list.Failed = true
 	default:
 		f.fail("form", fmt.Sprintf("unknown word %q", form))
 	}
 	f.word("stamp")
 	n := f.uint("nodes_list")
 	if f.err != nil {
-		return l
+		return list
 	}
 	for range n {
 		text, err := r.readLine()
 		if err != nil {
-			f.fail("entry", noEOF(err).Error())
-			return l
+			f.fail("entry", unexpectedEOF(err).Error())
+			return list
 		}
-		s, err := entry(text)
+		s, err := parseServer(text)
 		if err != nil {
 			f.fail("entry", err.Error())
-			return l
+			return list
 		}
-		l.Servers = append(l.Servers, s)
+		list.Servers = append(list.Servers, s)
 	}
-	return l
+	return list
 }
 
-func entry(text string) (decide.Server, error) {
-	var s decide.Server
-	f := newFields(text)
+func parseServer(text string) (decide.Server, error) {
+	var server decide.Server
+	f := newFieldParser(text)
 	if w := f.word("message"); w != "entry" {
 		f.fail("message", fmt.Sprintf("want entry, got %q", w))
 	}
-	s.Since = f.clock("since")
+	server.Since = f.microseconds("since")
 	state := f.word("health")
-	known, ok := states[state]
+	known, ok := serverStates[state]
 	if !ok {
 		f.fail("health", fmt.Sprintf("unknown word %q", state))
 	}
-	s.State = known
-	s.Kind = int(f.uint("machine"))
-	s.Cell = int(f.uint("pack"))
-	s.Weight = f.number("share")
-	s.Zone = int(f.uint("region_part"))
-	if s.ID = f.word("engine"); s.ID == "" {
+	server.State = known
+	server.Kind = int(f.uint("machine"))
+	server.Cell = int(f.uint("pack"))
+	server.Weight = f.float("share")
+	server.Zone = int(f.uint("region_part"))
+	if server.ID = f.word("engine"); server.ID == "" {
 		f.fail("engine", "missing")
 	}
-	return s, f.end()
+	return server, f.end()
 }
 
-// Bits of an inbound's state_bits.
+// Bits of the state_bits field of an inbound message.
 const (
-	bitHint    = 1
-	bitRepeat  = 2
-	bitResumed = 16
+	flagHint    = 1
+	flagRepeat  = 2
+	flagResumed = 16
 )
 
-func inbound(f *fields, _ *Reader) any {
-	q := decide.Request{ID: f.id("handle"), Class: int(f.uint("category")), Tenant: int(f.uint("user_group"))}
-	q.Session = f.key("dialogue")
-	q.TimeLeft = f.clock("time_left")
-	hint := f.clock("cost_guess")
-	q.Prefix = f.key("prefix")
-	q.Prompt = int(f.number("prompt_tokens"))
-	q.PrefixLen = int(f.number("prefix_len"))
-	q.MaxOutput = int(f.number("n_max"))
+func parseRequest(f *fieldParser, _ *Reader) any {
+	request := decide.Request{ID: f.requestID("handle"), Class: int(f.uint("category")), Tenant: int(f.uint("user_group"))}
+	request.Session = f.hexKey("dialogue")
+	request.TimeLeft = f.microseconds("time_left")
+	hint := f.microseconds("cost_guess")
+	request.Prefix = f.hexKey("prefix")
+	request.Prompt = int(f.float("prompt_tokens"))
+	request.PrefixLen = int(f.float("prefix_len"))
+	request.MaxOutput = int(f.float("n_max"))
 	bits := f.uint("state_bits")
-	if bits&bitHint != 0 {
-		q.Hint = hint
+	if bits&flagHint != 0 {
+		request.Hint = hint
 	}
-	q.Repeat = bits&bitRepeat != 0
-	q.Resumed = bits&bitResumed != 0
-	return q
+	request.Repeat = bits&flagRepeat != 0
+	request.Resumed = bits&flagResumed != 0
+	return request
 }
 
-func started(f *fields, _ *Reader) any {
-	return decide.Started{ID: f.id("handle"), Attempt: int(f.uint("round_no")),
-		Server: f.word("engine"), Took: f.clock("rtt")}
+func parseStarted(f *fieldParser, _ *Reader) any {
+	return decide.Started{ID: f.requestID("handle"), Attempt: int(f.uint("round_no")),
+		Server: f.word("engine"), Took: f.microseconds("rtt")}
 }
 
-func reply(f *fields, _ *Reader) any {
-	o := decide.Outcome{ID: f.id("handle"), Attempt: int(f.uint("round_no")), Server: f.word("engine")}
+func parseOutcome(f *fieldParser, _ *Reader) any {
+	outcome := decide.Outcome{ID: f.requestID("handle"), Attempt: int(f.uint("round_no")), Server: f.word("engine")}
 	word := f.word("state_code")
-	status, ok := statuses[word]
+	status, ok := attemptStatuses[word]
 	if !ok {
 		f.fail("state_code", fmt.Sprintf("unknown word %q", word))
 	}
-	o.Status = status
-	o.Took = f.clock("rtt")
-	o.Final = f.bool("finished")
+	outcome.Status = status
+	outcome.Took = f.microseconds("rtt")
+	outcome.Final = f.bool("finished")
 	info := int(f.uint("info"))
 	if status == decide.Full {
-		o.NoState = info == 1
+		outcome.NoState = info == 1
 	} else {
-		o.Kept = info
+		outcome.Kept = info
 	}
 	f.word("load")
-	return o
+	return outcome
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,23 +9,22 @@
 	"rowanyard/decide"
 )
 
-// config is the part of the start message's JSON that decisions rest on.
-// Unknown keys are skipped.
+// config holds the keys of the settings JSON that a router uses. Unknown keys are ignored.
 type config struct {
-	Me         float64  `json:"me"`
-	Instances  float64  `json:"n_instances"`
-	Zone       float64  `json:"zone"`
-	Tick       float64  `json:"granularity"`
-	Discovery  string   `json:"discovery"`
-	OverShare  float64  `json:"over_share_worth"`
-	Classes    []class  `json:"request_classes"`
-	Parties    []party  `json:"parties"`
-	HostTypes  []string `json:"host_types"`
-	Zones      []string `json:"zones"`
-	Domain     domain   `json:"domain"`
-	Limits     limits   `json:"limits"`
-	Report     report   `json:"report"`
-	ServerRule rules    `json:"rules"`
+	Me        float64  `json:"me"`
+	Instances float64  `json:"n_instances"`
+	Zone      float64  `json:"zone"`
+	Tick      float64  `json:"granularity"`
+	Discovery string   `json:"discovery"`
+	OverShare float64  `json:"over_share_worth"`
+	Classes   []class  `json:"request_classes"`
+	Parties   []tenant `json:"parties"`
+	HostTypes []string `json:"host_types"`
+	Zones     []string `json:"zones"`
+	Domain    domain   `json:"domain"`
+	Limits    limits   `json:"limits"`
+	Report    report   `json:"report"`
+	Rules     rules    `json:"rules"`
 }
 
 type class struct {
@@ -39,7 +38,7 @@
 	Window     float64 `json:"window"`
 }
 
-type party struct {
+type tenant struct {
 	Quota float64 `json:"quota_per_s"`
 }
 
@@ -82,21 +81,23 @@
 	scopes = map[string]decide.Scope{"all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell}
 )
 
-// Site is what a real router reads from the settings beside what decisions rest on: the names on
-// its sockets, in the order of the numbers that package decide uses, and the limits of connections.
+// RouterSettings are the settings of a router outside the simulator: those of package decide, the names that clients,
+// workers and discovery use for classes, kinds and zones, and the limits of connections. Package decide refers to a
+// class, kind or zone by its index in these lists.
 type Site struct {
 	decide.Settings
 	ClassNames, KindNames, ZoneNames []string
 	ConnIdle                         time.Duration
-	Resume                           bool // clients ask for the rest of a stream that broke
+	Resume                           bool // clients may ask for the rest of a stream that broke
 }
 
-// NeedsRestart names the first difference of next from s that a process can't take while it runs with s: what its sockets
-// were made with, and names that stand for numbers. What decisions rest on is for decide.Router.Apply to say.
+// NeedsRestart returns a *decide.RestartError that names the first setting in which next differs from s and which a
+// running process can't change: parameters with which its sockets were created, and the lists of names, whose indices
+// are in use. It returns nil where there is none. Changes of decide.Settings are checked by decide.Router.Apply.
 func (s Site) NeedsRestart(next Site) error {
-	for _, fixed := range []struct {
-		key  string
-		same bool
+	for _, setting := range []struct {
+		key       string
+		unchanged bool
 	}{
 		{"request_classes: names", slices.Equal(s.ClassNames, next.ClassNames)},
 		{"host_types", slices.Equal(s.KindNames, next.KindNames)},
@@ -104,38 +105,38 @@
 		{"limits.conn_idle", s.ConnIdle == next.ConnIdle},
 		{"domain.resume", s.Resume == next.Resume},
 	} {
-		if !fixed.same {
-			return &decide.RestartError{What: fixed.key}
+		if !setting.unchanged {
+			return &decide.RestartError{What: setting.key}
 		}
 	}
 	return nil
 }
 
-// ParseSite reads the settings for a real router.
+// ParseRouterSettings parses the settings JSON for a router outside the simulator.
 func ParseSite(text []byte) (Site, error) {
 	var c config
 	if err := json.Unmarshal(text, &c); err != nil {
 		return Site{}, err
 	}
-	set, err := settings(c)
-	s := Site{Settings: set, KindNames: c.HostTypes, ZoneNames: c.Zones,
+	base, err := toSettings(c)
+	s := Site{Settings: base, KindNames: c.HostTypes, ZoneNames: c.Zones,
 		ConnIdle: micros(c.Limits.ConnIdle), Resume: c.Domain.Resume}
-	for _, k := range c.Classes {
-		s.ClassNames = append(s.ClassNames, k.Name)
+	for _, class := range c.Classes {
+		s.ClassNames = append(s.ClassNames, class.Name)
 	}
 	return s, err
 }
 
-// parseSettings reads the start message's JSON.
+// parseSettings parses the settings JSON of a hello message.
 func parseSettings(text string) (decide.Settings, error) {
 	var c config
 	if err := json.Unmarshal([]byte(text), &c); err != nil {
 		return decide.Settings{}, err
 	}
-	return settings(c)
+	return toSettings(c)
 }
 
-func settings(c config) (decide.Settings, error) {
+func toSettings(c config) (decide.Settings, error) {
 	s := decide.Settings{
 		Front: int(c.Me), Fronts: int(c.Instances), Zone: int(c.Zone),
 		OverShareWorth: c.OverShare,
@@ -143,10 +144,10 @@
 		CanCancel:   c.Limits.Cancelling,
 		CanProbe:    c.Limits.Probing && (slices.Contains(c.Report.Names, "x1") || slices.Contains(c.Report.Names, "pending")),
 		WritersRead: c.Domain.WritersRead,
-		MustAsk:     c.Discovery == "on_request", AskEvery: micros(c.ServerRule.AskEvery),
+		MustAsk:     c.Discovery == "on_request", AskEvery: micros(c.Rules.AskEvery),
 		PinLimit: micros(c.Domain.PinLimit), ConnectTimeout: micros(c.Limits.ConnectTimeout),
-		ColdFrom: c.ServerRule.ColdFrom, ColdFor: micros(c.ServerRule.RampTime),
-		ColdMultiple: c.ServerRule.OverloadFactor, ColdWindow: micros(c.ServerRule.Fall),
+		ColdFrom: c.Rules.ColdFrom, ColdFor: micros(c.Rules.RampTime),
+		ColdMultiple: c.Rules.OverloadFactor, ColdWindow: micros(c.Rules.Fall),
 	}
 	if c.Limits.RetryAfter {
 		s.MaxRetryAfter = micros(c.Limits.MaxRetryAfter)
@@ -155,47 +156,48 @@
 		s.Tenants = append(s.Tenants, decide.Tenant{Quota: p.Quota})
 	}
 	var err error
-	if s.Classes, err = classes(c); err != nil {
+	if s.Classes, err = toClasses(c); err != nil {
 		return s, err
 	}
-	s.Kinds, err = kinds(c)
+	s.Kinds, err = toKinds(c)
 	return s, err
 }
 
-func classes(c config) ([]decide.Class, error) {
-	var all []decide.Class
-	for i, k := range c.Classes {
-		effect, ok := effects[k.Effect]
+func toClasses(c config) ([]decide.Class, error) {
+	var converted []decide.Class
+	for i, class := range c.Classes {
+		effect, ok := effects[class.Effect]
 		if !ok {
-			return nil, fmt.Errorf("request_classes[%d].effect: unknown word %q", i, k.Effect)
+			return nil, fmt.Errorf("request_classes[%d].effect: unknown word %q", i, class.Effect)
 		}
-		scope, ok := scopes[k.DedupScope]
-		if !ok && k.DedupScope != "" {
-			return nil, fmt.Errorf("request_classes[%d].dedup_scope: unknown word %q", i, k.DedupScope)
+		scope, ok := scopes[class.DedupScope]
+		if !ok && class.DedupScope != "" {
+			return nil, fmt.Errorf("request_classes[%d].dedup_scope: unknown word %q", i, class.DedupScope)
 		}
-		all = append(all, decide.Class{
-			Aim: micros(k.Target), AimPer1000: micros(at(c.Domain.AimPer1000, i)),
-			Deadline: micros(k.HardLimit), TokenAim: micros(at(c.Domain.TokenAim, i)),
-			Worth: k.Credit, LateWorth: k.LateValue, Effect: effect, Scope: scope,
-			RepeatWindow: micros(k.Window),
+		converted = append(converted, decide.Class{
+			Aim: micros(class.Target), AimPer1000: micros(elementOrZero(c.Domain.AimPer1000, i)),
+			Deadline: micros(class.HardLimit), TokenAim: micros(elementOrZero(c.Domain.TokenAim, i)),
+			Worth: class.Credit, LateWorth: class.LateValue, Effect: effect, Scope: scope,
+			RepeatWindow: micros(class.Window),
 		})
 	}
-	return all, nil
+	return converted, nil
 }
 
-func kinds(c config) ([]decide.Kind, error) {
-	var all []decide.Kind
-	for i, word := range c.Domain.KindRole {
-		role, ok := roles[word]
+func toKinds(c config) ([]decide.Kind, error) {
+	var converted []decide.Kind
+	for i, name := range c.Domain.KindRole {
+		role, ok := roles[name]
 		if !ok {
-			return nil, fmt.Errorf("kind_role[%d]: unknown word %q", i, word)
+			return nil, fmt.Errorf("kind_role[%d]: unknown word %q", i, name)
 		}
-		all = append(all, decide.Kind{Role: role, MemoryTokens: int(at(c.Domain.KVTokens, i))})
+		converted = append(converted, decide.Kind{Role: role, MemoryTokens: int(elementOrZero(c.Domain.KVTokens, i))})
 	}
-	return all, nil
+	return converted, nil
 }
 
-func at(list []float64, i int) float64 {
+// elementOrZero returns list[i], or 0 where the list is shorter.
+func elementOrZero(list []float64, i int) float64 {
 	if i < len(list) {
 		return list[i]
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,11 +19,13 @@
 	`"pin_limit":400000,"token_aim":[60000.0],"writers_read":true},"limits":{"cancelling":true,"send_cap":5},` +
 	`"rules":{"ask_every":9000000,"cold_from":0.3,"fall":2000000,"overload_factor":2.5,"ramp_time":11000000}}`
 
+// batch returns the text of a batch of the lines.
 func batch(lines ...string) string {
 	return "tick 5000 7\n" + strings.Join(lines, "\n") + "\neof_batch\n"
 }
 
-func one(t *testing.T, lines ...string) any {
+// readSingleEvent returns the body of the only event of a batch of the lines.
+func readSingleEvent(t *testing.T, lines ...string) any {
 	t.Helper()
 	b, err := NewReader(strings.NewReader(batch(lines...))).Next()
 	if err != nil {
@@ -67,14 +69,14 @@
 		{[]string{"reply front_2 41 2 engine.a FULL 90 1 1 pending:3,cpu_share:0.5,new:1"}, decide.Outcome{ID: 41,
 			Attempt: 2, Server: "engine.a", Status: decide.Full, Took: 90 * us, Final: true, NoState: true}},
 	} {
-		if got := one(t, c.lines...); !reflect.DeepEqual(got, c.want) {
+		if got := readSingleEvent(t, c.lines...); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%v:\n got %+v\nwant %+v", c.lines, got, c.want)
 		}
 	}
 }
 
 func TestSettings(t *testing.T) {
-	h := one(t, "hello front_2 77 "+exampleConfig).(Hello)
+	h := readSingleEvent(t, "hello front_2 77 "+exampleConfig).(Hello)
 	want := decide.Settings{Front: 1, Fronts: 3, Zone: 1, Tick: 2 * time.Millisecond, MustAsk: true, OverShareWorth: 0.1,
 		Classes: []decide.Class{{Aim: 1500 * time.Millisecond, AimPer1000: 40 * time.Millisecond, Deadline: 9 * time.Second,
 			TokenAim: 60 * time.Millisecond, Worth: 3, LateWorth: 0.2, Effect: decide.Keyed, Scope: decide.ScopeCell,
@@ -104,7 +106,7 @@
 	} {
 		_, err := NewReader(strings.NewReader(c.input)).Next()
 		if err == nil || !strings.Contains(err.Error(), c.want) || errors.Is(err, io.EOF) {
-			t.Errorf("%q: error %v, want one on %q", c.input, err, c.want)
+			t.Errorf("%q: error %v, want one that contains %q", c.input, err, c.want)
 		}
 	}
 	if _, err := NewReader(strings.NewReader("")).Next(); !errors.Is(err, io.EOF) {
@@ -114,15 +116,15 @@
 
 func TestActions(t *testing.T) {
 	var w Writer
-	f := w.Instance("front_2")
-	f.Send(41, "engine.a", 1500*time.Microsecond)
-	f.Cancel(41, 1)
-	f.Refuse(42, time.Second)
-	f.Fail(43)
-	f.Release(41)
-	f.SetTimer(9, 6*time.Millisecond)
-	f.AskServers(true)
-	f.AskServers(false)
+	instance := w.Instance("front_2")
+	instance.Send(41, "engine.a", 1500*time.Microsecond)
+	instance.Cancel(41, 1)
+	instance.Refuse(42, time.Second)
+	instance.Fail(43)
+	instance.Release(41)
+	instance.SetTimer(9, 6*time.Millisecond)
+	instance.AskServers(true)
+	instance.AskServers(false)
 	w.BailOut("front_2", "two\nlines")
 	want := "relay front_2 41 engine.a 1500\ndrop_attempt front_2 41 1\ndeny front_2 42 1000000\nabort front_2 43\n" +
 		"give_up_hold front_2 41\nset_alarm front_2 9 6000\ntail front_2 1\nrefresh front_2\n" +
@@ -135,12 +137,12 @@
 	}
 }
 
-// A request's numbers survive being read and printed again.
+// A request id, up to 52 bits, must be written as it was read.
 func TestRoundTrip(t *testing.T) {
 	for _, id := range []uint64{0, 1, 1<<52 - 1} {
-		q := one(t, fmt.Sprintf("inbound front_2 %d 0 0 01 5000 - - 10 0 8 0", id)).(decide.Request)
+		request := readSingleEvent(t, fmt.Sprintf("inbound front_2 %d 0 0 01 5000 - - 10 0 8 0", id)).(decide.Request)
 		var w Writer
-		w.Instance("front_2").Send(q.ID, "engine.a", q.TimeLeft)
+		w.Instance("front_2").Send(request.ID, "engine.a", request.TimeLeft)
 		if got, want := string(w.Take(1)), fmt.Sprintf("relay front_2 %d engine.a 5000\nnext 1\n", id); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -9,10 +9,10 @@
 	"rowanyard/decide"
 )
 
-// Writer prints actions.
+// Writer collects the actions of a batch in the simulator's line format. The zero value is ready to use.
 type Writer struct{ buf bytes.Buffer }
 
-// Take returns what was printed, closed by the batch's number, and starts anew.
+// EndBatch returns the lines written since the last call, followed by the line that ends batch seq, and empties the buffer.
 func (w *Writer) Take(seq uint64) []byte {
 	w.line("next", strconv.FormatUint(seq, 10))
 	out := bytes.Clone(w.buf.Bytes())
@@ -20,13 +20,13 @@
 	return out
 }
 
-// BailOut reports that the decisions of front have failed.
-func (w *Writer) BailOut(front, message string) {
-	w.line("bail_out", front, strings.Join(strings.Fields(message), " "))
+// ReportFailure reports that the named router instance has failed. The message is folded into one line.
+func (w *Writer) BailOut(instanceName, message string) {
+	w.line("bail_out", instanceName, strings.Join(strings.Fields(message), " "))
 }
 
-// Instance returns the actions of one front.
-func (w *Writer) Instance(front string) decide.Front { return &instance{w, front} }
+// Instance returns a decide.Front that writes the actions of the named router instance to w.
+func (w *Writer) Instance(instanceName string) decide.Front { return &instance{w, instanceName} }
 
 func (w *Writer) line(words ...string) {
 	for i, word := range words {
@@ -38,40 +38,41 @@
 	w.buf.WriteByte('\n')
 }
 
+// instance implements decide.Front.
 type instance struct {
-	w     *Writer
-	front string
+	writer *Writer
+	name   string
 }
 
 func (i *instance) Send(id decide.RequestID, server string, timeout time.Duration) {
-	i.w.line("relay", i.front, idText(id), server, us(timeout))
+	i.writer.line("relay", i.name, idText(id), server, microsText(timeout))
 }
 
 func (i *instance) Cancel(id decide.RequestID, attempt int) {
-	i.w.line("drop_attempt", i.front, idText(id), strconv.Itoa(attempt))
+	i.writer.line("drop_attempt", i.name, idText(id), strconv.Itoa(attempt))
 }
 
 func (i *instance) Refuse(id decide.RequestID, retryAfter time.Duration) {
-	i.w.line("deny", i.front, idText(id), us(retryAfter))
+	i.writer.line("deny", i.name, idText(id), microsText(retryAfter))
 }
 
-func (i *instance) Fail(id decide.RequestID)    { i.w.line("abort", i.front, idText(id)) }
-func (i *instance) Release(id decide.RequestID) { i.w.line("give_up_hold", i.front, idText(id)) }
+func (i *instance) Fail(id decide.RequestID)    { i.writer.line("abort", i.name, idText(id)) }
+func (i *instance) Release(id decide.RequestID) { i.writer.line("give_up_hold", i.name, idText(id)) }
 
 func (i *instance) SetTimer(token uint64, at time.Duration) {
-	i.w.line("set_alarm", i.front, strconv.FormatUint(token, 10), us(at))
+	i.writer.line("set_alarm", i.name, strconv.FormatUint(token, 10), microsText(at))
 }
 
-func (i *instance) Probe(server string) { i.w.line("poll", i.front, server) }
+func (i *instance) Probe(server string) { i.writer.line("poll", i.name, server) }
 
 func (i *instance) AskServers(watch bool) {
 	if watch {
-		i.w.line("tail", i.front, "1")
+		i.writer.line("tail", i.name, "1")
 		return
 	}
-	i.w.line("refresh", i.front)
+	i.writer.line("refresh", i.name)
 }
 
 func idText(id decide.RequestID) string { return strconv.FormatUint(uint64(id), 10) }
 
-func us(d time.Duration) string { return strconv.FormatInt(d.Microseconds(), 10) }
+func microsText(d time.Duration) string { return strconv.FormatInt(d.Microseconds(), 10) }
