--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -1,8 +1,5 @@
 package standin
 
-// This file is a toy of a proxy that calls an external processor: Envoy's side of ext_proc v3, as far
-// as one request needs it. It must never retry by itself.
-
 import (
 	"context"
 	"io"
@@ -15,35 +12,36 @@
 	"google.golang.org/grpc"
 )
 
-// Proxy sends each request where an external processor says. Its processing mode is: heads sent, the
-// request's body buffered, the answer's body streamed.
+// Proxy is a minimal HTTP proxy that calls an external processor as Envoy does (ext_proc v3) and sends each request to the
+// upstream that the processor names. Its processing mode sends the headers of request and response, buffers the request's
+// body and streams the response's. It never retries: each attempt is the processor's decision.
 type Proxy struct {
 	Processor   *grpc.ClientConn
-	Destination string // the header that names the upstream
+	Destination string // the header in which the processor names the upstream
 	Transport   http.RoundTripper
 }
 
-// told is what the processor says next.
-type told struct {
+// processorMessage is a message from the processor, or the error that ended its stream.
+type processorMessage struct {
 	*extprocv3.ProcessingResponse
 	err error
 }
 
 // ServeHTTP implements http.Handler.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	ctx, stop := context.WithCancel(r.Context())
-	defer stop()
+	ctx, cancel := context.WithCancel(r.Context())
+	defer cancel()
 	stream, err := extprocv3.NewExternalProcessorClient(p.Processor).Process(ctx)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	says := make(chan told)
+	messages := make(chan processorMessage)
 	go func() {
 		for {
 			m, err := stream.Recv()
 			select {
-			case says <- told{m, err}:
+			case messages <- processorMessage{m, err}:
 			case <-ctx.Done():
 				return
 			}
@@ -53,82 +51,83 @@
 		}
 	}()
 	body, _ := io.ReadAll(r.Body)
-	head := &corev3.HeaderMap{}
-	put := func(k, v string) {
-		head.Headers = append(head.Headers, &corev3.HeaderValue{Key: strings.ToLower(k), RawValue: []byte(v)})
+	headers := &corev3.HeaderMap{}
+	addHeader := func(k, v string) {
+		headers.Headers = append(headers.Headers, &corev3.HeaderValue{Key: strings.ToLower(k), RawValue: []byte(v)})
 	}
-	put(":method", r.Method)
-	put(":path", r.URL.RequestURI())
+	addHeader(":method", r.Method)
+	addHeader(":path", r.URL.RequestURI())
 	for k, v := range r.Header {
-		put(k, v[0])
+		addHeader(k, v[0])
 	}
-	// ask sends a message and returns the answer, nil where the request is over with it. A message that can't be sent has
-	// met the processor's end: its last word, an answer of its own for one, is still to be read.
-	ask := func(m *extprocv3.ProcessingRequest) *extprocv3.ProcessingResponse {
+	// exchange sends a message and returns the reply. It returns nil where the reply ends the request. A failure to send is
+	// ignored: the processor has ended its stream, and its last message, which may be an immediate response, can still be
+	// received.
+	exchange := func(m *extprocv3.ProcessingRequest) *extprocv3.ProcessingResponse {
 		_ = stream.Send(m)
-		t := <-says
-		if t.err != nil || immediate(w, t.GetImmediateResponse()) {
+		reply := <-messages
+		if reply.err != nil || writeImmediate(w, reply.GetImmediateResponse()) {
 			return nil
 		}
-		return t.ProcessingResponse
+		return reply.ProcessingResponse
 	}
-	if ask(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{
-		RequestHeaders: &extprocv3.HttpHeaders{Headers: head, EndOfStream: len(body) == 0}}}) == nil {
+	if exchange(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestHeaders{
+		RequestHeaders: &extprocv3.HttpHeaders{Headers: headers, EndOfStream: len(body) == 0}}}) == nil {
 		return
 	}
-	m := ask(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
+	m := exchange(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_RequestBody{
 		RequestBody: &extprocv3.HttpBody{Body: body, EndOfStream: true}}})
 	if m == nil {
 		return
 	}
-	out, _ := http.NewRequestWithContext(ctx, r.Method, "http://127.0.0.1:1"+r.URL.RequestURI(), io.NopCloser(strings.NewReader(string(body))))
-	out.ContentLength = int64(len(body))
-	out.Header = r.Header.Clone()
+	upstreamRequest, _ := http.NewRequestWithContext(ctx, r.Method, "http://127.0.0.1:1"+r.URL.RequestURI(), io.NopCloser(strings.NewReader(string(body))))
+	upstreamRequest.ContentLength = int64(len(body))
+	upstreamRequest.Header = r.Header.Clone()
 	for _, h := range m.GetRequestBody().GetResponse().GetHeaderMutation().GetSetHeaders() {
-		out.Header.Set(h.Header.Key, string(h.Header.RawValue))
+		upstreamRequest.Header.Set(h.Header.Key, string(h.Header.RawValue))
 		if strings.EqualFold(h.Header.Key, p.Destination) {
-			out.URL.Host = string(h.Header.RawValue)
+			upstreamRequest.URL.Host = string(h.Header.RawValue)
 		}
 	}
-	type upstream struct {
+	type upstreamResult struct {
 		*http.Response
 		err error
 	}
-	came := make(chan upstream, 1)
-	go func() { res, err := p.Transport.RoundTrip(out); came <- upstream{res, err} }()
-	var up upstream
+	upstreamDone := make(chan upstreamResult, 1)
+	go func() { res, err := p.Transport.RoundTrip(upstreamRequest); upstreamDone <- upstreamResult{res, err} }()
+	var upstream upstreamResult
 	select {
-	case up = <-came:
-	case t := <-says: // the processor ends the request while the upstream is silent
-		if t.err == nil {
-			immediate(w, t.GetImmediateResponse())
+	case upstream = <-upstreamDone:
+	case reply := <-messages: // the processor ends the request before the upstream has responded
+		if reply.err == nil {
+			writeImmediate(w, reply.GetImmediateResponse())
 		}
 		return
 	}
-	if up.err != nil {
-		up.Response = &http.Response{StatusCode: http.StatusServiceUnavailable, Header: http.Header{}, Body: http.NoBody}
+	if upstream.err != nil {
+		upstream.Response = &http.Response{StatusCode: http.StatusServiceUnavailable, Header: http.Header{}, Body: http.NoBody}
 	}
-	defer up.Body.Close()
-	head = &corev3.HeaderMap{}
-	put(":status", strconv.Itoa(up.StatusCode))
-	for k, v := range up.Header {
-		put(k, v[0])
+	defer upstream.Body.Close()
+	headers = &corev3.HeaderMap{}
+	addHeader(":status", strconv.Itoa(upstream.StatusCode))
+	for k, v := range upstream.Header {
+		addHeader(k, v[0])
 	}
-	if ask(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{
-		ResponseHeaders: &extprocv3.HttpHeaders{Headers: head}}}) == nil {
+	if exchange(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseHeaders{
+		ResponseHeaders: &extprocv3.HttpHeaders{Headers: headers}}}) == nil {
 		return
 	}
-	for k, v := range up.Header {
+	for k, v := range upstream.Header {
 		w.Header()[k] = v
 	}
-	w.WriteHeader(up.StatusCode)
+	w.WriteHeader(upstream.StatusCode)
 	buf := make([]byte, 4096)
 	for {
-		n, err := up.Body.Read(buf)
+		n, err := upstream.Body.Read(buf)
 		if err != nil && err != io.EOF {
-			panic(http.ErrAbortHandler) // it broke: so does the client's
+			panic(http.ErrAbortHandler) // the upstream's stream broke: break the client's, too
 		}
-		if ask(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseBody{
+		if exchange(&extprocv3.ProcessingRequest{Request: &extprocv3.ProcessingRequest_ResponseBody{
 			ResponseBody: &extprocv3.HttpBody{Body: buf[:n], EndOfStream: err == io.EOF}}}) == nil {
 			panic(http.ErrAbortHandler)
 		}
@@ -140,8 +139,8 @@
 	}
 }
 
-// immediate writes the processor's own answer, if it gave one.
-func immediate(w http.ResponseWriter, m *extprocv3.ImmediateResponse) bool {
+// writeImmediate writes the processor's immediate response and reports whether there was one.
+func writeImmediate(w http.ResponseWriter, m *extprocv3.ImmediateResponse) bool {
 	if m == nil {
 		return false
 	}
--- a/internal/standin/proxy_test.go
+++ b/internal/standin/proxy_test.go
@@ -16,20 +16,20 @@
 	"google.golang.org/grpc/stats"
 )
 
-// refuser is a processor that answers each request itself before it has read a word of it.
-type refuser struct {
+// rejectingProcessor is an external processor that sends an immediate response before it has read anything.
+type rejectingProcessor struct {
 	extprocv3.UnimplementedExternalProcessorServer
 }
 
-func (refuser) Process(stream extprocv3.ExternalProcessor_ProcessServer) error {
+func (rejectingProcessor) Process(stream extprocv3.ExternalProcessor_ProcessServer) error {
 	return stream.Send(&extprocv3.ProcessingResponse{Response: &extprocv3.ProcessingResponse_ImmediateResponse{
 		ImmediateResponse: &extprocv3.ImmediateResponse{Status: &typev3.HttpStatus{Code: typev3.StatusCode_ServiceUnavailable}}}})
 }
 
-// trailerWatch tells once when a call's trailers have come.
+// trailerWatch is a stats handler that closes received when the first trailers of a call arrive.
 type trailerWatch struct {
-	once sync.Once
-	came chan struct{}
+	once     sync.Once
+	received chan struct{}
 }
 
 func (w *trailerWatch) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context   { return ctx }
@@ -37,39 +37,40 @@
 func (w *trailerWatch) HandleConn(context.Context, stats.ConnStats)                       {}
 func (w *trailerWatch) HandleRPC(_ context.Context, s stats.RPCStats) {
 	if _, ok := s.(*stats.InTrailer); ok {
-		w.once.Do(func() { close(w.came) })
+		w.once.Do(func() { close(w.received) })
 	}
 }
 
-// untilEnd is a request's body that ends once the processor's stream has.
-type untilEnd struct{ came <-chan struct{} }
+// bodyUntilTrailers is a request body that ends when the processor's stream has ended.
+type bodyUntilTrailers struct{ trailers <-chan struct{} }
 
-func (b untilEnd) Read([]byte) (int, error) {
-	<-b.came
+func (b bodyUntilTrailers) Read([]byte) (int, error) {
+	<-b.trailers
 	return 0, io.EOF
 }
 
-// The processor has answered and ended its stream before the proxy sends it the request's head: its answer is the client's.
-func TestAnAnswerThatComesBeforeTheHeadIsTheClients(t *testing.T) {
+// The processor may respond and end its stream before the proxy has sent the request's headers, so that sending them fails.
+// The client must still get the processor's response.
+func TestProxyRelaysAnswerSentBeforeRequestHeaders(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := grpc.NewServer()
-	extprocv3.RegisterExternalProcessorServer(server, refuser{})
+	extprocv3.RegisterExternalProcessorServer(server, rejectingProcessor{})
 	go server.Serve(l)
 	t.Cleanup(server.Stop)
-	watch := &trailerWatch{came: make(chan struct{})}
+	waiter := &trailerWatch{received: make(chan struct{})}
 	conn, err := grpc.NewClient("passthrough:///"+l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithStatsHandler(watch))
+		grpc.WithStatsHandler(waiter))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	answer := httptest.NewRecorder()
-	r := httptest.NewRequest(http.MethodPost, "/", untilEnd{watch.came})
-	(&Proxy{Processor: conn}).ServeHTTP(answer, r)
-	if answer.Code != http.StatusServiceUnavailable {
-		t.Errorf("%d, the processor said 503", answer.Code)
+	recorder := httptest.NewRecorder()
+	r := httptest.NewRequest(http.MethodPost, "/", bodyUntilTrailers{waiter.received})
+	(&Proxy{Processor: conn}).ServeHTTP(recorder, r)
+	if recorder.Code != http.StatusServiceUnavailable {
+		t.Errorf("status %d, want the 503 of the processor", recorder.Code)
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,7 +1,6 @@
-// Package standin is a toy deployment on loopback: readers and writers over HTTP or gRPC, and a
-// discovery that lists them. Tests and the example folder use it; the router never does. It counts
-// what the rules are about (effects, states that are still held) and misbehaves on request. It must
-// never be taken for a measure of speed.
+// Package standin provides a deployment of fake workers on loopback, for tests and for the example folder: readers and
+// writers over HTTP or gRPC, and a discovery service that lists them. It counts the effects of writes and the states that
+// are still held, and injects faults on request. Its timing says nothing about the speed of real workers.
 package standin
 
 import (
@@ -26,69 +25,73 @@
 	"rowanyard/internal/grpcfront/pb"
 )
 
-// Fault is what goes wrong with one call.
+// Fault is a fault to inject into one call.
 type Fault int
 
-// The faults. Each but None and TurnAway may leave the router in doubt whether the call has run.
+// The faults. After each but None and Reject the router may not know whether the call has run.
 const (
 	None       Fault = iota
-	TurnAway         // 503 or UNAVAILABLE, marked as turned away: it has not run
+	TurnAway         // 503 or UNAVAILABLE, marked as turned away: the call has not run
 	Error            // 500 or INTERNAL
-	ResetEarly       // reset before the first token, a write after its effect
-	ResetLate        // reset after some tokens
-	Hang             // nothing comes until the caller leaves
-	Stop             // the stream falls silent after some tokens
+	ResetEarly       // a reset before the first token; a write has had its effect
+	ResetLate        // a reset after half of the tokens
+	Hang             // no response until the caller cancels
+	Stop             // no more data after half of the tokens, the connection stays open
 )
 
-// Options describe a Fleet. Zero values make a small healthy one.
+// Options configure a Fleet. The zero value gives one healthy reader and one healthy writer.
 type Options struct {
 	Readers, Writers int
-	// Listed is how many workers are listed, where that is more than there are: several share an address.
+	// ListedWorkers is the number of workers that discovery lists. Where it exceeds the number of workers that run, several
+	// entries share an address.
 	Listed    int
 	GRPC      bool          // the workers speak gRPC
-	Tokens    int           // of each answer
-	TokenTime time.Duration // between two of them
-	ReadTime  time.Duration
-	// Behave says what goes wrong with the n-th call of a stage ("read" or "write") for a message.
-	Behave func(stage, key string, n int) Fault
-	// Via is where a worker at an address is listed instead, such as a proxy in front of it; nil: at its own.
+	Tokens    int           // tokens of each answer
+	TokenTime time.Duration // time between two tokens
+	ReadTime  time.Duration // time that a read takes
+	// FaultFor returns the fault of the n-th call, counted from 0, of a stage ("read" or "write") for a message. If it is nil, there
+	// are no faults.
+	Behave func(stage, message string, n int) Fault
+	// ListedAddress returns the address under which discovery lists a worker, such as that of a proxy in front of it. If it
+	// is nil, workers are listed under their own addresses.
 	Via func(host, address string) string
-	// Only starts the workers of one kind, "reader" or "writer"; "": of both.
+	// OnlyKind restricts the workers to one kind, "reader" or "writer". If it is empty, both are started.
 	Only string
-	// States is where read states are kept, for workers in several processes; nil: in this Fleet.
+	// StateStore keeps the states, for workers in several processes. If it is nil, the Fleet keeps them in memory.
 	States States
-	// Told is told how long a router says that it will wait for an attempt; nil: nobody is.
-	Told func(id, host string, left time.Duration)
-	// Seen is told what happens at a worker, under the Fleet's lock: "out" and "in" round each attempt, "held" and
-	// "freed" of a state, "effect" of a write.
-	Seen func(what, id, class, host string)
+	// OnAttemptTimeout, if not nil, is called with the time that a router says it will wait for an attempt.
+	Told func(id, host string, timeout time.Duration)
+	// OnEvent, if not nil, is called with what happens at a worker, while the Fleet's lock is held: "out" when an attempt
+	// begins, "in" when it ends over HTTP, "held" and "freed" for a state, "effect" for a write.
+	Seen func(event, id, class, host string)
 }
 
-// States is where read states are kept, by request id. Each says whether one was there, or could be kept.
+// StateStore keeps the states that readers hold for writers, by request id. Hold reports whether it has stored the state,
+// Fetch and Release whether there was one, which they remove.
 type States interface {
 	Hold(id, host string) bool
 	Fetch(id, host string) bool
 	Release(id string) bool
 }
 
-// Fleet is a running toy deployment.
+// Fleet is a running deployment of fake workers.
 type Fleet struct {
 	Options
-	Discovery string // its address
-	mu        sync.Mutex
-	hosts     []Host
-	seq       int
-	watchers  map[chan struct{}]bool
-	held      map[string]bool // by request id
-	calls     map[string]int  // by stage and message
-	at        map[string]int  // calls by worker
-	effects   map[string]int  // writes that have run, by message
-	writes    map[string]int  // by request id
-	closers   []func()
-	stop      chan struct{}
-}
-
-// Host is one entry of its list.
+	Discovery        string // the address of the discovery service
+	mu               sync.Mutex
+	hosts            []Host
+	listVersion      int
+	watchers         map[chan struct{}]bool
+	held             map[string]bool // by request id
+	callsByMessage   map[string]int  // by stage and message
+	callsByWorker    map[string]int
+	effectsByMessage map[string]int // writes that have taken effect, by class and message
+	writesByRequest  map[string]int // writes that have taken effect, by request id
+	closers          []func()
+	stop             chan struct{}
+}
+
+// Host is a worker's entry in the list of the discovery service.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -100,13 +103,13 @@
 	BornMs int64   `json:"born_ms"`
 }
 
-// Start starts a Fleet.
+// Start starts a Fleet. Counts below 1 are taken as 1.
 func Start(o Options) (*Fleet, error) {
 	o.Readers, o.Writers, o.Tokens = max(1, o.Readers), max(1, o.Writers), max(1, o.Tokens)
 	f := &Fleet{Options: o, watchers: make(map[chan struct{}]bool), held: make(map[string]bool),
-		calls: make(map[string]int), at: make(map[string]int), effects: make(map[string]int), writes: make(map[string]int), stop: make(chan struct{}), seq: 1}
+		callsByMessage: make(map[string]int), callsByWorker: make(map[string]int), effectsByMessage: make(map[string]int), writesByRequest: make(map[string]int), stop: make(chan struct{}), listVersion: 1}
 	if f.States == nil {
-		f.States = localStates{f}
+		f.States = memoryStates{f}
 	}
 	for i := range o.Readers + o.Writers {
 		kind := "reader"
@@ -147,13 +150,13 @@
 		return nil, err
 	}
 	f.Discovery = l.Addr().String()
-	s := &http.Server{Handler: http.HandlerFunc(f.discovery)}
+	s := &http.Server{Handler: http.HandlerFunc(f.serveDiscovery)}
 	go s.Serve(l)
 	f.closers = append(f.closers, func() { s.Close() })
 	return f, nil
 }
 
-// Close ends it.
+// Close stops the workers and the discovery service.
 func (f *Fleet) Close() {
 	close(f.stop)
 	for _, c := range f.closers {
@@ -161,7 +164,7 @@
 	}
 }
 
-// Settings is the settings object of the toy deployment.
+// Settings returns the settings JSON for a router of a Fleet.
 func Settings() json.RawMessage {
 	return json.RawMessage(`{"me":0,"n_instances":1,"granularity":2000,"zone":0,"zones":["here"],
 "host_types":["reader","writer"],"discovery":"pushed","report":{"names":["cpu_share","pending"],"source":"on_probe"},
@@ -175,24 +178,24 @@
 "rules":{"cold_from":0.34,"ramp_time":13000000,"overload_factor":2.5,"fall":2000000,"drain_grace":500000}}`)
 }
 
-// Config is a whole configuration file for a router at this deployment.
+// Config returns a complete configuration file for a router of this Fleet that listens on listen.
 func (f *Fleet) Config(listen string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	text, _ := json.MarshalIndent(map[string]any{"name": "toy", "listen": listen, "discovery": f.Discovery,
 		"seed": "1", "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known": map[string]any{"seq": f.seq, "whole": true, "hosts": f.hosts}, "settings": Settings()}, "", "  ")
+		"known": map[string]any{"seq": f.listVersion, "whole": true, "hosts": f.hosts}, "settings": Settings()}, "", "  ")
 	return text
 }
 
-// Hosts lists the workers.
+// Hosts returns the entries that discovery lists.
 func (f *Fleet) Hosts() []Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]Host(nil), f.hosts...)
 }
 
-// SetHealth changes a worker's health in the list and tells those that watch.
+// SetHealth changes the listed health of a worker and notifies the watchers of the list.
 func (f *Fleet) SetHealth(host, health string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,7 +204,7 @@
 			f.hosts[i].Health = health
 		}
 	}
-	f.seq++
+	f.listVersion++
 	for w := range f.watchers {
 		select {
 		case w <- struct{}{}:
@@ -210,48 +213,48 @@
 	}
 }
 
-// Effects is how often each message has run at a writer.
+// Effects returns how many writes have taken effect, by class and message.
 func (f *Fleet) Effects() map[string]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := make(map[string]int)
-	for k, n := range f.effects {
+	for k, n := range f.effectsByMessage {
 		all[k] = n
 	}
 	return all
 }
 
-// Calls is how often a stage has been called for a message.
-func (f *Fleet) Calls(stage, key string) int {
+// Calls returns how often a stage ("read" or "write") has been called for a message.
+func (f *Fleet) Calls(stage, message string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.calls[stage+" "+key]
+	return f.callsByMessage[stage+" "+message]
 }
 
-// CallsAt is how often a worker has been sent anything to do.
+// CallsTo returns how many reads and writes a worker has received.
 func (f *Fleet) CallsAt(host string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.at[host]
+	return f.callsByWorker[host]
 }
 
-// Held is how many states wait.
+// HeldStates returns how many states the Fleet holds. States in another StateStore are not counted.
 func (f *Fleet) Held() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.held)
 }
 
-// discovery serves the list and its changes.
-func (f *Fleet) discovery(w http.ResponseWriter, r *http.Request) {
-	wake := make(chan struct{}, 1)
+// serveDiscovery serves the list of workers and, with the query parameter watch, a new one after each change.
+func (f *Fleet) serveDiscovery(w http.ResponseWriter, r *http.Request) {
+	changed := make(chan struct{}, 1)
 	f.mu.Lock()
-	f.watchers[wake] = true
+	f.watchers[changed] = true
 	f.mu.Unlock()
-	defer func() { f.mu.Lock(); delete(f.watchers, wake); f.mu.Unlock() }()
+	defer func() { f.mu.Lock(); delete(f.watchers, changed); f.mu.Unlock() }()
 	for {
 		f.mu.Lock()
-		line, _ := json.Marshal(map[string]any{"seq": f.seq, "whole": true, "hosts": f.hosts})
+		line, _ := json.Marshal(map[string]any{"seq": f.listVersion, "whole": true, "hosts": f.hosts})
 		f.mu.Unlock()
 		w.Write(append(line, '\n'))
 		http.NewResponseController(w).Flush()
@@ -259,7 +262,7 @@
 			return
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-f.stop:
 			return
 		case <-r.Context().Done():
@@ -268,30 +271,30 @@
 	}
 }
 
-// call is one attempt at a worker, whichever way it came.
+// call is an attempt that a worker has received over HTTP or gRPC.
 type call struct {
-	id, class, key string
-	fault          Fault
+	id, class, message string
+	fault              Fault
 }
 
-// Random makes a Behave that picks a fault from a hash of the seed and the call, so that the same
-// messages meet the same faults in every run. Each of the faults has the given share.
+// RandomFaults returns an Options.FaultFor that picks the fault by a hash of the seed and the call, so that equal messages
+// meet equal faults in every run. Each of the faults has probability share.
 func Random(seed uint64, share float64, faults ...Fault) func(string, string, int) Fault {
-	return func(stage, key string, n int) Fault {
+	return func(stage, message string, n int) Fault {
 		h := fnv.New64a()
-		fmt.Fprint(h, seed, stage, key, n)
+		fmt.Fprint(h, seed, stage, message, n)
 		v := h.Sum64()
 		v ^= v >> 29
 		v *= 0xbf58476d1ce4e5b9
-		at := float64(v>>11) / (1 << 53) / share
-		if at < float64(len(faults)) {
-			return faults[int(at)]
+		index := float64(v>>11) / (1 << 53) / share
+		if index < float64(len(faults)) {
+			return faults[int(index)]
 		}
 		return None
 	}
 }
 
-// worker is one reader or writer.
+// worker is a fake reader or writer.
 type worker struct {
 	pb.UnimplementedModelServerServer
 	fleet  *Fleet
@@ -299,59 +302,59 @@
 	reader bool
 }
 
-// enter counts a call and says what will go wrong with it.
-func (w *worker) enter(id, class, key string) call {
+// startCall counts a call and determines its fault.
+func (w *worker) startCall(id, class, message string) call {
 	f := w.fleet
 	stage := "write"
 	if w.reader {
 		stage = "read"
 	}
 	f.mu.Lock()
-	n := f.calls[stage+" "+key]
-	f.calls[stage+" "+key]++
-	f.at[w.name]++
-	f.see("out", id, class, w.name)
+	n := f.callsByMessage[stage+" "+message]
+	f.callsByMessage[stage+" "+message]++
+	f.callsByWorker[w.name]++
+	f.notify("out", id, class, w.name)
 	f.mu.Unlock()
-	c := call{id: id, class: class, key: key}
+	c := call{id: id, class: class, message: message}
 	if f.Behave != nil {
-		c.fault = f.Behave(stage, key, n)
+		c.fault = f.Behave(stage, message, n)
 	}
 	return c
 }
 
-// read keeps the state, unless the fault comes first.
-func (w *worker) read(ctx context.Context, c call) {
+// readPrompt takes ReadDuration and stores the state, unless the call is cancelled first.
+func (w *worker) readPrompt(ctx context.Context, c call) {
 	select {
 	case <-time.After(w.fleet.ReadTime):
 	case <-ctx.Done():
 		return
 	}
-	if ctx.Err() != nil { // what a read that was called off leaves goes by itself
+	if ctx.Err() != nil { // a cancelled read leaves no state
 		return
 	}
 	if w.fleet.States.Hold(c.id, w.name) {
 		w.fleet.mu.Lock()
 		defer w.fleet.mu.Unlock()
-		w.fleet.see("held", c.id, c.class, w.name)
+		w.fleet.notify("held", c.id, c.class, w.name)
 	}
 }
 
-// localStates keeps states in their Fleet.
-type localStates struct{ fleet *Fleet }
+// memoryStates is the StateStore that keeps states in the Fleet.
+type memoryStates struct{ fleet *Fleet }
 
-// Hold implements States.
-func (s localStates) Hold(id, _ string) bool {
+// Hold implements StateStore.
+func (s memoryStates) Hold(id, _ string) bool {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	s.fleet.held[id] = true
 	return true
 }
 
-// Fetch implements States.
-func (s localStates) Fetch(id, _ string) bool { return s.Release(id) }
+// Fetch implements StateStore.
+func (s memoryStates) Fetch(id, _ string) bool { return s.Release(id) }
 
-// Release implements States.
-func (s localStates) Release(id string) bool {
+// Release implements StateStore.
+func (s memoryStates) Release(id string) bool {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
 	held := s.fleet.held[id]
@@ -359,38 +362,39 @@
 	return held
 }
 
-// see tells what happens; it is called under the lock.
-func (f *Fleet) see(what, id, class, host string) {
+// notify calls OnEvent. The caller holds f.mu.
+func (f *Fleet) notify(event, id, class, host string) {
 	if f.Seen != nil {
-		f.Seen(what, id, class, host)
+		f.Seen(event, id, class, host)
 	}
 }
 
-// fetch takes the state; from here on a write has its effect.
-func (w *worker) fetch(c call) bool {
+// takeState fetches the state of a write, which has its effect from then on, and reports whether there was one.
+func (w *worker) takeState(c call) bool {
 	f := w.fleet
 	if !f.States.Fetch(c.id, w.name) {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.effects[c.class+" "+c.key]++
-	f.writes[c.id]++
-	f.see("freed", c.id, c.class, w.name)
-	f.see("effect", c.id, c.class, w.name)
+	f.effectsByMessage[c.class+" "+c.message]++
+	f.writesByRequest[c.id]++
+	f.notify("freed", c.id, c.class, w.name)
+	f.notify("effect", c.id, c.class, w.name)
 	return true
 }
 
-func (w *worker) release(id string) {
+// releaseState discards the state of a request.
+func (w *worker) releaseState(id string) {
 	if w.fleet.States.Release(id) {
 		w.fleet.mu.Lock()
 		defer w.fleet.mu.Unlock()
-		w.fleet.see("freed", id, "", w.name)
+		w.fleet.notify("freed", id, "", w.name)
 	}
 }
 
-// stream sends the answer's tokens, up to the fault.
-func (w *worker) stream(ctx context.Context, c call, put func(i int, last bool) error) bool {
+// streamTokens sends the tokens of the answer up to the fault, if any, and reports whether it has sent them all.
+func (w *worker) streamTokens(ctx context.Context, c call, send func(i int, last bool) error) bool {
 	for i := range w.fleet.Tokens {
 		if c.fault == ResetLate && i == (w.fleet.Tokens+1)/2 {
 			return false
@@ -406,17 +410,17 @@
 				return false
 			}
 		}
-		if put(i, i == w.fleet.Tokens-1) != nil {
+		if send(i, i == w.fleet.Tokens-1) != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// ServeHTTP is a worker's HTTP side.
+// ServeHTTP serves the workers' HTTP API.
 func (w *worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if id, ok := strings.CutPrefix(r.URL.Path, "/v1/holds/"); ok && r.Method == http.MethodDelete {
-		w.release(id)
+		w.releaseState(id)
 		rw.WriteHeader(http.StatusNoContent)
 		return
 	}
@@ -425,24 +429,24 @@
 		return
 	}
 	body, err := io.ReadAll(r.Body)
-	var b struct {
+	var payload struct {
 		Messages []struct {
 			Content string `json:"content"`
 		} `json:"messages"`
 	}
-	if err != nil || json.Unmarshal(body, &b) != nil || len(b.Messages) == 0 || r.Header.Get("X-Txn") == "" {
+	if err != nil || json.Unmarshal(body, &payload) != nil || len(payload.Messages) == 0 || r.Header.Get("X-Txn") == "" {
 		rw.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if left, err := strconv.Atoi(r.Header.Get("X-Remaining-Ms")); err == nil && w.fleet.Told != nil {
-		w.fleet.Told(r.Header.Get("X-Txn"), w.name, time.Duration(left)*time.Millisecond)
+	if remaining, err := strconv.Atoi(r.Header.Get("X-Remaining-Ms")); err == nil && w.fleet.Told != nil {
+		w.fleet.Told(r.Header.Get("X-Txn"), w.name, time.Duration(remaining)*time.Millisecond)
 	}
-	c := w.enter(r.Header.Get("X-Txn"), r.Header.Get("X-Lane"), b.Messages[len(b.Messages)-1].Content)
-	defer func() { w.fleet.mu.Lock(); w.fleet.see("in", c.id, c.class, w.name); w.fleet.mu.Unlock() }()
-	away := func(code int) { rw.Header().Set("X-Turned-Away", "1"); rw.WriteHeader(code) }
+	c := w.startCall(r.Header.Get("X-Txn"), r.Header.Get("X-Lane"), payload.Messages[len(payload.Messages)-1].Content)
+	defer func() { w.fleet.mu.Lock(); w.fleet.notify("in", c.id, c.class, w.name); w.fleet.mu.Unlock() }()
+	reject := func(code int) { rw.Header().Set("X-Turned-Away", "1"); rw.WriteHeader(code) }
 	switch c.fault {
 	case TurnAway:
-		away(http.StatusServiceUnavailable)
+		reject(http.StatusServiceUnavailable)
 		return
 	case Error:
 		rw.WriteHeader(http.StatusInternalServerError)
@@ -452,25 +456,25 @@
 		return
 	}
 	if w.reader {
-		w.read(r.Context(), c)
+		w.readPrompt(r.Context(), c)
 		if c.fault == ResetEarly {
-			reset(rw)
+			resetConnection(rw)
 			return
 		}
 		rw.WriteHeader(http.StatusAccepted)
 		io.WriteString(rw, `{"cached_tokens":0}`)
 		return
 	}
-	if !w.fetch(c) {
-		away(http.StatusGone)
+	if !w.takeState(c) {
+		reject(http.StatusGone)
 		return
 	}
 	if c.fault == ResetEarly {
-		reset(rw)
+		resetConnection(rw)
 		return
 	}
 	rw.Header().Set("Content-Type", "text/event-stream")
-	whole := w.stream(r.Context(), c, func(i int, last bool) error {
+	complete := w.streamTokens(r.Context(), c, func(i int, last bool) error {
 		finish := "null"
 		if last {
 			finish = `"stop"`
@@ -478,16 +482,16 @@
 		fmt.Fprintf(rw, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"t%d \"},\"finish_reason\":%s}]}\n\n", i, finish)
 		return http.NewResponseController(rw).Flush()
 	})
-	if !whole {
-		reset(rw)
+	if !complete {
+		resetConnection(rw)
 		return
 	}
 	fmt.Fprintf(rw, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":%d,"+
 		"\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\ndata: [DONE]\n\n", w.fleet.Tokens)
 }
 
-// reset ends the connection with a reset.
-func reset(rw http.ResponseWriter) {
+// resetConnection closes the connection with a TCP reset.
+func resetConnection(rw http.ResponseWriter) {
 	c, _, err := http.NewResponseController(rw).Hijack()
 	if err != nil {
 		return
@@ -498,21 +502,23 @@
 	c.Close()
 }
 
-func turnedAway(ctx context.Context, code codes.Code) error {
+// rejectCall returns a status error and marks the call as turned away in its trailers.
+func rejectCall(ctx context.Context, code codes.Code) error {
 	grpc.SetTrailer(ctx, metadata.Pairs(grpcfront.TurnedAway, "1"))
 	return status.Error(code, "turned away")
 }
 
-// begin is what both gRPC calls share; a nil error lets the call go on.
-func (w *worker) begin(ctx context.Context, r *pb.WorkRequest) (call, error) {
-	m := r.GetRequest().GetMessages()
-	if len(m) == 0 {
+// startRPC is the common beginning of Read and Write: it counts the call and applies its fault. The call goes on where the
+// error is nil.
+func (w *worker) startRPC(ctx context.Context, r *pb.WorkRequest) (call, error) {
+	messages := r.GetRequest().GetMessages()
+	if len(messages) == 0 {
 		return call{}, status.Error(codes.InvalidArgument, "no message")
 	}
-	c := w.enter(r.Request.Id, r.Request.Class, m[len(m)-1].Content)
+	c := w.startCall(r.Request.Id, r.Request.Class, messages[len(messages)-1].Content)
 	switch c.fault {
 	case TurnAway:
-		return c, turnedAway(ctx, codes.Unavailable)
+		return c, rejectCall(ctx, codes.Unavailable)
 	case Error:
 		return c, status.Error(codes.Internal, "error")
 	case Hang:
@@ -524,55 +530,55 @@
 
 var errReset = status.Error(codes.Unavailable, "reset")
 
-// Read is a worker's gRPC side.
+// Read implements pb.ModelServerServer.
 func (w *worker) Read(ctx context.Context, r *pb.WorkRequest) (*pb.ReadReply, error) {
-	c, err := w.begin(ctx, r)
+	c, err := w.startRPC(ctx, r)
 	if err != nil {
 		return nil, err
 	}
 	if !w.reader {
 		return nil, status.Error(codes.Unimplemented, "a writer")
 	}
-	w.read(ctx, c)
+	w.readPrompt(ctx, c)
 	if c.fault == ResetEarly {
 		return nil, errReset
 	}
 	return &pb.ReadReply{}, nil
 }
 
-// Write is a worker's gRPC side.
+// Write implements pb.ModelServerServer.
 func (w *worker) Write(r *pb.WorkRequest, out grpc.ServerStreamingServer[pb.Chunk]) error {
 	ctx := out.Context()
-	c, err := w.begin(ctx, r)
+	c, err := w.startRPC(ctx, r)
 	if err != nil {
 		return err
 	}
-	if w.reader || !w.fetch(c) {
-		return turnedAway(ctx, codes.FailedPrecondition)
+	if w.reader || !w.takeState(c) {
+		return rejectCall(ctx, codes.FailedPrecondition)
 	}
 	if c.fault == ResetEarly {
 		return errReset
 	}
-	whole := w.stream(ctx, c, func(i int, last bool) error {
+	complete := w.streamTokens(ctx, c, func(i int, last bool) error {
 		chunk := &pb.Chunk{Content: fmt.Sprintf("t%d ", i)}
 		if last {
 			chunk.FinishReason = "stop"
 		}
 		return out.Send(chunk)
 	})
-	if !whole {
+	if !complete {
 		return errReset
 	}
 	return out.Send(&pb.Chunk{Usage: &pb.Usage{PromptTokens: 9, CompletionTokens: int64(w.fleet.Tokens)}})
 }
 
-// Release is a worker's gRPC side.
+// Release implements pb.ModelServerServer.
 func (w *worker) Release(_ context.Context, r *pb.ReleaseRequest) (*pb.ReleaseReply, error) {
-	w.release(r.Id)
+	w.releaseState(r.Id)
 	return &pb.ReleaseReply{}, nil
 }
 
-// Load is a worker's gRPC side.
+// Load implements pb.ModelServerServer. The reported queue is always empty.
 func (w *worker) Load(context.Context, *pb.LoadRequest) (*pb.LoadReport, error) {
 	queue := 0.0
 	return &pb.LoadReport{Queue: &queue}, nil
