--- a/internal/ci/wallclock_test.go
+++ b/internal/ci/wallclock_test.go
@@ -10,27 +10,27 @@
 	"testing"
 )
 
-// wallReadings are methods of time.Time that make a number, a text or a time without its monotonic part of the wall clock.
-// Spans that are measured with them move with each step of it.
-var wallReadings = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "AddDate": true,
+// wallClockMethods are the methods of time.Time whose result holds the reading of the wall clock without the monotonic one.
+// Durations computed from it are wrong by each step of the wall clock.
+var wallClockMethods = map[string]bool{"Unix": true, "UnixNano": true, "UnixMilli": true, "UnixMicro": true, "AddDate": true,
 	"MarshalText": true, "MarshalJSON": true, "MarshalBinary": true, "GobEncode": true, "Clock": true, "YearDay": true}
 
-// wallReadersAllowed are the folders that may use them, with the reason.
-var wallReadersAllowed = map[string]string{
-	"internal/wallclock": "the one place",
-	"example":            "toy programs for newcomers",
+// allowedFolders are the folders that may call wallClockMethods, with the reason.
+var allowedFolders = map[string]string{
+	"internal/wallclock": "reads the wall clock for all others",
+	"example":            "example programs",
 }
 
-// The wall clock may be stepped at any time, so that no span may be measured on it: one package reads it.
+// The wall clock may be stepped at any time, so no duration may be measured by it. Only one package may read it.
 func TestTheWallClockIsReadInOnePlace(t *testing.T) {
-	found := findWallReadings(t, "../..")
+	found := findWallClockReads(t, "../..")
 	for _, at := range found {
-		t.Errorf("%s: the wall clock is read outside internal/wallclock", at)
+		t.Errorf("%s: reads the wall clock outside internal/wallclock", at)
 	}
 }
 
-// The check finds what it is to find.
-func TestWallReadingsAreFound(t *testing.T) {
+// The check must find a call of a method of the list and of Round(0), which strips the monotonic reading.
+func TestWallClockReadsAreFound(t *testing.T) {
 	text := `package a
 import "time"
 func a() (int64, time.Time) { t := time.Now(); return t.UnixNano(), t.Round(0) }
@@ -40,20 +40,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := len(wallReadingsOf(set, file)); n != 2 {
+	if n := len(wallClockReads(set, file)); n != 2 {
 		t.Errorf("%d found, want 2", n)
 	}
 }
 
-// findWallReadings lists all readings of the wall clock under root, but for tests and generated files.
-func findWallReadings(t *testing.T, root string) (found []string) {
+// findWallClockReads returns the positions of all readings of the wall clock under root, except in tests, generated files
+// and allowedFolders.
+func findWallClockReads(t *testing.T, root string) (found []string) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
 		name, _ := filepath.Rel(root, path)
-		skipped := strings.HasPrefix(entry.Name(), ".") && name != "." || entry.Name() == "journal" || wallReadersAllowed[name] != ""
+		skipped := strings.HasPrefix(entry.Name(), ".") && name != "." || entry.Name() == "journal" || allowedFolders[name] != ""
 		if entry.IsDir() && skipped {
 			return filepath.SkipDir
 		}
@@ -65,7 +66,7 @@
 		if err != nil {
 			return err
 		}
-		found = append(found, wallReadingsOf(set, file)...)
+		found = append(found, wallClockReads(set, file)...)
 		return nil
 	})
 	if err != nil {
@@ -74,7 +75,8 @@
 	return found
 }
 
-func wallReadingsOf(set *token.FileSet, file *ast.File) (found []string) {
+// wallClockReads returns the positions of the readings of the wall clock in file.
+func wallClockReads(set *token.FileSet, file *ast.File) (found []string) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		call, ok := node.(*ast.CallExpr)
 		if !ok {
@@ -85,7 +87,7 @@
 			return true
 		}
 		stripped := method.Sel.Name == "Round" && len(call.Args) == 1 && isZero(call.Args[0])
-		if len(call.Args) == 0 && wallReadings[method.Sel.Name] || stripped {
+		if len(call.Args) == 0 && wallClockMethods[method.Sel.Name] || stripped {
 			found = append(found, set.Position(call.Pos()).String())
 		}
 		return true
