--- a/example/caller/main.go
+++ b/example/caller/main.go
@@ -1,5 +1,6 @@
-// Caller is a toy of a proxy that carries requests itself: it asks a router's decision service where each attempt may
-// go, carries it there, and says what became of it. It must never send on a grant whose time is up.
+// Command caller is an example of a proxy that sends requests to the workers itself: it asks a router's decision service
+// for a grant for each attempt, sends the attempt to the worker that the grant names, and reports the result. An attempt must
+// not be sent after its grant has expired.
 package main
 
 import (
@@ -21,58 +22,60 @@
 )
 
 func main() {
-	router := flag.String("router", "127.0.0.1:9092", "where the decision service listens")
-	class := flag.String("class", "draft-reply", "the request's class")
-	text := flag.String("text", "Good morning", "the prompt")
+	router := flag.String("router", "127.0.0.1:9092", "address of the router's decision service")
+	class := flag.String("class", "draft-reply", "class of the request")
+	prompt := flag.String("text", "Good morning", "the prompt")
 	flag.Parse()
-	if err := run(*router, *class, *text); err != nil {
+	if err := run(*router, *class, *prompt); err != nil {
 		fmt.Fprintln(os.Stderr, "caller:", err)
 		os.Exit(1)
 	}
 }
 
-func run(router, class, text string) error {
+func run(router, class, prompt string) error {
 	conn, err := grpc.NewClient("passthrough:///"+router, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	ctx, stop := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), decisions.MetaCaller, "toy"), 20*time.Second)
-	defer stop()
-	d := pb.NewDecisionsClient(conn)
+	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), decisions.MetaCaller, "toy"), 20*time.Second)
+	defer cancel()
+	client := pb.NewDecisionsClient(conn)
 	id := fmt.Sprintf("toy-%d", time.Now().UnixNano())
-	body := fmt.Sprintf(`{"model":"chat","stream":true,"messages":[{"role":"user","content":%q}]}`, text)
+	body := fmt.Sprintf(`{"model":"chat","stream":true,"messages":[{"role":"user","content":%q}]}`, prompt)
 	for attempt := int32(0); ; attempt++ {
-		asked := time.Now()
-		g, err := d.Choose(ctx, &pb.ChooseRequest{Request: id, Attempt: attempt, Class: class, PromptTokens: int64(len(text)/4 + 1), MaxOutputTokens: 40})
+		askedAt := time.Now()
+		grant, err := client.Choose(ctx, &pb.ChooseRequest{Request: id, Attempt: attempt, Class: class, PromptTokens: int64(len(prompt)/4 + 1), MaxOutputTokens: 40})
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%-11s at %s (%s), valid for %v\n", g.Stage, g.Worker, g.Endpoint, g.Valid.AsDuration().Round(time.Millisecond))
-		if time.Since(asked) > g.Valid.AsDuration() {
-			return fmt.Errorf("the answer came too late to act on it")
+		fmt.Printf("%-11s at %s (%s), valid for %v\n", grant.Stage, grant.Worker, grant.Endpoint, grant.Valid.AsDuration().Round(time.Millisecond))
+		if time.Since(askedAt) > grant.Valid.AsDuration() {
+			return fmt.Errorf("the answer arrived after its grant had expired")
 		}
-		if _, err := d.Renew(ctx, &pb.RenewRequest{TakenUp: []uint64{g.Grant}}); err != nil {
+		if _, err := client.Renew(ctx, &pb.RenewRequest{TakenUp: []uint64{grant.Grant}}); err != nil {
 			return err
 		}
-		fate, done := carry(ctx, g, id, class, body, func(fate pb.Fate) { report(ctx, d, g, fate) })
-		report(ctx, d, g, fate)
+		fate, done := sendAttempt(ctx, grant, id, class, body, func(fate pb.Fate) { report(ctx, client, grant, fate) })
+		report(ctx, client, grant, fate)
 		if done {
 			return nil
 		}
 	}
 }
 
-func report(ctx context.Context, d pb.DecisionsClient, g *pb.Choice, fate pb.Fate) {
-	if _, err := d.Report(ctx, &pb.ReportRequest{Grant: g.Grant, Fate: fate}); err != nil {
+// report tells the decision service what became of an attempt.
+func report(ctx context.Context, client pb.DecisionsClient, grant *pb.Choice, fate pb.Fate) {
+	if _, err := client.Report(ctx, &pb.ReportRequest{Grant: grant.Grant, Fate: fate}); err != nil {
 		fmt.Fprintln(os.Stderr, "caller: report:", err)
 	}
 }
 
-// carry sends one attempt and renews its grant until it has an answer. done says that the request is over.
-func carry(ctx context.Context, g *pb.Choice, id, class, body string, begun func(pb.Fate)) (fate pb.Fate, done bool) {
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.Endpoint+"/v1/chat/completions", strings.NewReader(body))
-	for k, v := range map[string]string{"X-Txn": id, "X-Lane": class, "X-Remaining-Ms": fmt.Sprint(g.Within.AsDuration().Milliseconds()),
+// sendAttempt sends an attempt to the worker of its grant and prints a streamed response, calling onStarted when that begins.
+// It returns the fate of the attempt; done reports that the request is complete.
+func sendAttempt(ctx context.Context, grant *pb.Choice, id, class, body string, onStarted func(pb.Fate)) (fate pb.Fate, done bool) {
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+grant.Endpoint+"/v1/chat/completions", strings.NewReader(body))
+	for k, v := range map[string]string{"X-Txn": id, "X-Lane": class, "X-Remaining-Ms": fmt.Sprint(grant.Within.AsDuration().Milliseconds()),
 		"X-Labels": "prompt_len=10,max_out=40", "Content-Type": "application/json"} {
 		req.Header.Set(k, v)
 	}
@@ -82,10 +85,10 @@
 	}
 	defer res.Body.Close()
 	switch {
-	case g.Stage == pb.Stage_STAGE_READ && res.StatusCode == http.StatusAccepted:
+	case grant.Stage == pb.Stage_STAGE_READ && res.StatusCode == http.StatusAccepted:
 		return pb.Fate_FATE_READ, false
-	case g.Stage == pb.Stage_STAGE_WRITE && res.StatusCode == http.StatusOK:
-		begun(pb.Fate_FATE_BEGUN)
+	case grant.Stage == pb.Stage_STAGE_WRITE && res.StatusCode == http.StatusOK:
+		onStarted(pb.Fate_FATE_BEGUN)
 		for s := bufio.NewScanner(res.Body); s.Scan(); {
 			fmt.Println(s.Text())
 		}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,7 +1,6 @@
-// Command toy runs a small deployment on loopback: readers, writers and a discovery, so that a
-// newcomer can try the router. It writes the router's configuration to the file that -config names
-// and runs until it is interrupted. It owns nothing of the router and must never be used for more
-// than a try: see package standin.
+// Command toy runs a small deployment of fake workers on loopback, for trying the router: readers, writers and a discovery
+// service, and on request a proxy. It writes a configuration for the router to the file that -config names and runs until
+// it is interrupted. Its timing says nothing about real workers: see package standin.
 package main
 
 import (
@@ -20,18 +19,18 @@
 )
 
 func main() {
-	config := flag.String("config", "example/router.json", "where to write the router's configuration")
-	listen := flag.String("listen", "127.0.0.1:9000", "where the router is to listen")
+	config := flag.String("config", "example/router.json", "file to write the router's configuration to")
+	listen := flag.String("listen", "127.0.0.1:9000", "address on which the router is to listen")
 	grpc := flag.Bool("grpc", false, "the workers speak gRPC")
-	share := flag.Float64("resets", 0, "share of calls whose stream is reset")
-	proxy := flag.String("proxy", "", "where a toy proxy listens that calls the router's external processor")
-	processor := flag.String("processor", "127.0.0.1:9091", "where that is")
+	resetShare := flag.Float64("resets", 0, "share of calls whose stream is reset, from 0 to 1")
+	proxy := flag.String("proxy", "", "address on which to run a toy proxy that calls the router's external processor; none if empty")
+	processor := flag.String("processor", "127.0.0.1:9091", "address of the router's external processor")
 	flag.Parse()
-	o := standin.Options{Readers: 2, Writers: 3, Tokens: 20, TokenTime: 50 * time.Millisecond, ReadTime: 50 * time.Millisecond, GRPC: *grpc}
-	if *share > 0 {
-		o.Behave = standin.Random(1, *share, standin.ResetLate)
+	options := standin.Options{Readers: 2, Writers: 3, Tokens: 20, TokenTime: 50 * time.Millisecond, ReadTime: 50 * time.Millisecond, GRPC: *grpc}
+	if *resetShare > 0 {
+		options.Behave = standin.Random(1, *resetShare, standin.ResetLate)
 	}
-	fleet, err := standin.Start(o)
+	fleet, err := standin.Start(options)
 	if err == nil {
 		err = os.WriteFile(*config, fleet.Config(*listen), 0o644)
 	}
@@ -53,7 +52,7 @@
 		}()
 		fmt.Printf("proxy at %s, calls the external processor at %s for every request\n", *proxy, *processor)
 	}
-	stop := make(chan os.Signal, 1)
-	signal.Notify(stop, os.Interrupt)
-	<-stop
+	interrupted := make(chan os.Signal, 1)
+	signal.Notify(interrupted, os.Interrupt)
+	<-interrupted
 }
