--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -49,8 +49,8 @@
 	Tokens    int           // tokens of each answer
 	TokenTime time.Duration // time between two tokens
 	ReadTime  time.Duration // time that a read takes
-	// FaultFor returns the fault of the n-th call, counted from 0, of a stage ("read" or "write") for a message. If it is nil, there
-	// are no faults.
+	// FaultFor returns the fault of the n-th call, counted from 0, of a stage ("read" or "write") for a message. If it is
+	// nil, there are no faults.
 	Behave func(stage, message string, n int) Fault
 	// ListedAddress returns the address under which discovery lists a worker, such as that of a proxy in front of it. If it
 	// is nil, workers are listed under their own addresses.
@@ -329,7 +329,7 @@
 	case <-ctx.Done():
 		return
 	}
-	if ctx.Err() != nil { // a cancelled read leaves no state
+	if ctx.Err() != nil { // the state that a cancelled read leaves expires by itself
 		return
 	}
 	if w.fleet.States.Hold(c.id, w.name) {
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -67,7 +67,7 @@
 }
 
 // Next reads one batch. It returns io.EOF where the input ends between two batches. Any other error says where in the
-// batch it occurred; for input that ends inside a batch it wraps io.ErrUnexpectedEOF.
+// batch it occurred; it is not io.EOF, even where the input ends inside the batch.
 func (r *Reader) Next() (Batch, error) {
 	var b Batch
 	r.lineNumber = 0
