--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"rowanyard/decide"
 )
 
-// printer is the smallest Front: it prints what a real one would do.
+// printer is a minimal Executor that prints its calls.
 type printer struct{}
 
 func (printer) Send(id decide.RequestID, server string, timeout time.Duration) {
@@ -19,11 +19,11 @@
 }
 func (printer) Fail(id decide.RequestID)       { fmt.Printf("fail %d\n", id) }
 func (printer) Release(id decide.RequestID)    { fmt.Printf("release %d\n", id) }
-func (printer) SetTimer(uint64, time.Duration) {} // a real front calls Router.Timer then
+func (printer) SetTimer(uint64, time.Duration) {} // a real Executor calls Router.Timer at that time
 func (printer) Probe(string)                   {}
 func (printer) AskServers(watch bool)          {}
 
-// A front hands every event to its Router, with its clock, and does what it is told.
+// The host of a Router passes it every event with the time of its clock, and carries out its calls.
 func Example() {
 	settings := decide.Settings{
 		Fronts:  1,
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -8,15 +8,16 @@
 	"unicode/utf8"
 )
 
-// The files that hold decision logic are to be read in one go at night: see docs/design.md. The deploy file names them.
-func TestModuleSize(t *testing.T) {
+// The policy files, listed in the deployment file, must stay short enough to be read in one go during an incident; see
+// docs/design.md.
+func TestPolicyFileSize(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[([^\]]*)\]`).FindSubmatch(deploy)
 	if list == nil {
-		t.Fatal("the deploy file names no policy")
+		t.Fatal("the deployment file lists no policy files")
 	}
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(string(list[1]), -1) {
 		text, err := os.ReadFile("../" + name[1])
@@ -30,11 +31,11 @@
 			}
 			wide := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    "))
 			if wide > 110 {
-				t.Errorf("%s:%d has %d columns", name[1], i+1, wide)
+				t.Errorf("%s:%d has %d columns, want at most 110", name[1], i+1, wide)
 			}
 		}
 		if lines > 940 {
-			t.Errorf("%s: %d lines that are not blank, 940 at most", name[1], lines)
+			t.Errorf("%s: %d non-blank lines, want at most 940", name[1], lines)
 		}
 	}
 }
