--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -11,39 +11,41 @@
 	"time"
 )
 
-// recorder is a Front that keeps what the Router did.
+// recorder is an Executor that records the calls of a Router.
 type recorder struct {
-	did     []string
-	sends   []string // servers in order
-	timers  map[uint64][]time.Duration
-	timeout time.Duration // of the last send
-	after   time.Duration // of the last refusal
+	calls       []string
+	sends       []string // servers, in the order of the sends
+	timers      map[uint64][]time.Duration
+	lastTimeout time.Duration // of the last send
+	retryAfter  time.Duration // of the last refusal
 }
 
-func (f *recorder) note(format string, a ...any) { f.did = append(f.did, fmt.Sprintf(format, a...)) }
-func (f *recorder) Send(id RequestID, s string, t time.Duration) {
-	f.note("send %d %s", id, s)
-	f.timeout = t
-	f.sends = append(f.sends, s)
+func (rec *recorder) record(format string, a ...any) {
+	rec.calls = append(rec.calls, fmt.Sprintf(format, a...))
 }
-func (f *recorder) Cancel(id RequestID, n int) { f.note("cancel %d %d", id, n) }
-func (f *recorder) Refuse(id RequestID, after time.Duration) {
-	f.note("refuse %d", id)
-	f.after = after
+func (rec *recorder) Send(id RequestID, s string, t time.Duration) {
+	rec.record("send %d %s", id, s)
+	rec.lastTimeout = t
+	rec.sends = append(rec.sends, s)
 }
-func (f *recorder) Fail(id RequestID)     { f.note("fail %d", id) }
-func (f *recorder) Release(id RequestID)  { f.note("release %d", id) }
-func (f *recorder) Probe(s string)        { f.note("probe %s", s) }
-func (f *recorder) AskServers(watch bool) { f.note("ask %v", watch) }
-func (f *recorder) SetTimer(token uint64, at time.Duration) {
-	f.timers[token] = append(f.timers[token], at)
+func (rec *recorder) Cancel(id RequestID, n int) { rec.record("cancel %d %d", id, n) }
+func (rec *recorder) Refuse(id RequestID, retryAfter time.Duration) {
+	rec.record("refuse %d", id)
+	rec.retryAfter = retryAfter
+}
+func (rec *recorder) Fail(id RequestID)     { rec.record("fail %d", id) }
+func (rec *recorder) Release(id RequestID)  { rec.record("release %d", id) }
+func (rec *recorder) Probe(s string)        { rec.record("probe %s", s) }
+func (rec *recorder) AskServers(watch bool) { rec.record("ask %v", watch) }
+func (rec *recorder) SetTimer(token uint64, at time.Duration) {
+	rec.timers[token] = append(rec.timers[token], at)
 }
 
-func (f *recorder) has(what string) bool { return slices.Contains(f.did, what) }
+func (rec *recorder) called(what string) bool { return slices.Contains(rec.calls, what) }
 
-func (f *recorder) count(prefix string) int {
+func (rec *recorder) countCalls(prefix string) int {
 	n := 0
-	for _, d := range f.did {
+	for _, d := range rec.calls {
 		if strings.HasPrefix(d, prefix) {
 			n++
 		}
@@ -51,14 +53,15 @@
 	return n
 }
 
-func (f *recorder) last() string {
-	if len(f.sends) == 0 {
+func (rec *recorder) lastServer() string {
+	if len(rec.sends) == 0 {
 		return ""
 	}
-	return f.sends[len(f.sends)-1]
+	return rec.sends[len(rec.sends)-1]
 }
 
-func settings() Settings {
+// testSettings returns valid settings of one of two routers, with one class and one kind of server per role.
+func testSettings() Settings {
 	class := Class{Aim: 2 * time.Second, Deadline: 8 * time.Second, TokenAim: 70 * time.Millisecond, Worth: 1,
 		RepeatWindow: 5 * time.Second}
 	return Settings{Fronts: 2, Classes: []Class{class}, MaxAttempts: 6, CanCancel: true, Tick: 2 * time.Millisecond,
@@ -66,8 +69,8 @@
 		PinLimit: 500 * time.Millisecond, ColdFrom: 0.25, ColdFor: 12 * time.Second, ColdMultiple: 3, ColdWindow: 3 * time.Second}
 }
 
-// fleet has two readers and two writers in each of two cells.
-func fleet() []Server {
+// testServers returns two readers and two writers in each of two cells, each cell in a zone of its own.
+func testServers() []Server {
 	var all []Server
 	for cell := range 2 {
 		for i := range 2 {
@@ -78,72 +81,74 @@
 	return all
 }
 
-func start(t *testing.T, set Settings, servers []Server) (*Router, *recorder) {
+// newTestRouter returns a Router that has received the servers as its complete list at time 0.
+func newTestRouter(t *testing.T, cfg Settings, servers []Server) (*Router, *recorder) {
 	t.Helper()
-	f := &recorder{timers: make(map[uint64][]time.Duration)}
-	r, err := New(set, 1, f)
+	rec := &recorder{timers: make(map[uint64][]time.Duration)}
+	r, err := New(cfg, 1, rec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Servers(0, ServerList{Whole: true, Servers: servers})
-	return r, f
+	return r, rec
 }
 
-func ask(id RequestID) Request {
+// testRequest returns a request with a session of its own and the shared prefix 7.
+func testRequest(id RequestID) Request {
 	return Request{ID: id, TimeLeft: 8 * time.Second, Session: uint64(id) + 100, Prefix: 7, Prompt: 3000,
 		PrefixLen: 2000, MaxOutput: 400}
 }
 
 const ms = time.Millisecond
 
-// serve takes request id through both stages.
-func serve(r *Router, f *recorder, q Request, now time.Duration) (reader, writer string) {
+// serve takes a request through both stages and returns its servers.
+func serve(r *Router, rec *recorder, q Request, now time.Duration) (reader, writer string) {
 	r.Request(now, q)
-	reader = f.last()
+	reader = rec.lastServer()
 	r.Outcome(now+50*ms, Outcome{ID: q.ID, Server: reader, Status: Read, Took: 50 * ms, Kept: q.Prompt})
-	writer = f.last()
+	writer = rec.lastServer()
 	r.Started(now+80*ms, Started{ID: q.ID, Attempt: 1, Server: writer, Took: 30 * ms})
 	r.Outcome(now+500*ms, Outcome{ID: q.ID, Attempt: 1, Server: writer, Status: Served, Final: true, Took: 450 * ms})
 	return reader, writer
 }
 
-func TestOrdinaryPath(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	home, writer := serve(r, f, ask(1), 0)
+func TestRequestsWithSharedPrefixShareHome(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	home, writer := serve(r, rec, testRequest(1), 0)
 	if home[1] != writer[1] {
 		t.Errorf("writer %s is not in the cell of reader %s", writer, home)
 	}
 	for id := RequestID(2); id < 8; id++ {
-		if again, _ := serve(r, f, ask(id), time.Duration(id)*time.Second); again != home {
-			t.Errorf("request %d with the shared beginning read at %s, not %s", id, again, home)
+		if again, _ := serve(r, rec, testRequest(id), time.Duration(id)*time.Second); again != home {
+			t.Errorf("request %d with the shared prefix read at %s, want %s", id, again, home)
 		}
 	}
-	other, g := start(t, settings(), fleet())
-	other.rng.Uint64() // another front's random numbers differ
-	if h, _ := serve(other, g, ask(99), 0); h != home {
-		t.Errorf("another front's home is %s, not %s", h, home)
+	other, otherRec := newTestRouter(t, testSettings(), testServers())
+	other.rng.Uint64() // a router with other random numbers
+	if h, _ := serve(other, otherRec, testRequest(99), 0); h != home {
+		t.Errorf("home at the other router is %s, want %s", h, home)
 	}
 	if len(r.requests) != 0 || r.requestTokens != 0 {
-		t.Errorf("left over: %d requests, %d tokens", len(r.requests), r.requestTokens)
+		t.Errorf("%d requests and %d tokens left at the end", len(r.requests), r.requestTokens)
 	}
 }
 
-func TestCapSpills(t *testing.T) {
-	r, f := start(t, settings(), fleet())
+func TestReadLimitSpillsToOtherReader(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
 	for id := RequestID(1); id <= 5; id++ {
-		r.Request(0, ask(id))
+		r.Request(0, testRequest(id))
 	}
-	if f.sends[0] != f.sends[3] {
-		t.Errorf("left home %s before the cap: %v", f.sends[0], f.sends)
+	if rec.sends[0] != rec.sends[3] {
+		t.Errorf("home %s abandoned below the limit: %v", rec.sends[0], rec.sends)
 	}
-	if f.sends[4] == f.sends[0] {
-		t.Errorf("fifth read of a front of two not spilled: %v", f.sends)
+	if rec.sends[4] == rec.sends[0] {
+		t.Errorf("fifth read by one of two routers not spilled: %v", rec.sends)
 	}
 }
 
-func TestLongerMatchWins(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	home, _ := serve(r, f, ask(1), 0)
+func TestLongestPrefixMatchWins(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	home, _ := serve(r, rec, testRequest(1), 0)
 	var other *server
 	for _, s := range r.listed {
 		if s.role == Reader && s.ID != home {
@@ -151,21 +156,21 @@
 			break
 		}
 	}
-	q := ask(2)
+	q := testRequest(2)
 	old := q
-	old.Prompt = 2800 // the session's last prompt, longer than the shared beginning
+	old.Prompt = 2800 // the session's last prompt, longer than the shared prefix
 	other.prefixes.record(&old, time.Second)
 	r.Request(2*time.Second, q)
-	if f.last() != other.ID {
-		t.Errorf("read at %s, want %s where the session is known", f.last(), other.ID)
+	if rec.lastServer() != other.ID {
+		t.Errorf("read at %s, want %s, which has the session cached", rec.lastServer(), other.ID)
 	}
 	r.Request(70*time.Second, Request{ID: 3, TimeLeft: 8 * time.Second, Session: q.Session, Prefix: 7, Prompt: 3000})
-	if f.last() != home {
-		t.Errorf("expired match still followed to %s, want home %s", f.last(), home)
+	if rec.lastServer() != home {
+		t.Errorf("expired match still used: read at %s, want home %s", rec.lastServer(), home)
 	}
 }
 
-func TestStateWaitsAfterWriterFailure(t *testing.T) {
+func TestHeldStateGoesToAnotherWriterAfterFailure(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		o      Outcome
@@ -176,25 +181,25 @@
 		{"full", Outcome{Status: Full}, false},
 		{"state gone", Outcome{Status: Full, NoState: true}, true},
 	} {
-		r, f := start(t, settings(), fleet())
-		r.Request(0, ask(1))
-		r.Outcome(50*ms, Outcome{ID: 1, Server: f.last(), Status: Read, Took: 50 * ms})
-		first := f.last()
+		r, rec := newTestRouter(t, testSettings(), testServers())
+		r.Request(0, testRequest(1))
+		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
+		first := rec.lastServer()
 		c.o.ID, c.o.Attempt, c.o.Server = 1, 1, first
 		r.Outcome(100*ms, c.o)
-		if f.last() == first || (f.last()[0] == 'r') != c.reread {
-			t.Errorf("%s: went from %s to %s", c.name, first, f.last())
+		if rec.lastServer() == first || (rec.lastServer()[0] == 'r') != c.reread {
+			t.Errorf("%s: sent to %s, then to %s", c.name, first, rec.lastServer())
 		}
 	}
 }
 
 func TestFinalAnswerByDeadline(t *testing.T) {
-	for _, servers := range [][]Server{nil, fleet()} {
-		r, f := start(t, settings(), servers)
-		r.Request(0, ask(1))
-		for f.count("release") == 0 { // follow the timers
+	for _, servers := range [][]Server{nil, testServers()} {
+		r, rec := newTestRouter(t, testSettings(), servers)
+		r.Request(0, testRequest(1))
+		for rec.countCalls("release") == 0 { // fire the timers in order
 			next := time.Duration(1 << 60)
-			for _, at := range f.timers[1] {
+			for _, at := range rec.timers[1] {
 				if at > r.now && at < next {
 					next = at
 				}
@@ -204,146 +209,147 @@
 			}
 			r.Timer(next, 1)
 		}
-		if n := f.count("refuse 1") + f.count("fail 1"); n != 1 || r.now > 8*time.Second {
-			t.Errorf("%d servers: %d final answers by %v: %v", len(servers), n, r.now, f.did)
+		if n := rec.countCalls("refuse 1") + rec.countCalls("fail 1"); n != 1 || r.now > 8*time.Second {
+			t.Errorf("%d servers: %d final answers by %v: %v", len(servers), n, r.now, rec.calls)
 		}
-		if !f.has("release 1") {
-			t.Error("nothing released")
+		if !rec.called("release 1") {
+			t.Error("no release")
 		}
 	}
 }
 
-func TestLateOutcomeReleases(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	r.Request(0, ask(1))
+func TestLateOutcomeReleasesState(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	r.Request(0, testRequest(1))
 	r.Left(10*ms, 1)
-	before := f.count("release 1")
-	r.Outcome(60*ms, Outcome{ID: 1, Server: f.last(), Status: Read, Took: 60 * ms})
-	if f.count("release 1") != before+1 || len(f.sends) != 1 {
-		t.Errorf("a read that ended late: %v", f.did)
+	before := rec.countCalls("release 1")
+	r.Outcome(60*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 60 * ms})
+	if rec.countCalls("release 1") != before+1 || len(rec.sends) != 1 {
+		t.Errorf("after a read that ended late: %v", rec.calls)
 	}
 	r.Outcome(70*ms, Outcome{ID: 1, Server: "r00", Status: Read})
 	r.Started(70*ms, Started{ID: 1})
 	r.Left(70*ms, 1)
 	r.Timer(70*ms, 1)
 	if len(r.requests) != 0 {
-		t.Error("an ended request is still kept")
+		t.Error("the ended request is not removed")
 	}
 }
 
-func TestEffects(t *testing.T) {
+func TestRepeatRulesByEffect(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		effect Effect
 		scope  Scope
 		status Status
-		sends  int    // in all
-		end    string // the answer once no attempt is left
+		sends  int    // expected sends
+		end    string // expected final answer, "" if another attempt follows
 	}{
 		{"unsafe, may have run", Unsafe, ScopeAll, Errored, 2, "fail 1"},
 		{"unsafe, never ran", Unsafe, ScopeAll, Full, 3, ""},
 		{"keyed in its cell", Keyed, ScopeCell, Errored, 3, ""},
 		{"keyed everywhere", Keyed, ScopeAll, Reset, 3, ""},
 	} {
-		set := settings()
-		set.Classes[0].Effect, set.Classes[0].Scope = c.effect, c.scope
-		r, f := start(t, set, fleet())
-		r.Request(0, ask(1))
-		r.Outcome(50*ms, Outcome{ID: 1, Server: f.last(), Status: Read, Took: 50 * ms})
-		first := f.last()
+		cfg := testSettings()
+		cfg.Classes[0].Effect, cfg.Classes[0].Scope = c.effect, c.scope
+		r, rec := newTestRouter(t, cfg, testServers())
+		r.Request(0, testRequest(1))
+		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
+		first := rec.lastServer()
 		r.Outcome(100*ms, Outcome{ID: 1, Attempt: 1, Server: first, Status: c.status})
-		if len(f.sends) != c.sends || c.end != "" && !f.has(c.end) {
-			t.Errorf("%s: %v", c.name, f.did)
+		if len(rec.sends) != c.sends || c.end != "" && !rec.called(c.end) {
+			t.Errorf("%s: %v", c.name, rec.calls)
 		}
-		if c.scope == ScopeCell && f.last()[1] != first[1] {
-			t.Errorf("%s: left the group, %s after %s", c.name, f.last(), first)
+		if c.scope == ScopeCell && rec.lastServer()[1] != first[1] {
+			t.Errorf("%s: sent to %s after %s, outside the scope", c.name, rec.lastServer(), first)
 		}
 	}
 }
 
-func TestKeyedWindowEnds(t *testing.T) {
-	set := settings()
-	set.Classes[0].Effect, set.Classes[0].Scope = Keyed, ScopeZone
-	r, f := start(t, set, fleet())
-	r.Request(0, ask(1))
-	r.Outcome(50*ms, Outcome{ID: 1, Server: f.last(), Status: Read, Took: 50 * ms})
-	r.Outcome(6*time.Second, Outcome{ID: 1, Attempt: 1, Server: f.last(), Status: TimedOut})
+func TestNoRepeatAfterKeyedWindow(t *testing.T) {
+	cfg := testSettings()
+	cfg.Classes[0].Effect, cfg.Classes[0].Scope = Keyed, ScopeZone
+	r, rec := newTestRouter(t, cfg, testServers())
+	r.Request(0, testRequest(1))
+	r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
+	r.Outcome(6*time.Second, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: TimedOut})
 	r.Timer(8*time.Second, 1)
-	if len(f.sends) != 2 || !f.has("fail 1") || f.count("refuse") > 0 {
-		t.Errorf("after the window: %v", f.did)
+	if len(rec.sends) != 2 || !rec.called("fail 1") || rec.countCalls("refuse") > 0 {
+		t.Errorf("after the end of the window: %v", rec.calls)
 	}
 }
 
-// A window for repeats may be shorter than a repeat takes to arrive: it is none then, and near a longer one's end a repeat
-// that would be dropped when it is chosen may run when it is there.
-func TestARepeatArrivesInsideItsWindow(t *testing.T) {
+// A repeat of a keyed request is dropped only if it arrives within the window. Near the end of the window a repeat can
+// be sent in time and still run on arrival, and a window shorter than the connect timeout allows no repeat at all.
+func TestRepeatMustArriveWithinKeyedWindow(t *testing.T) {
 	for _, c := range []struct {
 		window, at time.Duration
-		again      bool
+		repeated   bool
 	}{{5 * time.Second, 4 * time.Second, true}, {5 * time.Second, 4900 * ms, false}, {200 * ms, 100 * ms, false}, {0, 100 * ms, false}} {
-		set := settings()
-		set.ConnectTimeout = 250 * ms
-		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].RepeatWindow = Keyed, ScopeAll, c.window
-		r, f := start(t, set, fleet())
-		r.Request(0, ask(1))
-		r.Outcome(50*ms, Outcome{ID: 1, Server: f.last(), Status: Read, Took: 50 * ms})
-		r.Probed(50*ms+c.at, Probed{Server: f.last(), Queue: -1, Tokens: -1}) // it was in reach, and so has the state still
-		r.Outcome(50*ms+c.at, Outcome{ID: 1, Attempt: 1, Server: f.last(), Status: TimedOut})
-		if again := len(f.sends) > 2; again != c.again {
-			t.Errorf("window %v, %v after the write: sent again %v; %v", c.window, c.at, again, f.did)
-		}
-	}
-}
-
-// A refusal invites the client to come again for as long as it waits: where repeats are dropped for less, its request
-// would run twice.
-func TestARefusalIsHarmlessForAsLongAsTheClientWaits(t *testing.T) {
-	for window, end := range map[time.Duration]string{0: "fail 1", 5 * time.Second: "fail 1", 7900 * ms: "fail 1", 8 * time.Second: "refuse 1", 20 * time.Second: "refuse 1"} {
-		set := settings()
-		set.Classes[0].Effect, set.Classes[0].Scope, set.Classes[0].RepeatWindow = Keyed, ScopeAll, window
-		set.MaxAttempts = 2
-		r, f := start(t, set, fleet())
-		r.Request(0, ask(1))
-		r.Outcome(50*ms, Outcome{ID: 1, Server: f.last(), Status: Read, Took: 50 * ms})
-		r.Outcome(100*ms, Outcome{ID: 1, Attempt: 1, Server: f.last(), Status: Reset})
-		if !f.has(end) || f.count("refuse")+f.count("fail") != 1 {
-			t.Errorf("window %v: %v, want %s", window, f.did, end)
-		}
-	}
-}
-
-func TestOutAttemptIsNotRefused(t *testing.T) {
-	set := settings()
-	set.Classes[0].Effect = Unsafe
-	r, f := start(t, set, fleet())
-	r.Request(0, ask(1))
+		cfg := testSettings()
+		cfg.ConnectTimeout = 250 * ms
+		cfg.Classes[0].Effect, cfg.Classes[0].Scope, cfg.Classes[0].RepeatWindow = Keyed, ScopeAll, c.window
+		r, rec := newTestRouter(t, cfg, testServers())
+		r.Request(0, testRequest(1))
+		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
+		r.Probed(50*ms+c.at, Probed{Server: rec.lastServer(), Queue: -1, Tokens: -1}) // the server is reachable, so the state is still held
+		r.Outcome(50*ms+c.at, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: TimedOut})
+		if repeated := len(rec.sends) > 2; repeated != c.repeated {
+			t.Errorf("window %v, %v after the write: repeated = %v; %v", c.window, c.at, repeated, rec.calls)
+		}
+	}
+}
+
+// A refused client may retry until its deadline. If repeats are dropped for less than that, the request would run
+// twice, so it must fail instead.
+func TestRefusalOnlyIfRepeatsAreDroppedUntilDeadline(t *testing.T) {
+	for window, end := range map[time.Duration]string{0: "fail 1", 5 * time.Second: "fail 1", 7900 * ms: "fail 1",
+		8 * time.Second: "refuse 1", 20 * time.Second: "refuse 1"} {
+		cfg := testSettings()
+		cfg.Classes[0].Effect, cfg.Classes[0].Scope, cfg.Classes[0].RepeatWindow = Keyed, ScopeAll, window
+		cfg.MaxAttempts = 2
+		r, rec := newTestRouter(t, cfg, testServers())
+		r.Request(0, testRequest(1))
+		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
+		r.Outcome(100*ms, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: Reset})
+		if !rec.called(end) || rec.countCalls("refuse")+rec.countCalls("fail") != 1 {
+			t.Errorf("window %v: %v, want %s", window, rec.calls, end)
+		}
+	}
+}
+
+func TestNoRefusalWithUnsafeAttemptInFlight(t *testing.T) {
+	cfg := testSettings()
+	cfg.Classes[0].Effect = Unsafe
+	r, rec := newTestRouter(t, cfg, testServers())
+	r.Request(0, testRequest(1))
 	r.Timer(8*time.Second, 1)
-	if !f.has("fail 1") || f.count("refuse") > 0 {
-		t.Errorf("deadline with an attempt out: %v", f.did)
+	if !rec.called("fail 1") || rec.countCalls("refuse") > 0 {
+		t.Errorf("deadline with an attempt in flight: %v", rec.calls)
 	}
 }
 
-func TestDrain(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	home, _ := serve(r, f, ask(1), 0)
+func TestDrainingServerGetsNoRequests(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	home, _ := serve(r, rec, testRequest(1), 0)
 	drained := Server{ID: home, State: Draining, Kind: 0}
 	r.Servers(time.Second, ServerList{Servers: []Server{drained}})
 	for id := RequestID(2); id < 20; id++ {
-		if at, _ := serve(r, f, ask(id), time.Second); at == home {
+		if at, _ := serve(r, rec, testRequest(id), time.Second); at == home {
 			t.Fatalf("request %d sent to draining %s", id, home)
 		}
 	}
 }
 
 func TestColdServerIsPaced(t *testing.T) {
-	r, f := start(t, settings(), fleet())
+	r, rec := newTestRouter(t, testSettings(), testServers())
 	var now time.Duration
 	id := RequestID(1)
 	run := func(n int) {
 		for range n {
-			q := ask(id)
+			q := testRequest(id)
 			q.Prefix = uint64(id)
-			serve(r, f, q, now)
+			serve(r, rec, q, now)
 			id++
 			now += 50 * ms
 		}
@@ -351,148 +357,149 @@
 	run(200)
 	cold := Server{ID: "r00", Kind: 0, Weight: 1, Since: now}
 	r.Servers(now, ServerList{Servers: []Server{cold}})
-	f.sends = nil
-	run(60) // 3 s, the fleet's four readers take 15 each
+	rec.sends = nil
+	run(60) // 3 s; an even share of the four readers is 15 each
 	n := 0
-	for _, s := range f.sends {
+	for _, s := range rec.sends {
 		if s == "r00" {
 			n++
 		}
 	}
 	if n == 0 || n > 12 {
-		t.Errorf("cold server got %d of 60 reads in its first 3 s", n)
+		t.Errorf("cold server got %d of 60 reads in its first 3 s, want 1 to 12", n)
 	}
 }
 
-func TestSilenceMovesOn(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	home, _ := serve(r, f, ask(1), 0)
-	r.Request(time.Second, ask(2))
-	at := slices.Min(f.timers[2])
+func TestSilentAttemptIsRetriedElsewhere(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	home, _ := serve(r, rec, testRequest(1), 0)
+	r.Request(time.Second, testRequest(2))
+	at := slices.Min(rec.timers[2])
 	r.Timer(at, 2)
-	if !f.has("cancel 2 0") || at > 3*time.Second {
-		t.Fatalf("no cancel of a silent attempt by %v: %v", at, f.did)
+	if !rec.called("cancel 2 0") || at > 3*time.Second {
+		t.Fatalf("silent attempt not cancelled by %v: %v", at, rec.calls)
 	}
 	r.Outcome(at, Outcome{ID: 2, Server: home, Status: Cancelled})
-	if f.last() == home || !r.servers[home].suspect {
-		t.Errorf("silent %s is still used", home)
+	if rec.lastServer() == home || !r.servers[home].suspect {
+		t.Errorf("silent server %s is still used", home)
 	}
 }
 
-// An attempt on a connection that fell silent must not wait for as long as its server answers others.
-func TestAnOvertakenAttemptMovesOn(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	home, _ := serve(r, f, ask(1), 0)
-	r.Request(time.Second, ask(2))
-	at := slices.Min(f.timers[2])
-	q := ask(3)
-	r.Request(time.Second+10*ms, q) // sent right behind it: nobody has overtaken anybody
+// An attempt on a dead connection must be cancelled although its server answers others. An answer to an attempt that
+// was sent much later shows that it is overtaken.
+func TestOvertakenAttemptIsCancelled(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	home, _ := serve(r, rec, testRequest(1), 0)
+	r.Request(time.Second, testRequest(2))
+	at := slices.Min(rec.timers[2])
+	q := testRequest(3)
+	r.Request(time.Second+10*ms, q) // sent at almost the same time, so its answer proves nothing
 	r.Outcome(at-ms, Outcome{ID: 3, Server: home, Status: Read, Took: 50 * ms})
 	r.Timer(at, 2)
-	if f.has("cancel 2 0") {
-		t.Fatal("called off for one that was sent at the same time")
+	if rec.called("cancel 2 0") {
+		t.Fatal("cancelled because of an attempt sent at the same time")
 	}
-	r.Request(at, ask(4))
+	r.Request(at, testRequest(4))
 	r.Outcome(at+50*ms, Outcome{ID: 4, Server: home, Status: Read, Took: 50 * ms})
-	r.Timer(slices.Max(f.timers[2][1:]), 2)
-	if !f.has("cancel 2 0") {
-		t.Errorf("waits on though later ones are answered: %v", f.did)
+	r.Timer(slices.Max(rec.timers[2][1:]), 2)
+	if !rec.called("cancel 2 0") {
+		t.Errorf("not cancelled though a later attempt is answered: %v", rec.calls)
 	}
 }
 
-func TestBusyIsNotSilent(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	r.Request(0, ask(1))
-	r.Request(ms, ask(2))
-	r.Outcome(600*ms, Outcome{ID: 2, Server: f.sends[1], Status: Read, Took: 600 * ms})
-	r.Timer(slices.Min(f.timers[1]), 1)
-	if f.count("cancel") > 0 {
-		t.Errorf("a server that shows life was given up: %v", f.did)
+func TestBusyServerIsNotSilent(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	r.Request(0, testRequest(1))
+	r.Request(ms, testRequest(2))
+	r.Outcome(600*ms, Outcome{ID: 2, Server: rec.sends[1], Status: Read, Took: 600 * ms})
+	r.Timer(slices.Min(rec.timers[1]), 1)
+	if rec.countCalls("cancel") > 0 {
+		t.Errorf("attempt cancelled though the server answers: %v", rec.calls)
 	}
 }
 
-func TestSuspectRestsAndReturns(t *testing.T) {
-	r, _ := start(t, settings(), fleet())
+func TestSuspectServerBacksOffAndRecovers(t *testing.T) {
+	r, _ := newTestRouter(t, testSettings(), testServers())
 	s := r.servers["r00"]
-	r.kinds[0].accepted.add(0, 10*loadSpan.Seconds()) // a server takes one in a tenth of a second
+	r.kinds[0].accepted.add(0, 10*loadSpan.Seconds()) // each server accepts 10 requests per second
 	for range 3 {
 		r.recordFailure(s, 1)
 	}
 	if !s.suspect || r.trusted(s) {
-		t.Fatal("three failures in a row leave a server trusted")
+		t.Fatal("server still trusted after three failures in a row")
 	}
 	r.now += minBackoff
 	if !r.trusted(s) {
-		t.Fatal("no trial after the rest")
+		t.Fatal("no trial after the backoff")
 	}
 	s.inFlight = 1
 	if r.trusted(s) {
-		t.Error("second trial while the first is out")
+		t.Error("second trial while the first is in flight")
 	}
 	s.inFlight = 0
 	for range 8 {
 		r.recordSuccess(s, 0.05)
 	}
 	if s.suspect {
-		t.Error("a healed server is still suspect")
+		t.Error("server still suspect after eight successes")
 	}
 	for _, s := range r.listed {
 		s.suspect, s.backoff.until = true, time.Hour
 	}
-	p := &request{Request: ask(1), class: &r.cfg.Classes[0]}
+	p := &request{Request: testRequest(1), class: &r.cfg.Classes[0]}
 	if len(r.candidates(p, Reader)) != 4 {
-		t.Error("a symptom seen everywhere empties the fleet")
+		t.Error("servers are excluded though all are suspect")
 	}
 }
 
-func TestVoidedPrefixesAreForgotten(t *testing.T) {
-	r, _ := start(t, settings(), fleet())
+func TestLostPrefixDropsOlderOnes(t *testing.T) {
+	r, _ := newTestRouter(t, testSettings(), testServers())
 	s := r.servers["r00"]
-	q, old := ask(1), ask(2)
+	q, old := testRequest(1), testRequest(2)
 	old.Prefix = 8
 	s.prefixes.record(&old, 0)
 	s.prefixes.record(&q, time.Second)
 	a := attempt{match: 3000, since: time.Second}
 	s.prefixes.reconcile(&a, 2900, 30*time.Second)
 	if n, _ := s.prefixes.match(&old, 30*time.Second); n == 0 {
-		t.Error("a kept prefix voids the record")
+		t.Error("record dropped though the prefix was cached")
 	}
 	s.prefixes.reconcile(&a, 0, 30*time.Second)
 	if n, _ := s.prefixes.match(&old, 30*time.Second); n != 0 {
-		t.Errorf("%d tokens still on record, sent before the lost ones", n)
+		t.Errorf("%d tokens still recorded, sent before the lost prefix", n)
 	}
 }
 
-func TestFullWriterPassedOver(t *testing.T) {
-	r, _ := start(t, settings(), fleet())
-	p := &request{Request: ask(1), class: &r.cfg.Classes[0], holder: r.servers["r00"]}
+func TestFullWriterIsPassedOver(t *testing.T) {
+	r, _ := newTestRouter(t, testSettings(), testServers())
+	p := &request{Request: testRequest(1), class: &r.cfg.Classes[0], holder: r.servers["r00"]}
 	r.servers["w00"].tokens = 150000
 	r.servers["w01"].tokens = 150000
 	if w := r.pickWriter(p); w.Cell != 1 {
-		t.Errorf("picked %s in a cell without room", w.ID)
+		t.Errorf("picked %s in a cell whose writers are full", w.ID)
 	}
 	r.nearTransfers = mean{value: 0.05, n: 9}
 	r.farTransfers = mean{value: 1, n: 9}
 	r.servers["w01"].tokens = 60000
 	if w := r.pickWriter(p); w.ID != "w01" {
-		t.Errorf("picked %s over a slow link, the cell has room", w.ID)
+		t.Errorf("picked %s over a slow link though the cell has room", w.ID)
 	}
 }
 
-func TestOverloadSheds(t *testing.T) {
-	r, f := start(t, settings(), fleet())
+func TestOverloadRefusesRequests(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
 	for _, s := range r.listed {
 		s.wait = mean{value: 5, n: 4}
 	}
 	for id := RequestID(1); id < 40; id++ {
-		r.Request(0, ask(id))
+		r.Request(0, testRequest(id))
 	}
-	if f.count("send") == 0 || f.count("refuse") == 0 {
-		t.Errorf("with waits of 5 s: %v", f.did)
+	if rec.countCalls("send") == 0 || rec.countCalls("refuse") == 0 {
+		t.Errorf("at waits of 5 s: %v", rec.calls)
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestInvalidSettingsAndEvents(t *testing.T) {
 	bad := []func(*Settings){
 		func(s *Settings) { s.Fronts = 0 },
 		func(s *Settings) { s.Front = 5 },
@@ -501,162 +508,163 @@
 		func(s *Settings) { s.Classes[0].Scope = 9 },
 		func(s *Settings) { s.PinLimit = -1 },
 	}
-	for i, spoil := range bad {
-		set := settings()
-		spoil(&set)
-		if _, err := New(set, 1, &recorder{}); err == nil {
+	for i, invalidate := range bad {
+		cfg := testSettings()
+		invalidate(&cfg)
+		if _, err := New(cfg, 1, &recorder{}); err == nil {
 			t.Errorf("settings %d: no error", i)
 		}
 	}
-	r, f := start(t, settings(), append(fleet(), Server{ID: "x", Kind: 9}))
+	r, rec := newTestRouter(t, testSettings(), append(testServers(), Server{ID: "x", Kind: 9}))
 	r.Request(0, Request{ID: 1, Class: 4})
 	r.Request(0, Request{ID: 2, Tenant: 3, TimeLeft: time.Second})
 	r.Outcome(0, Outcome{ID: 77})
 	r.Outcome(0, Outcome{ID: 2, Attempt: 5})
 	r.Timer(0, 12345)
-	if !f.has("fail 1") && !f.has("refuse 1") {
-		t.Errorf("a request of an unknown class gets no answer: %v", f.did)
+	if !rec.called("fail 1") && !rec.called("refuse 1") {
+		t.Errorf("no answer to a request of an unknown class: %v", rec.calls)
 	}
 }
 
-func TestAsksForServers(t *testing.T) {
-	set := settings()
-	set.MustAsk = true
-	r, f := start(t, set, nil)
+func TestFailedServerListIsRequestedAgain(t *testing.T) {
+	cfg := testSettings()
+	cfg.MustAsk = true
+	r, rec := newTestRouter(t, cfg, nil)
 	r.Servers(0, ServerList{Failed: true})
 	r.Timer(listRetryInterval, listTimerToken)
-	if f.count("ask true") != 2 {
-		t.Errorf("asked %d times", f.count("ask true"))
+	if rec.countCalls("ask true") != 2 {
+		t.Errorf("server list requested %d times, want 2", rec.countCalls("ask true"))
 	}
 }
 
-func TestSameSeedSameActions(t *testing.T) {
+func TestEqualSeedsGiveEqualCalls(t *testing.T) {
 	var runs [2][]string
 	for i := range runs {
-		r, f := start(t, settings(), fleet())
+		r, rec := newTestRouter(t, testSettings(), testServers())
 		for id := RequestID(1); id < 60; id++ {
-			q := ask(id)
+			q := testRequest(id)
 			q.Prefix = uint64(id % 5)
-			serve(r, f, q, time.Duration(id)*20*ms)
+			serve(r, rec, q, time.Duration(id)*20*ms)
 		}
-		runs[i] = f.did
+		runs[i] = rec.calls
 	}
 	if !slices.Equal(runs[0], runs[1]) {
-		t.Error("equal seeds and events, other actions")
+		t.Error("equal seeds and events gave different calls")
 	}
 }
 
-func TestSluggishReaderIsPassedOver(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	home, _ := serve(r, f, ask(1), 0)
+func TestSlowReaderIsPassedOver(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	home, _ := serve(r, rec, testRequest(1), 0)
 	for _, s := range r.listed {
 		s.wait = mean{value: 0.05, n: 4}
 	}
 	slow := r.servers[home]
 	slow.wait, slow.inFlight = mean{value: 3, n: 4}, 1
-	r.Request(time.Second, ask(2))
-	if f.last() == home || f.count("refuse") > 0 {
-		t.Errorf("its prefix keeps a request at sluggish %s: %v", home, f.did)
+	r.Request(time.Second, testRequest(2))
+	if rec.lastServer() == home || rec.countCalls("refuse") > 0 {
+		t.Errorf("request sent to slow home %s or refused: %v", home, rec.calls)
 	}
 }
 
-func TestMixedBehindLeavesToReaders(t *testing.T) {
-	set := settings()
-	r, f := start(t, set, append(fleet(), Server{ID: "m0", Kind: 2}))
+func TestBackloggedMixedServerGetsNoRequests(t *testing.T) {
+	cfg := testSettings()
+	r, rec := newTestRouter(t, cfg, append(testServers(), Server{ID: "m0", Kind: 2}))
 	m := r.servers["m0"]
 	m.wait, m.inFlight = mean{value: 5, n: 4}, 1
-	whole := 0
+	sentToMixed := 0
 	for id := RequestID(1); id < 30; id++ {
-		r.Request(0, ask(id))
-		if f.last() == "m0" {
-			whole++
+		r.Request(0, testRequest(id))
+		if rec.lastServer() == "m0" {
+			sentToMixed++
 		}
 		r.Left(0, id)
 		for _, s := range r.listed[1:] {
 			s.inFlight = 0
 		}
 	}
-	if whole > 0 || f.count("refuse") > 0 {
-		t.Errorf("%d of 29 sent whole to a mixed server that is behind, %d refused", whole, f.count("refuse"))
+	if sentToMixed > 0 || rec.countCalls("refuse") > 0 {
+		t.Errorf("%d of 29 sent to a mixed server with a backlog, %d refused", sentToMixed, rec.countCalls("refuse"))
 	}
 }
 
-func TestDeadReadersLeaveToWritersThatRead(t *testing.T) {
-	set := settings()
-	set.WritersRead = true
-	r, f := start(t, set, fleet())
+func TestWritersReadWhenAllReadersAreSuspect(t *testing.T) {
+	cfg := testSettings()
+	cfg.WritersRead = true
+	r, rec := newTestRouter(t, cfg, testServers())
 	for _, s := range r.listed {
 		if s.role == Reader {
 			s.suspect, s.backoff.until = true, time.Minute
 		}
 	}
-	r.Request(0, ask(1))
-	if f.last() == "" || f.last()[0] != 'w' {
-		t.Errorf("with all readers dead: %v", f.did)
+	r.Request(0, testRequest(1))
+	if rec.lastServer() == "" || rec.lastServer()[0] != 'w' {
+		t.Errorf("with all readers suspect: %v", rec.calls)
 	}
-	first := f.last()
+	first := rec.lastServer()
 	r.Started(100*ms, Started{ID: 1, Server: first, Took: 100 * ms})
-	r.Request(200*ms, ask(2))
-	if f.last() != first {
-		t.Errorf("the shared beginning was read at %s, then at %s", first, f.last())
+	r.Request(200*ms, testRequest(2))
+	if rec.lastServer() != first {
+		t.Errorf("the shared prefix was read at %s, then at %s", first, rec.lastServer())
 	}
 }
 
-func TestRestartVoidsWhatWasKnown(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	home, _ := serve(r, f, ask(1), 0)
+func TestRestartResetsServerState(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	home, _ := serve(r, rec, testRequest(1), 0)
 	s := r.servers[home]
 	s.suspect, s.backoff.until, s.tokens = true, time.Hour, 30
 	r.Servers(time.Second, ServerList{Servers: []Server{{ID: home, Kind: 0, Since: time.Second}}})
-	q := ask(2)
+	q := testRequest(2)
 	if n, _ := s.prefixes.match(&q, time.Second); n != 0 || s.suspect || s.tokens != 30 {
-		t.Errorf("after a restart: match %d, suspect %v, own tokens %d", n, s.suspect, s.tokens)
+		t.Errorf("after a restart: match %d, suspect %v, own tokens %d, want 0, false, 30", n, s.suspect, s.tokens)
 	}
 }
 
-func TestLongPromptIsNotSilence(t *testing.T) {
-	r, _ := start(t, settings(), fleet())
+func TestSilenceTimeoutGrowsWithUncachedPrompt(t *testing.T) {
+	r, _ := newTestRouter(t, testSettings(), testServers())
 	r.secondsPerToken = 0.0001
-	s, p := r.servers["r00"], &request{Request: ask(1), class: &r.cfg.Classes[0]}
+	s, p := r.servers["r00"], &request{Request: testRequest(1), class: &r.cfg.Classes[0]}
 	short := r.silenceTimeout(p, s)
 	p.Prompt = 20000
 	long := r.silenceTimeout(p, s)
 	if long < short+2*time.Second {
-		t.Errorf("20,000 new tokens at 0.1 ms each: silent after %v, 3,000: after %v", long, short)
+		t.Errorf("silence timeout for 20,000 uncached tokens at 0.1 ms each: %v, for 3,000: %v", long, short)
 	}
-	kept := p.Request
-	s.prefixes.record(&kept, 0)
+	cached := p.Request
+	s.prefixes.record(&cached, 0)
 	if again := r.silenceTimeout(p, s); again > short {
-		t.Errorf("a kept prompt counts as new: silent after %v", again)
+		t.Errorf("silence timeout %v for a cached prompt: it counts as uncached", again)
 	}
 }
 
-func TestStateStuckOnALink(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	p := &request{Request: ask(1), class: &r.cfg.Classes[0], deadline: 8 * time.Second, holder: r.servers["r00"]}
+func TestFarTransferTimesOutEarlier(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	p := &request{Request: testRequest(1), class: &r.cfg.Classes[0], deadline: 8 * time.Second, holder: r.servers["r00"]}
 	r.requests[1] = p
 	r.send(p, r.servers["w10"], false)
-	far := f.timeout
+	far := rec.lastTimeout
 	r.send(p, r.servers["w00"], false)
-	if far > time.Second || f.timeout < 2*far {
-		t.Errorf("time-outs: %v out of the cell, %v in it", far, f.timeout)
+	if far > time.Second || rec.lastTimeout < 2*far {
+		t.Errorf("timeouts: %v out of the cell, %v within it", far, rec.lastTimeout)
 	}
 	r.Outcome(far, Outcome{ID: 1, Server: "w10", Status: TimedOut, Took: far})
 	if r.farTransfers.n == 0 {
-		t.Error("a move that timed out is not counted as a slow one")
+		t.Error("a transfer that timed out is not counted as slow")
 	}
 }
 
-// The fronts have equal parts of the budget, and turns for the rest of a request: what counts is the sum of them all.
-func TestColdBurst(t *testing.T) {
-	set := settings()
-	set.ColdWindow = 1500 * ms
+// Few routers split the budget of a cold server evenly and take turns with fractions of a request. The sum over all of
+// them must stay within the budget.
+func TestColdBudgetIsSplitAmongRouters(t *testing.T) {
+	cfg := testSettings()
+	cfg.ColdWindow = 1500 * ms
 	now := 100 * time.Second
-	budget := float64(set.Fronts) * set.ColdMultiple * set.ColdFrom * 10 * set.ColdWindow.Seconds()
+	budget := float64(cfg.Fronts) * cfg.ColdMultiple * cfg.ColdFrom * 10 * cfg.ColdWindow.Seconds()
 	atOnce, inWindow := 0.0, 0.0
-	for set.Front = range set.Fronts {
-		r, _ := start(t, set, fleet())
-		r.kinds[0].accepted.add(now, 10*loadSpan.Seconds()) // warm servers took 10 a second from this front
+	for cfg.Front = range cfg.Fronts {
+		r, _ := newTestRouter(t, cfg, testServers())
+		r.kinds[0].accepted.add(now, 10*loadSpan.Seconds()) // warm servers accept 10 requests per second from this router
 		r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now}}})
 		s, n, p := r.servers["r00"], 0.0, &request{}
 		burst := func() {
@@ -666,80 +674,81 @@
 		}
 		burst()
 		if atOnce += n; n < 1 {
-			t.Errorf("front %d sends nothing", set.Front)
+			t.Errorf("router %d sends nothing", cfg.Front)
 		}
-		for r.now < now+set.ColdWindow-10*ms { // what has been sent counts in full until the window has passed
+		for r.now < now+cfg.ColdWindow-10*ms { // each send counts in full until the window has passed
 			r.now += 10 * ms
 			burst()
 		}
 		inWindow += n
 		if r.now += 20 * ms; !r.mayUseCold(p, s) {
-			t.Error("nothing may be sent once the window has passed")
+			t.Error("no send is allowed after the window has passed")
 		}
 	}
 	if atOnce > 0.7*budget {
-		t.Errorf("a burst of %.0f at once, the rule's window allows %.1f", atOnce, budget)
+		t.Errorf("%.0f sends at once, the budget of a window is %.1f", atOnce, budget)
 	}
 	if inWindow > 0.7*budget {
-		t.Errorf("%.0f in one window, which allows %.1f", inWindow, budget)
+		t.Errorf("%.0f sends in one window, its budget is %.1f", inWindow, budget)
 	}
 }
 
-// While many of a kind are cold, what the warm ones take must not be spread over all: the cold ones would
-// get next to nothing, and the warm ones drown.
-func TestColdOnesDoNotHideWhatWarmOnesTake(t *testing.T) {
-	r, f := start(t, settings(), fleet())
+// The accepted rate of a kind is a mean over its warm servers only. Averaged over cold ones too, it would be so low
+// that cold servers got almost nothing while the warm ones were overloaded.
+func TestColdServersDoNotLowerAcceptedRate(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
 	now := 200 * time.Second
 	for _, id := range []string{"r00", "r01", "r10"} {
 		r.Servers(now, ServerList{Servers: []Server{{ID: id, Kind: 0, Since: now}}})
 	}
 	r.firstListAt = 0
 	for id := RequestID(1); now < 206*time.Second; id++ {
-		q := ask(id)
+		q := testRequest(id)
 		q.Prefix = uint64(id)
 		r.Request(now, q)
-		r.recordSuccess(r.servers["r11"], 0) // the warm one takes ten a second
+		r.recordSuccess(r.servers["r11"], 0) // the warm server accepts 10 per second
 		now += 100 * ms
 	}
-	taken := 10 * (1 - math.Exp(-6.0/30))
-	if got := r.accepted(0) / loadSpan.Seconds() / r.observedFraction(); got < 0.9*taken {
-		t.Errorf("warm ones are taken to take %.2f a second after 6 s of %.2f; %d sends", got, taken, len(f.sends))
+	wantRate := 10 * (1 - math.Exp(-6.0/30))
+	if got := r.accepted(0) / loadSpan.Seconds() / r.observedFraction(); got < 0.9*wantRate {
+		t.Errorf("accepted rate per warm server is %.2f per second, want about %.2f after 6 s; %d sends", got, wantRate, len(rec.sends))
 	}
 }
 
-// usual is what a warm server of the kind takes from this front in a second.
-func usual(r *Router, kind int) float64 {
+// acceptedPerSecond returns how many requests per second a warm server of the kind accepts from this router.
+func acceptedPerSecond(r *Router, kind int) float64 {
 	return r.accepted(kind) / r.observedFraction() / loadSpan.Seconds()
 }
 
-// A kind of which no server is warm goes by the others of its role, and a process that takes over by what the
-// older one had learned: else cold servers would get one request a window while the rest drown.
-func TestUsualOfAKindWithoutWarmServers(t *testing.T) {
-	set := settings()
-	set.Kinds = append(set.Kinds, Kind{Role: Reader, MemoryTokens: 200000})
-	old, _ := start(t, set, fleet())
+// A kind without warm servers uses the accepted rate of the other kinds of its role, and a new process uses the rates
+// that the previous one had learned. Otherwise cold servers would get one request per window while the rest are
+// overloaded.
+func TestAcceptedRateOfKindWithoutWarmServers(t *testing.T) {
+	cfg := testSettings()
+	cfg.Kinds = append(cfg.Kinds, Kind{Role: Reader, MemoryTokens: 200000})
+	old, _ := newTestRouter(t, cfg, testServers())
 	now := 200 * time.Second
 	old.now = now
 	old.kinds[0].accepted.add(now, 5*loadSpan.Seconds())
-	r, _ := start(t, set, fleet())
+	r, _ := newTestRouter(t, cfg, testServers())
 	if err := r.Learn(now, old.Learned(now)); err != nil {
 		t.Fatal(err)
 	}
 	r.Servers(now, ServerList{Servers: []Server{{ID: "new", Kind: 3, Since: now}}})
-	if a, b := usual(r, 0), usual(r, 3); a < 4.9 || a > 5.1 || b < 3 || b > a {
-		t.Errorf("usual %.2f of the warm kind, %.2f of the cold one", a, b)
+	if a, b := acceptedPerSecond(r, 0), acceptedPerSecond(r, 3); a < 4.9 || a > 5.1 || b < 3 || b > a {
+		t.Errorf("accepted rate is %.2f for the warm kind, %.2f for the cold one", a, b)
 	}
 	bad := old.Learned(now)
 	bad.Near[0] = math.NaN()
-	if r.Learn(now, bad) == nil || r.Learn(now, Learned{}) == nil || usual(r, 0) < 4.9 {
-		t.Error("took what makes no sense")
+	if r.Learn(now, bad) == nil || r.Learn(now, Learned{}) == nil || acceptedPerSecond(r, 0) < 4.9 {
+		t.Error("invalid estimates were accepted")
 	}
 }
 
-// A writer that begins its answers in time but takes several times as long for them as its peers must be
-// passed over, and tried again with one answer at a time.
-func TestSlowStreamsArePassedOver(t *testing.T) {
-	r, f := start(t, settings(), fleet())
+// A writer that starts answers in time but streams them several times slower than its peers must be passed over and
+// later tried again with one answer at a time.
+func TestSlowStreamingWriterIsPassedOver(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
 	id := RequestID(1)
 	type answer struct {
 		id   RequestID
@@ -748,20 +757,20 @@
 	}
 	var open []answer
 	now := time.Duration(0)
-	run := func(till, slow time.Duration) map[string]int {
+	run := func(until, slow time.Duration) map[string]int {
 		got := map[string]int{}
-		for ; now < till; now += 50 * ms {
-			f.sends = nil
-			q := ask(id)
+		for ; now < until; now += 50 * ms {
+			rec.sends = nil
+			q := testRequest(id)
 			q.Prefix, q.Hint, q.Prompt = uint64(id), 4*time.Second, 100
 			r.Request(now, q)
-			r.Outcome(now, Outcome{ID: id, Server: f.last(), Status: Read})
+			r.Outcome(now, Outcome{ID: id, Server: rec.lastServer(), Status: Read})
 			took := 2 * time.Second
-			if got[f.last()]++; f.last() == "w00" {
+			if got[rec.lastServer()]++; rec.lastServer() == "w00" {
 				took = slow
 			}
-			r.Started(now, Started{ID: id, Attempt: 1, Server: f.last(), Took: 50 * ms})
-			open = append(open, answer{id, f.last(), now + took})
+			r.Started(now, Started{ID: id, Attempt: 1, Server: rec.lastServer(), Took: 50 * ms})
+			open = append(open, answer{id, rec.lastServer(), now + took})
 			id++
 			open = slices.DeleteFunc(open, func(a answer) bool {
 				if a.ends <= now {
@@ -774,9 +783,9 @@
 	}
 	run(5*time.Second, 12*time.Second)
 	if got := run(12*time.Second, 12*time.Second); got["w00"] > 2 || got["w01"] == 0 {
-		t.Errorf("a slow writer goes on: %v", got)
+		t.Errorf("slow writer still gets answers: %v", got)
 	}
-	next, _ := start(t, settings(), fleet()) // a process that takes over must not find that out anew
+	next, _ := newTestRouter(t, testSettings(), testServers()) // the next process must not have to learn this again
 	if err := next.Learn(now, r.Learned(now)); err != nil {
 		t.Fatal(err)
 	}
@@ -787,26 +796,26 @@
 	}
 	run(40*time.Second, 2*time.Second)
 	if got := run(50*time.Second, 2*time.Second); got["w00"] < got["w01"]/2 {
-		t.Errorf("a writer that is quick again is left out: %v", got)
+		t.Errorf("recovered writer gets too few answers: %v", got)
 	}
 	for id := range r.requests {
 		r.Outcome(now, Outcome{ID: id, Attempt: 1, Server: r.requests[id].attempts[1].server.ID, Status: Reset, Final: true})
 	}
 	if s := r.servers["w01"]; math.Abs(s.streams.inverse) > 1e-6 {
-		t.Errorf("%v streams left after the last", s.streams.inverse)
+		t.Errorf("sum over running streams is %v after the last has ended", s.streams.inverse)
 	}
 }
 
-// A handful of fronts must not push a cold server over together.
-func TestColdSumOverFronts(t *testing.T) {
-	for _, fronts := range []int{2, 4} {
-		set := settings()
-		set.Fronts, set.ColdWindow = fronts, 1500*ms
+// The sends of a few routers together must stay within the budget of a cold server.
+func TestColdSendsOfAllRoutersStayWithinBudget(t *testing.T) {
+	for _, routers := range []int{2, 4} {
+		cfg := testSettings()
+		cfg.Fronts, cfg.ColdWindow = routers, 1500*ms
 		now := 100 * time.Second
 		sum := 0.0
-		for set.Front = range fronts {
-			r, _ := start(t, set, fleet())
-			r.kinds[0].accepted.add(now, 10/float64(fronts)*loadSpan.Seconds()) // 10 a second from all fronts
+		for cfg.Front = range routers {
+			r, _ := newTestRouter(t, cfg, testServers())
+			r.kinds[0].accepted.add(now, 10/float64(routers)*loadSpan.Seconds()) // 10 per second from all routers
 			r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now}}})
 			s := r.servers["r00"]
 			for n := 0; r.mayUseCold(&request{}, s) && n < 100; n++ {
@@ -814,15 +823,15 @@
 				sum++
 			}
 		}
-		budget := set.ColdMultiple * set.ColdFrom * 10 * set.ColdWindow.Seconds()
+		budget := cfg.ColdMultiple * cfg.ColdFrom * 10 * cfg.ColdWindow.Seconds()
 		if sum < 0.4*budget || sum > budget {
-			t.Errorf("%d fronts together send %.0f, the rule's window allows %.1f", fronts, sum, budget)
+			t.Errorf("%d routers together send %.0f, the budget of a window is %.1f", routers, sum, budget)
 		}
 	}
 }
 
-// many is a fleet of one zone with cells of readers and writers, behind many fronts.
-func many(cells, readers, writers int) []Server {
+// cellServers returns the given number of cells in one zone, each with readers and writers.
+func cellServers(cells, readers, writers int) []Server {
 	var all []Server
 	for c := range cells {
 		for i := range readers {
@@ -835,26 +844,26 @@
 	return all
 }
 
-// A popular beginning spills from a home that is slow, and all fronts spill the same sessions.
-func TestPopularBeginningSpillsAlike(t *testing.T) {
-	for _, fronts := range []int{2, 220} {
-		set := settings()
-		set.Fronts = fronts
-		at := make([]map[uint64]string, 2)
+// A popular prefix spills from a slow home, and all routers spill the same sessions to the same reader.
+func TestRoutersSpillSameSessionsOfPopularPrefix(t *testing.T) {
+	for _, routers := range []int{2, 220} {
+		cfg := testSettings()
+		cfg.Fronts = routers
+		readerBySession := make([]map[uint64]string, 2)
 		spilled := 0
-		for front := range at {
-			set.Front, at[front] = front, make(map[uint64]string)
-			r, f := start(t, set, many(4, 2, 2))
-			r.rng.Uint64() // whatever its random numbers
+		for router := range readerBySession {
+			cfg.Front, readerBySession[router] = router, make(map[uint64]string)
+			r, rec := newTestRouter(t, cfg, cellServers(4, 2, 2))
+			r.rng.Uint64() // the random numbers must not matter
 			home := ""
 			for id := RequestID(1); id < 200; id++ {
 				now := time.Duration(id) * time.Second
-				q := ask(id)
-				if id < 40 { // other beginnings too, then the popular one alone
+				q := testRequest(id)
+				if id < 40 { // other prefixes first, then the popular one alone
 					q.Prefix = uint64(id)
 				}
 				r.Request(now, q)
-				reader := f.last()
+				reader := rec.lastServer()
 				if id == 40 {
 					home = reader
 				}
@@ -866,7 +875,7 @@
 				r.Started(now+took+30*ms, Started{ID: id, Attempt: 1, Took: 30 * ms})
 				r.Outcome(now+took+90*ms, Outcome{ID: id, Attempt: 1, Status: Served, Final: true})
 				if id > 150 {
-					at[front][q.Session] = reader
+					readerBySession[router][q.Session] = reader
 					if reader != home {
 						spilled++
 					}
@@ -874,58 +883,58 @@
 			}
 		}
 		same := 0
-		for session, reader := range at[0] {
-			if at[1][session] == reader {
+		for session, reader := range readerBySession[0] {
+			if readerBySession[1][session] == reader {
 				same++
 			}
 		}
 		if spilled < 20 || same < 40 {
-			t.Errorf("%d fronts: %d of 98 spilled, %d of 49 sessions at the same reader", fronts, spilled, same)
+			t.Errorf("%d routers: %d of 98 requests spilled, %d of 49 sessions at the same reader", routers, spilled, same)
 		}
 	}
 }
 
-// Readers whose states are long on their way to a writer get fewer reads than their peers.
-func TestFewWritersFewReads(t *testing.T) {
-	set := settings()
-	set.Fronts = 220
-	r, f := start(t, set, many(4, 2, 2))
+// Readers whose states take long to reach a writer get fewer reads than their peers.
+func TestSlowTransfersReduceReads(t *testing.T) {
+	cfg := testSettings()
+	cfg.Fronts = 220
+	r, rec := newTestRouter(t, cfg, cellServers(4, 2, 2))
 	reads := make(map[byte]int)
 	for id := RequestID(1); id < 300; id++ {
 		now := time.Duration(id) * 200 * ms
-		q := ask(id)
+		q := testRequest(id)
 		q.Prefix = uint64(id)
 		r.Request(now, q)
-		reader := f.last()
+		reader := rec.lastServer()
 		if id > 100 {
 			reads[reader[1]]++
 		}
 		r.Outcome(now+50*ms, Outcome{ID: id, Server: reader, Status: Read, Took: 50 * ms})
-		way := 30 * ms
+		transferTime := 30 * ms
 		if reader[1] == '2' {
-			way = 1500 * ms
+			transferTime = 1500 * ms
 		}
-		r.Started(now+50*ms+way, Started{ID: id, Attempt: 1, Took: way})
-		r.Outcome(now+100*ms+way, Outcome{ID: id, Attempt: 1, Status: Served, Final: true})
+		r.Started(now+50*ms+transferTime, Started{ID: id, Attempt: 1, Took: transferTime})
+		r.Outcome(now+100*ms+transferTime, Outcome{ID: id, Attempt: 1, Status: Served, Final: true})
 	}
 	if reads['2'] > 30 || reads['2'] == 0 {
-		t.Errorf("reads by cell %v, cell 2 has slow moves", reads)
+		t.Errorf("reads by cell %v, want few in cell 2 with its slow transfers", reads)
 	}
 }
 
-// One own request at a writer must not send the next state out of its cell.
-func TestOneOfManyFrontsStaysNear(t *testing.T) {
-	for _, fronts := range []int{2, 220} {
-		set := settings()
-		set.Fronts = fronts
-		r, f := start(t, set, many(14, 3, 3))
+// One own request at a writer must not make it look full and push the next state out of the cell.
+func TestOwnRequestDoesNotMoveStateOutOfCell(t *testing.T) {
+	for _, routers := range []int{2, 220} {
+		cfg := testSettings()
+		cfg.Fronts = routers
+		r, rec := newTestRouter(t, cfg, cellServers(14, 3, 3))
 		near := 0
-		for id := RequestID(1); id <= 20; id++ { // answers stream for eight seconds
+		for id := RequestID(1); id <= 20; id++ { // answers run for 8 s
 			now := time.Duration(id) * 4 * time.Second
-			r.Request(now, ask(id))
-			reader := f.last()
+			r.Request(now, testRequest(id))
+			reader := rec.lastServer()
 			r.Outcome(now+50*ms, Outcome{ID: id, Server: reader, Status: Read, Took: 50 * ms, Kept: 3000})
-			if f.last()[1] == reader[1] {
+			if rec.lastServer()[1] == reader[1] {
 				near++
 			}
 			r.Started(now+80*ms, Started{ID: id, Attempt: 1, Took: 30 * ms})
@@ -934,309 +943,311 @@
 			}
 		}
 		if near < 14 {
-			t.Errorf("%d fronts: %d of 20 states stayed in their cell", fronts, near)
+			t.Errorf("%d routers: %d of 20 states stayed in their cell", routers, near)
 		}
 	}
 }
 
-// Full for one class of one tenant rests the server for that one only, the longer the slower it was.
-func TestFullForOneTenant(t *testing.T) {
-	set := settings()
-	set.Tenants = []Tenant{{}, {}}
-	r, f := start(t, set, fleet())
-	r.Request(0, ask(1))
-	home := f.last()
+// A rejection starts a backoff for that class and tenant only, the longer the slower the rejection was.
+func TestRejectionCountsForOneTenant(t *testing.T) {
+	cfg := testSettings()
+	cfg.Tenants = []Tenant{{}, {}}
+	r, rec := newTestRouter(t, cfg, testServers())
+	r.Request(0, testRequest(1))
+	home := rec.lastServer()
 	r.Outcome(300*ms, Outcome{ID: 1, Server: home, Status: Full, Took: 300 * ms})
-	if f.last() == home {
-		t.Fatalf("asked %s again", home)
+	if rec.lastServer() == home {
+		t.Fatalf("sent to %s again", home)
 	}
-	q := ask(2)
+	q := testRequest(2)
 	q.Tenant = 1
-	if r.Request(400*ms, q); f.last() != home {
-		t.Errorf("another tenant goes to %s, not home %s", f.last(), home)
+	if r.Request(400*ms, q); rec.lastServer() != home {
+		t.Errorf("request of another tenant sent to %s, want home %s", rec.lastServer(), home)
 	}
-	if r.Request(10*time.Second, ask(3)); f.last() == home {
-		t.Error("a slow refusal is paid again after ten seconds")
+	if r.Request(10*time.Second, testRequest(3)); rec.lastServer() == home {
+		t.Error("server that rejects slowly is tried again after 10 s")
 	}
-	if r.Request(40*time.Second, ask(4)); f.last() != home {
-		t.Errorf("still rests after forty seconds, at %s", f.last())
+	if r.Request(40*time.Second, testRequest(4)); rec.lastServer() != home {
+		t.Errorf("backoff not over after 40 s, sent to %s", rec.lastServer())
 	}
 }
 
-// One request of a small tenant does not put it over its share where a front sees few.
-func TestShareNeedsMoreThanOneRequest(t *testing.T) {
-	for _, fronts := range []int{2, 220} {
-		set := settings()
-		set.Fronts, set.OverShareWorth, set.Tenants = fronts, 0.1, []Tenant{{Quota: 20}}
-		r, _ := start(t, set, fleet())
-		p := &request{Request: ask(1), class: &set.Classes[0]}
+// A single request must not put a small tenant over its quota, even if the router's share of it is less than one
+// request.
+func TestSingleRequestIsWithinQuota(t *testing.T) {
+	for _, routers := range []int{2, 220} {
+		cfg := testSettings()
+		cfg.Fronts, cfg.OverShareWorth, cfg.Tenants = routers, 0.1, []Tenant{{Quota: 20}}
+		r, _ := newTestRouter(t, cfg, testServers())
+		p := &request{Request: testRequest(1), class: &cfg.Classes[0]}
 		if v := r.value(p); v < 1 {
-			t.Errorf("%d fronts: the first request is worth %.1f", fronts, v)
+			t.Errorf("%d routers: value of the first request is %.1f", routers, v)
 		}
 		for range 400 {
 			r.value(p)
 		}
 		if v := r.value(p); v > 0.1 {
-			t.Errorf("%d fronts: a flood is worth %.1f", fronts, v)
+			t.Errorf("%d routers: value is %.1f during a flood", routers, v)
 		}
 	}
 }
 
-// What is kept of servers that are gone must not grow over weeks of replaced ones.
-func TestGoneServersAreForgotten(t *testing.T) {
-	r, f := start(t, settings(), fleet())
+// The record of gone servers must not grow without bound while servers are replaced.
+func TestGoneServersAreRemoved(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
 	for i := range 1000 {
 		now := time.Duration(i) * time.Minute
-		list := fleet()
+		list := testServers()
 		list = append(list, Server{ID: fmt.Sprintf("new%d", i), Kind: i % 2, Cell: i, Since: now})
 		r.Servers(now, ServerList{Whole: true, Servers: list})
-		serve(r, f, ask(RequestID(i+1)), now+time.Second)
+		serve(r, rec, testRequest(RequestID(i+1)), now+time.Second)
 	}
 	if len(r.servers) > 20 || len(r.cells) > 20 {
-		t.Errorf("%d servers and %d cells are kept of 9 in three", len(r.servers), len(r.cells))
+		t.Errorf("%d servers and %d cells kept, 9 servers in 3 cells are listed", len(r.servers), len(r.cells))
 	}
 }
 
 func BenchmarkRequest(b *testing.B) {
-	set := settings()
-	set.Fronts = 220
-	f := &recorder{timers: make(map[uint64][]time.Duration)}
-	r, err := New(set, 1, f)
+	cfg := testSettings()
+	cfg.Fronts = 220
+	rec := &recorder{timers: make(map[uint64][]time.Duration)}
+	r, err := New(cfg, 1, rec)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.Servers(0, ServerList{Whole: true, Servers: many(14, 3, 3)})
+	r.Servers(0, ServerList{Whole: true, Servers: cellServers(14, 3, 3)})
 	b.ReportAllocs()
 	for i := range b.N {
 		id := RequestID(i + 1)
-		q := ask(id)
+		q := testRequest(id)
 		q.Prefix = uint64(i % 50)
-		serve(r, f, q, time.Duration(i)*100*ms)
-		f.did, f.sends = f.did[:0], f.sends[:0]
-		clear(f.timers)
+		serve(r, rec, q, time.Duration(i)*100*ms)
+		rec.calls, rec.sends = rec.calls[:0], rec.sends[:0]
+		clear(rec.timers)
 	}
 }
 
-// Where a front meets a server seldom, a suspect one rests until it would be asked again.
-func TestSeldomMetRestsLonger(t *testing.T) {
-	set := settings()
-	set.Fronts = 220
-	r, _ := start(t, set, many(14, 3, 3))
+// If a router rarely sends to a server, the backoff of a suspect one lasts for the usual time between two sends.
+func TestBackoffCoversUsualTimeBetweenSends(t *testing.T) {
+	cfg := testSettings()
+	cfg.Fronts = 220
+	r, _ := newTestRouter(t, cfg, cellServers(14, 3, 3))
 	s := r.servers["r0.0"]
 	r.now = time.Minute
-	r.kinds[0].accepted.add(r.now, loadSpan.Seconds()/40) // one in forty seconds
+	r.kinds[0].accepted.add(r.now, loadSpan.Seconds()/40) // one request per 40 s
 	r.recordFailure(s, minFailures)
 	if r.now += 10 * time.Second; r.trusted(s) {
-		t.Error("tried again before the usual time between sends")
+		t.Error("tried again too early")
 	}
 	if r.now += 10 * time.Second; !r.trusted(s) {
 		t.Error("never tried again")
 	}
 }
 
-// Attempts that time out tell of waits: where many do, silence takes longer, so that busy servers are
-// not taken for dead ones.
-func TestTimeoutsLengthenSilence(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	r.Request(0, ask(1))
-	reader := r.servers[f.last()]
+// Attempts that time out count as waits and lengthen the silence timeout, so that busy servers are not taken for dead
+// ones.
+func TestTimeoutsLengthenSilenceTimeout(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	r.Request(0, testRequest(1))
+	reader := r.servers[rec.lastServer()]
 	p := r.requests[1]
 	before := r.silenceTimeout(p, reader)
 	r.Outcome(2*time.Second, Outcome{ID: 1, Server: reader.ID, Status: TimedOut, Took: 2 * time.Second})
 	if r.silenceTimeout(p, reader) <= before {
-		t.Error("silence takes no longer after a time-out")
+		t.Error("silence timeout did not grow after a timeout")
 	}
 }
 
-// A home that tells probes of much waiting is passed over, once, where this front has not seen for itself.
+// A router without recent observations of its own probes before it sends, once per request, and passes over a home that
+// reports a long queue.
 func TestProbeBeforeSending(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		tokens float64
 		stays  bool
 	}{
-		{"idle", 0, true}, {"drowning", 1e6, false}, {"not told", -1, true}, {"out of range", math.Inf(1), true},
+		{"idle", 0, true}, {"overloaded", 1e6, false}, {"unknown", -1, true}, {"out of range", math.Inf(1), true},
 	} {
-		cfg := settings()
+		cfg := testSettings()
 		cfg.Fronts, cfg.CanProbe = 220, true
-		r, f := start(t, cfg, many(4, 2, 2))
+		r, rec := newTestRouter(t, cfg, cellServers(4, 2, 2))
 		r.secondsPerToken = 5e-5
-		r.Request(0, ask(1))
-		if len(f.sends) > 0 || f.count("probe") != 2 {
-			t.Fatalf("%s: want two probes first: %v", c.name, f.did)
+		r.Request(0, testRequest(1))
+		if len(rec.sends) > 0 || rec.countCalls("probe") != 2 {
+			t.Fatalf("%s: want two probes before the first send: %v", c.name, rec.calls)
 		}
-		home := f.did[0][len("probe "):]
+		home := rec.calls[0][len("probe "):]
 		r.Probed(ms, Probed{Server: home, Tokens: c.tokens, Queue: -1})
 		r.Probed(ms, Probed{Server: "unknown", Tokens: 5, Queue: 5})
 		r.Timer(r.requests[1].retryAt, 1)
-		if (f.last() == home) != c.stays || f.count("probe") != 2 {
-			t.Errorf("%s: %v", c.name, f.did)
+		if (rec.lastServer() == home) != c.stays || rec.countCalls("probe") != 2 {
+			t.Errorf("%s: %v", c.name, rec.calls)
 		}
 	}
-	r, f := start(t, settings(), fleet())
+	r, rec := newTestRouter(t, testSettings(), testServers())
 	r.cfg.CanProbe = true
 	for id := RequestID(1); id < 20; id++ {
-		q := ask(id)
+		q := testRequest(id)
 		r.Request(time.Duration(id)*50*ms, q)
 		if p := r.requests[id]; p.retryAt > 0 {
 			r.Timer(p.retryAt, uint64(id))
 		}
-		r.Outcome(r.now+50*ms, Outcome{ID: id, Server: f.last(), Status: Read, Took: 50 * ms, Kept: 2000})
+		r.Outcome(r.now+50*ms, Outcome{ID: id, Server: rec.lastServer(), Status: Read, Took: 50 * ms, Kept: 2000})
 	}
-	if n := f.count("probe"); n > 8 {
-		t.Errorf("%d probes for 19 requests though the front sees for itself", n)
+	if n := rec.countCalls("probe"); n > 8 {
+		t.Errorf("%d probes for 19 requests though the router has observations of its own", n)
 	}
 }
 
-// A server that leaves a probe unanswered is passed over while another answers, and only then.
-func TestUnansweredProbe(t *testing.T) {
+// A server that leaves a probe unanswered is passed over if another server answers, and only then.
+func TestServerWithUnansweredProbeIsPassedOver(t *testing.T) {
 	for _, answered := range []bool{true, false} {
-		set := settings()
-		set.Fronts, set.CanProbe = 220, true
-		r, f := start(t, set, many(4, 2, 2))
-		r.Request(time.Second, ask(1))
-		home, second := f.did[0][len("probe "):], f.did[1][len("probe "):]
+		cfg := testSettings()
+		cfg.Fronts, cfg.CanProbe = 220, true
+		r, rec := newTestRouter(t, cfg, cellServers(4, 2, 2))
+		r.Request(time.Second, testRequest(1))
+		home, second := rec.calls[0][len("probe "):], rec.calls[1][len("probe "):]
 		if answered {
 			r.Probed(time.Second+ms, Probed{Server: second, Tokens: 0, Queue: -1})
 		}
 		r.Timer(r.requests[1].retryAt, 1)
-		if (f.last() == home) == answered {
-			t.Errorf("home %s silent, second answered %v: sent to %s", home, answered, f.last())
+		if (rec.lastServer() == home) == answered {
+			t.Errorf("home %s silent, second answered %v: sent to %s", home, answered, rec.lastServer())
 		}
 	}
 }
 
-// A refused client is told when the wait that it was refused for is gone, within what it honours.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	set := settings()
-	set.MaxRetryAfter = 500 * time.Millisecond
+// The retry advice is the time after which the excess wait is over, at most what the client honours.
+func TestRefusalAdvisesRetryAfterExcessWait(t *testing.T) {
+	cfg := testSettings()
+	cfg.MaxRetryAfter = 500 * time.Millisecond
 	for _, c := range []struct {
 		wait        float64
 		least, most time.Duration
 	}{{0.8, minRetryAfter, 200 * time.Millisecond}, {9, 250 * time.Millisecond, 250 * time.Millisecond}} {
-		r, f := start(t, set, fleet())
+		r, rec := newTestRouter(t, cfg, testServers())
 		for _, s := range r.listed {
 			s.wait.add(c.wait, time.Second)
 			s.wait.n = 1000
 			s.inFlight = 1
 		}
-		r.Request(time.Second, ask(1))
-		if !f.has("refuse 1") || f.after < c.least || f.after > c.most {
-			t.Errorf("wait %v s: %v, to come back after %v", c.wait, f.did, f.after)
+		r.Request(time.Second, testRequest(1))
+		if !rec.called("refuse 1") || rec.retryAfter < c.least || rec.retryAfter > c.most {
+			t.Errorf("wait %v s: %v, retry advice %v", c.wait, rec.calls, rec.retryAfter)
 		}
 	}
 }
 
-// Guards against a client that leaves after a minute of stream being taken for a minute's wait.
-func TestLeftStreamIsNoWait(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	r.Request(0, ask(1))
-	r.Outcome(50*ms, Outcome{ID: 1, Server: f.last(), Status: Read, Took: 50 * ms, Kept: 3000})
-	r.Started(100*ms, Started{ID: 1, Attempt: 1, Server: f.last(), Took: 50 * ms})
-	before := r.servers[f.last()].wait
-	r.Outcome(time.Minute, Outcome{ID: 1, Attempt: 1, Server: f.last(), Status: Cancelled, Took: time.Minute, Final: true})
-	if before.n == 0 || r.servers[f.last()].wait != before {
-		t.Errorf("wait %+v, before %+v", r.servers[f.last()].wait, before)
+// A client that leaves after one minute of stream must not be counted as a wait of one minute.
+func TestCancelledStreamIsNotAWait(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	r.Request(0, testRequest(1))
+	r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms, Kept: 3000})
+	r.Started(100*ms, Started{ID: 1, Attempt: 1, Server: rec.lastServer(), Took: 50 * ms})
+	before := r.servers[rec.lastServer()].wait
+	r.Outcome(time.Minute, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: Cancelled, Took: time.Minute, Final: true})
+	if before.n == 0 || r.servers[rec.lastServer()].wait != before {
+		t.Errorf("wait %+v, want %+v as before", r.servers[rec.lastServer()].wait, before)
 	}
 }
 
-// A message that can't be sent again waits for its state to cross a slow link as long as it may; a
-// draft is cut off there and tried elsewhere.
-func TestFarStateOfAMessageIsWaitedFor(t *testing.T) {
+// An unsafe request cannot be repeated, so it waits for a far transfer until its deadline. A safe one is cut off early
+// and tried elsewhere.
+func TestUnsafeRequestWaitsForFarTransfer(t *testing.T) {
 	for effect, least := range map[Effect]time.Duration{Safe: 0, Unsafe: 6 * time.Second} {
-		set, servers := settings(), fleet()
-		set.Classes[0].Effect = effect
-		for i := range servers { // the only writer lies in another cell
+		cfg, servers := testSettings(), testServers()
+		cfg.Classes[0].Effect = effect
+		for i := range servers { // writers are in another cell than readers
 			servers[i].Cell = servers[i].Kind
 		}
-		r, f := start(t, set, servers)
-		r.Request(0, ask(1))
-		r.Outcome(50*ms, Outcome{ID: 1, Server: f.last(), Status: Read, Took: 50 * ms, Kept: 3000})
-		if far := r.ttftTarget(&request{class: &set.Classes[0], Request: ask(1)}) / 2; effect == Safe && f.timeout > far || f.timeout < least {
-			t.Errorf("effect %d: waited for %v", effect, f.timeout)
+		r, rec := newTestRouter(t, cfg, servers)
+		r.Request(0, testRequest(1))
+		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms, Kept: 3000})
+		if far := r.ttftTarget(&request{class: &cfg.Classes[0], Request: testRequest(1)}) / 2; effect == Safe && rec.lastTimeout > far || rec.lastTimeout < least {
+			t.Errorf("effect %d: timeout %v", effect, rec.lastTimeout)
 		}
 	}
 }
 
-// On a day on which all ids are new, a record must not keep what it takes for forgotten anyway.
-// A process that ends must leave no request without its answer and no state at a worker: nobody else
-// would let it go. A message that may have run is failed, anything else may be repeated.
-func TestEndAnswersWhatIsOpen(t *testing.T) {
-	set := settings()
-	set.Classes = append(set.Classes, set.Classes[0])
-	set.Classes[1].Effect = Unsafe
-	r, f := start(t, set, fleet())
+// On Shutdown every open request gets its final answer and every held state is released, because nothing else would
+// release it. Unsafe requests that may have run fail; the others are refused and may be repeated.
+func TestShutdownAnswersOpenRequests(t *testing.T) {
+	cfg := testSettings()
+	cfg.Classes = append(cfg.Classes, cfg.Classes[0])
+	cfg.Classes[1].Effect = Unsafe
+	r, rec := newTestRouter(t, cfg, testServers())
 	for id, class := range []int{0, 1, 1} {
-		q := ask(RequestID(id + 1))
+		q := testRequest(RequestID(id + 1))
 		q.Class = class
 		r.Request(0, q)
 	}
-	r.Outcome(1, Outcome{ID: 3, Server: f.last(), Status: Read})
+	r.Outcome(1, Outcome{ID: 3, Server: rec.lastServer(), Status: Read})
 	r.End(2)
 	for _, want := range []string{"refuse 1", "fail 2", "fail 3", "release 1", "release 2", "release 3"} {
-		if !f.has(want) {
-			t.Errorf("no %q: %q", want, f.did)
+		if !rec.called(want) {
+			t.Errorf("no %q: %q", want, rec.calls)
 		}
 	}
 	r.End(3)
-	if f.count("refuse") != 1 || f.count("fail") != 2 {
-		t.Errorf("answered twice: %q", f.did)
+	if rec.countCalls("refuse") != 1 || rec.countCalls("fail") != 2 {
+		t.Errorf("answered twice: %q", rec.calls)
 	}
 }
 
-func TestRecordsHoldNoForgottenPrefixes(t *testing.T) {
+// Expired prefixes must be dropped even if no session ever returns.
+func TestExpiredPrefixesAreDropped(t *testing.T) {
 	p := newPrefixes("r")
 	for i := range uint64(1000) {
 		p.record(&Request{Session: i + 1, Prompt: 100}, time.Duration(i)*time.Second)
 	}
 	if most := int(prefixTTL/time.Second) + 1; p.order.Len() > most || len(p.entries) != p.order.Len() {
-		t.Errorf("%d and %d entries kept, want %d at most", p.order.Len(), len(p.entries), most)
+		t.Errorf("%d and %d entries kept, want at most %d", p.order.Len(), len(p.entries), most)
 	}
 }
 
-// A front that sees many times the mean among hundreds must not take what it has under way for a full fleet:
-// it would refuse nearly all that it gets, pass its writers over and shut each reader after one send.
-func TestABusyFrontAmongManyServes(t *testing.T) {
-	cfg := settings()
+// One of hundreds of routers may see many times the mean load. It must not extrapolate its own requests in flight to a
+// full fleet: it would refuse nearly all requests, pass over its writers and avoid each reader after one send.
+func TestBusyRouterAmongManyRefusesNothing(t *testing.T) {
+	cfg := testSettings()
 	cfg.Fronts = 300
 	cfg.Classes[0].TokenAim = 0
 	var all []Server
 	for i := range 30 {
 		all = append(all, Server{ID: fmt.Sprintf("r%d", i), Kind: 0}, Server{ID: fmt.Sprintf("w%d", i), Kind: 1})
 	}
-	r, f := start(t, cfg, all)
+	r, rec := newTestRouter(t, cfg, all)
 	for id := RequestID(1); id <= 100; id++ {
-		q := ask(id)
+		q := testRequest(id)
 		q.Prefix = uint64(id % 10)
 		r.Request(0, q)
-		if f.has(fmt.Sprintf("refuse %d", id)) {
-			t.Fatalf("request %d is refused while nothing waits anywhere", id)
+		if rec.called(fmt.Sprintf("refuse %d", id)) {
+			t.Fatalf("request %d is refused though no server has a queue", id)
 		}
-		r.Outcome(50*ms, Outcome{ID: id, Server: f.last(), Status: Read, Took: 50 * ms, Kept: q.Prompt})
-		r.Started(80*ms, Started{ID: id, Attempt: 1, Server: f.last(), Took: 30 * ms})
+		r.Outcome(50*ms, Outcome{ID: id, Server: rec.lastServer(), Status: Read, Took: 50 * ms, Kept: q.Prompt})
+		r.Started(80*ms, Started{ID: id, Attempt: 1, Server: rec.lastServer(), Took: 30 * ms})
 	}
 	home := r.servers["r3"]
 	home.inFlight = 1
-	p := &request{Request: ask(1000), class: &r.cfg.Classes[0]}
+	p := &request{Request: testRequest(1000), class: &r.cfg.Classes[0]}
 	if !r.admits(p, home, 1) {
-		t.Error("one read in flight shuts a reader")
+		t.Error("reader does not admit a second read")
 	}
 	for _, s := range r.listed {
 		if s.role == Writer {
 			if fill, _ := r.fill(s); fill > 1 {
-				t.Errorf("%s counts as full with %d of %v tokens", s.ID, s.tokens, r.memory(s))
+				t.Errorf("%s counts as full with %d of %v tokens in use", s.ID, s.tokens, r.memory(s))
 			}
 		}
 	}
 }
 
-// Where a front meets a server seldom, a single error must be enough: others only come after minutes, and each
-// is another request that failed. Where it meets it often one error among many answers means nothing.
-func TestOneErrorIsEnoughWhereFewAreSent(t *testing.T) {
+// If a router rarely sends to a server, a single error must make it suspect: the next ones would come minutes apart,
+// each at the cost of a failed request. If it sends often, one error among many answers means nothing.
+func TestSingleErrorMakesRarelyUsedServerSuspect(t *testing.T) {
 	for _, often := range []bool{false, true} {
-		set := settings()
-		set.Fronts = 300
-		r, _ := start(t, set, many(14, 3, 3))
+		cfg := testSettings()
+		cfg.Fronts = 300
+		r, _ := newTestRouter(t, cfg, cellServers(14, 3, 3))
 		r.now = time.Minute
 		if often {
 			r.kinds[0].accepted.add(r.now, 10*loadSpan.Seconds())
@@ -1248,12 +1259,12 @@
 	}
 }
 
-// A zone that is cut off or lost must be left alone after the first connection that never comes up, or two that
-// are refused or stay silent, and tried again after a rest. While other servers of it answer, one that is dead
-// must not shut it; and where no zone answers all are tried.
-func TestAZoneThatIsCutOffIsLeftAlone(t *testing.T) {
-	readers := func(r *Router) (zones []int) {
-		p := &request{Request: ask(99), class: &r.cfg.Classes[0]}
+// An unreachable zone must be avoided after one connect timeout, or after two attempts that are refused or get no sign
+// of life, and tried again after a backoff. One dead server must not take out a zone whose other servers answer, and if
+// no zone answers all are tried.
+func TestUnreachableZoneIsAvoided(t *testing.T) {
+	readerZones := func(r *Router) (zones []int) {
+		p := &request{Request: testRequest(99), class: &r.cfg.Classes[0]}
 		for _, s := range r.candidates(p, Reader) {
 			zones = append(zones, s.Zone)
 		}
@@ -1264,67 +1275,68 @@
 		took  time.Duration
 		times int
 	}{{250 * ms, 1}, {ms, 2}} {
-		r, f := start(t, settings(), fleet())
+		r, rec := newTestRouter(t, testSettings(), testServers())
 		fail := func(id RequestID, zone int, began time.Duration) {
-			r.Request(began, ask(id))
+			r.Request(began, testRequest(id))
 			r.requests[id].attempts[0].server = r.servers[fmt.Sprintf("r%d0", zone)]
 			r.Outcome(began+c.took, Outcome{ID: id, Status: ConnectFailed, Took: c.took})
 		}
 		for i := range c.times {
-			if got := readers(r); !slices.Equal(got, []int{0, 1}) {
-				t.Errorf("%v: zones %v after %d misses", c.took, got, i)
+			if got := readerZones(r); !slices.Equal(got, []int{0, 1}) {
+				t.Errorf("%v: readers in zones %v after %d misses, want 0 and 1", c.took, got, i)
 			}
 			fail(RequestID(i+1), 1, time.Second)
 		}
-		if got := readers(r); !slices.Equal(got, []int{0}) {
-			t.Errorf("%v: zones %v are asked, want 0", c.took, got)
+		if got := readerZones(r); !slices.Equal(got, []int{0}) {
+			t.Errorf("%v: readers in zones %v, want 0", c.took, got)
 		}
 		for i := range c.times {
 			fail(RequestID(i+11), 0, time.Second+c.took)
 		}
-		if got := readers(r); !slices.Equal(got, []int{0, 1}) {
-			t.Errorf("%v: zones %v are asked where none answers", c.took, got)
+		if got := readerZones(r); !slices.Equal(got, []int{0, 1}) {
+			t.Errorf("%v: readers in zones %v though no zone answers, want 0 and 1", c.took, got)
 		}
-		if r.now += minBackoff; !slices.Equal(readers(r), []int{0, 1}) {
-			t.Errorf("%v: not asked again after the rest", c.took)
+		if r.now += minBackoff; !slices.Equal(readerZones(r), []int{0, 1}) {
+			t.Errorf("%v: not tried again after the backoff", c.took)
 		}
-		_ = f
+		_ = rec
 	}
-	r, _ := start(t, settings(), fleet())
+	r, _ := newTestRouter(t, testSettings(), testServers())
 	r.now = 3 * time.Second
 	r.noteAlive(r.servers["r10"])
 	r.recordUnreachable(r.servers["r11"], 2*time.Second, 1)
-	if got := readers(r); !slices.Equal(got, []int{0, 1}) {
-		t.Error("one dead server shuts a zone that answers")
+	if got := readerZones(r); !slices.Equal(got, []int{0, 1}) {
+		t.Error("one dead server takes out a zone that answers")
 	}
 }
 
-// One front among many can't tell from its own counts that the writers next to a reader have no room: it must
-// have probed them by the time the state waits, and pass by those that told so or left the probe unanswered.
-func TestWritersWithoutRoomArePassedBy(t *testing.T) {
+// One of many routers cannot tell from its own counts that the writers near a reader are full. It must probe them while
+// the prompt is being read, and pass over those that report a queue or full memory or leave the probe unanswered. Few
+// routers know the load of writers, and probe them only for reachability after a server has recently gone silent.
+func TestSaturatedWritersArePassedOver(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		load Probed
-		mute bool
-		near bool
+		name   string
+		load   Probed
+		silent bool
+		near   bool
 	}{
 		{"room", Probed{Held: 0.5, Tokens: -1}, false, true}, {"queue", Probed{Queue: 3, Held: 0.5, Tokens: -1}, false, false},
-		{"memory", Probed{Held: 0.97, Tokens: -1}, false, false}, {"mute", Probed{}, true, false},
+		{"memory", Probed{Held: 0.97, Tokens: -1}, false, false}, {"no answer", Probed{}, true, false},
 		{"no load", Probed{Queue: -1, Tokens: -1}, false, true},
 	} {
-		cfg := settings()
+		cfg := testSettings()
 		cfg.Fronts, cfg.CanProbe = 300, true
-		r, f := start(t, cfg, fleet())
-		r.Request(time.Second, ask(1))
+		r, rec := newTestRouter(t, cfg, testServers())
+		r.Request(time.Second, testRequest(1))
 		r.Timer(r.requests[1].retryAt, 1)
-		reader := r.servers[f.last()]
+		reader := r.servers[rec.lastServer()]
 		probed := 0
 		for _, s := range r.listed {
-			if s.role != Writer || !f.has("probe "+s.ID) {
+			if s.role != Writer || !rec.called("probe "+s.ID) {
 				continue
 			}
 			probed++
-			if load := c.load; s.Cell != reader.Cell || !c.mute {
+			if load := c.load; s.Cell != reader.Cell || !c.silent {
 				if load.Server = s.ID; s.Cell != reader.Cell {
 					load = Probed{Server: s.ID, Tokens: -1}
 				}
@@ -1332,25 +1344,25 @@
 			}
 		}
 		if probed != writerProbes {
-			t.Fatalf("%s: %d writers probed: %v", c.name, probed, f.did)
+			t.Fatalf("%s: %d writers probed: %v", c.name, probed, rec.calls)
 		}
 		r.Outcome(r.now+100*ms, Outcome{ID: 1, Server: reader.ID, Status: Read, Took: 100 * ms, Kept: 3000})
-		if got := r.servers[f.last()]; got.role != Writer || (got.Cell == reader.Cell) != c.near {
-			t.Errorf("%s: the state at %s goes to %s", c.name, reader.ID, f.last())
+		if got := r.servers[rec.lastServer()]; got.role != Writer || (got.Cell == reader.Cell) != c.near {
+			t.Errorf("%s: state at %s sent to %s", c.name, reader.ID, rec.lastServer())
 		}
 	}
 	for _, c := range []struct {
-		heard, trouble bool
-		want           int
+		heard, recentSilence bool
+		want                 int
 	}{
 		{true, true, 0},
-		{false, true, staleWriterProbes}, // a machine may be cut off: its load is known, that it is in reach is not
+		{false, true, staleWriterProbes}, // the load is known, but not whether the host is reachable
 		{false, false, 0},
 	} {
-		r, f := start(t, settings(), fleet())
+		r, rec := newTestRouter(t, testSettings(), testServers())
 		r.cfg.CanProbe = true
 		r.now = time.Second
-		if c.trouble {
+		if c.recentSilence {
 			r.lastSilenceAt = r.now
 		}
 		for _, s := range r.listed {
@@ -1359,170 +1371,172 @@
 				s.heardAt = r.now - contactValidFor
 			}
 		}
-		if r.Request(time.Second, ask(1)); f.count("probe w") != c.want {
-			t.Errorf("%+v: %d writers are probed where own counts tell enough", c, f.count("probe w"))
+		if r.Request(time.Second, testRequest(1)); rec.countCalls("probe w") != c.want {
+			t.Errorf("%+v: %d writers probed", c, rec.countCalls("probe w"))
 		}
 	}
 }
 
-// first is the home of a beginning.
-func first(of []*server, key uint64) *server {
-	return slices.MaxFunc(of, func(a, b *server) int { return cmp.Compare(rendezvousHash(a, key), rendezvousHash(b, key)) })
+// homeServer returns the first server in rendezvous order for a prefix.
+func homeServer(servers []*server, key uint64) *server {
+	return slices.MaxFunc(servers, func(a, b *server) int { return cmp.Compare(rendezvousHash(a, key), rendezvousHash(b, key)) })
 }
 
-// A connection that never comes up takes nothing, so the time in which a state must be taken or let go runs on meanwhile: a
-// second try is made, a third would come too late.
-func TestAStateIsLetGoAfterConnectionsThatNeverCameUp(t *testing.T) {
-	set := settings()
-	set.PinLimit = 300 * ms
-	r, f := start(t, set, fleet())
-	r.Request(0, ask(1))
-	r.Outcome(100*ms, Outcome{ID: 1, Server: f.last(), Status: Read, Took: 100 * ms, Kept: 3000})
+// A connection that is never established does not fetch the state, so the pin limit keeps running: a second attempt is
+// made, a third would come too late.
+func TestStateIsReleasedAfterFailedConnections(t *testing.T) {
+	cfg := testSettings()
+	cfg.PinLimit = 300 * ms
+	r, rec := newTestRouter(t, cfg, testServers())
+	r.Request(0, testRequest(1))
+	r.Outcome(100*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 100 * ms, Kept: 3000})
 	for n := 1; n <= 2; n++ {
-		if len(f.sends) != n+1 {
-			t.Fatalf("%d sends before writer %d: %v", len(f.sends), n, f.did)
+		if len(rec.sends) != n+1 {
+			t.Fatalf("%d sends before writer %d: %v", len(rec.sends), n, rec.calls)
 		}
 		at := 100*ms + time.Duration(n)*250*ms
-		r.Outcome(at, Outcome{ID: 1, Attempt: n, Server: f.last(), Status: ConnectFailed, Took: 250 * ms})
+		r.Outcome(at, Outcome{ID: 1, Attempt: n, Server: rec.lastServer(), Status: ConnectFailed, Took: 250 * ms})
 	}
-	if len(f.sends) != 3 || !f.has("release 1") || !f.has("refuse 1") && !f.has("fail 1") {
-		t.Errorf("500 ms after the read, nothing taken: %v", f.did)
+	if len(rec.sends) != 3 || !rec.called("release 1") || !rec.called("refuse 1") && !rec.called("fail 1") {
+		t.Errorf("after two failed connections, 600 ms after the start: %v", rec.calls)
 	}
 }
 
-// Hundreds of fronts, none of which meets a cold server more often than once in minutes, must use it all the same,
-// together by no more than its even share of what it can take, also where all have just started and know no rates,
-// and where all requests share one beginning whose home it is. None of them goes there where its queue is told, or for the second time.
-func TestManySeldomFrontsUseAColdServer(t *testing.T) {
+// Hundreds of routers, each of which sends to a cold server at most once in minutes, must use it, but together send no
+// more than its safe even share. This holds even if all have just started and know no rates, and if all requests share
+// one prefix whose home it is. A request is not sent there if the server has reported a queue, nor twice.
+func TestManyRoutersShareColdServer(t *testing.T) {
 	sessions, used := 0, 0
-	set := settings()
-	set.Fronts, set.CanProbe = 300, true
+	cfg := testSettings()
+	cfg.Fronts, cfg.CanProbe = 300, true
 	now := 100 * time.Second
-	cold := ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now - set.ColdFor/2}}}
-	for set.Front = range 300 {
-		r, _ := start(t, set, fleet())
+	cold := ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now - cfg.ColdFor/2}}}
+	for cfg.Front = range 300 {
+		r, _ := newTestRouter(t, cfg, testServers())
 		r.Servers(now, cold)
 		r.now = now
 		s := r.servers["r00"]
-		q := ask(0)
-		for readers := r.listed[:4]; first(readers, q.Prefix) != s; q.Prefix++ {
+		q := testRequest(0)
+		for readers := r.listed[:4]; homeServer(readers, q.Prefix) != s; q.Prefix++ {
 		}
 		for id := range RequestID(40) {
-			q.ID, q.Session = id, uint64(set.Front)<<8|uint64(id)
-			p := &request{Request: q, class: &set.Classes[0], home: q.Prefix, prefixShare: r.prefixWork.workShare(q.Prefix, float64(q.Prompt+q.MaxOutput/2), now)}
+			q.ID, q.Session = id, uint64(cfg.Front)<<8|uint64(id)
+			p := &request{Request: q, class: &cfg.Classes[0], home: q.Prefix,
+				prefixShare: r.prefixWork.workShare(q.Prefix, float64(q.Prompt+q.MaxOutput/2), now)}
 			sessions++
 			if r.pickReader(p) != s {
 				continue
 			}
 			used++
 			if s.queue, s.loadAt = 4, now; r.pickReader(p) == s {
-				t.Fatal("asked though its queue is told")
+				t.Fatal("cold server picked though it has reported a queue")
 			}
 			s.queue, s.loadAt = 0, 0
 			if p.attempts = []attempt{{server: s}}; r.pickReader(p) == s {
-				t.Fatal("asked twice for one request")
+				t.Fatal("cold server picked twice for one request")
 			}
 		}
 	}
-	even, safe := 1./4, coldBudgetShare*set.ColdMultiple*set.ColdFrom
+	even, safe := 1./4, coldBudgetShare*cfg.ColdMultiple*cfg.ColdFrom
 	if share := float64(used) / float64(sessions) / even; share > 1.4*safe || share < 0.4*safe {
-		t.Errorf("%.2f of its even share goes to a cold server, %.2f is safe", share, safe)
+		t.Errorf("cold server gets %.2f of an even share, %.2f is safe", share, safe)
 	}
 }
 
-// Whatever part of all requests a beginning has, and however few a front has seen, the mean over fronts of that part
-// against what they take it for stays near one at the most: so many times an even share a cold server is named by them.
-func TestFrontsThatSawLittleNameNoServerTooOften(t *testing.T) {
+// Routers open cold servers to a prefix according to their estimate of its share of all work. Averaged over routers,
+// the true share divided by the estimate must stay near one or below, however few requests each has seen: it is the
+// multiple of an even share that a cold server is assigned.
+func TestWorkShareIsNotTooLowAfterFewRequests(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, share := range []float64{0.01, 0.05, 0.3, 0.8} {
 		for _, seen := range []int{0, 1, 3, 10, 100} {
 			sum := 0.0
 			for range 4000 {
-				var seenBefore workByPrefix
+				var work workByPrefix
 				for range seen {
 					key := rng.Uint64() | 2
 					if rng.Float64() < share {
 						key = 1
 					}
-					seenBefore.workShare(key, 1, 0)
+					work.workShare(key, 1, 0)
 				}
-				sum += share / min(1, coldSpread*seenBefore.workShare(1, 1, 0))
+				sum += share / min(1, coldSpread*work.workShare(1, 1, 0))
 			}
-			most := math.Max(1.1*share*4/coldSpread, 1.2)
-			if got := sum / 4000; got > most || seen > 0 && got < 0.01 {
-				t.Errorf("share %.2f, %d seen: named %.2f times as often as evenly", share, seen, got)
+			limit := math.Max(1.1*share*4/coldSpread, 1.2)
+			if got := sum / 4000; got > limit || seen > 0 && got < 0.01 {
+				t.Errorf("share %.2f, %d seen: assigned %.2f times an even share", share, seen, got)
 			}
 		}
 	}
 }
 
-// A front keeps no more beginnings than it has room for, whatever comes, and forgets those that faded.
-func TestTheTallyOfBeginningsIsBounded(t *testing.T) {
-	var seen workByPrefix
+// workByPrefix holds at most maxPrefixes prefixes and drops those with negligible counts to make room for new ones.
+func TestWorkByPrefixIsBounded(t *testing.T) {
+	var work workByPrefix
 	for i := range uint64(3 * maxPrefixes) {
-		seen.workShare(i+1, 1, 0)
+		work.workShare(i+1, 1, 0)
 	}
-	if len(seen.byPrefix) != maxPrefixes {
-		t.Errorf("%d beginnings kept", len(seen.byPrefix))
+	if len(work.byPrefix) != maxPrefixes {
+		t.Errorf("%d prefixes kept, want maxPrefixes", len(work.byPrefix))
 	}
-	if seen.workShare(9, 1, 10*loadSpan); len(seen.byPrefix) != maxPrefixes {
-		t.Errorf("%d kept: one that is known is no reason to forget", len(seen.byPrefix))
+	if work.workShare(9, 1, 10*loadSpan); len(work.byPrefix) != maxPrefixes {
+		t.Errorf("%d prefixes kept: a known prefix needs no room", len(work.byPrefix))
 	}
-	if seen.workShare(1<<40, 1, 10*loadSpan); len(seen.byPrefix) > 2 {
-		t.Errorf("%d kept though nearly all have faded", len(seen.byPrefix))
+	if work.workShare(1<<40, 1, 10*loadSpan); len(work.byPrefix) > 2 {
+		t.Errorf("%d prefixes kept though nearly all counts are negligible", len(work.byPrefix))
 	}
 }
 
-// What cold servers get follows from what the warm ones take where that is less than what comes: in a flood they would
-// be sent a multiple of what they bear.
-func TestAbleInAFlood(t *testing.T) {
-	part := func(accepted float64) float64 {
-		set := settings()
-		set.Fronts = 300
+// If the warm servers accept only part of the load, cold servers get that part of their share too. Otherwise a flood
+// would send them a multiple of what they can handle.
+func TestAcceptedRatioFallsInFlood(t *testing.T) {
+	ratio := func(accepted float64) float64 {
+		cfg := testSettings()
+		cfg.Fronts = 300
 		now := 100 * time.Second
-		r, _ := start(t, set, fleet())
-		r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now - set.ColdFor*9/10}}})
+		r, _ := newTestRouter(t, cfg, testServers())
+		r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now - cfg.ColdFor*9/10}}})
 		r.now = now
 		r.sends[Reader].add(now, 100)
 		r.kinds[0].accepted.add(now, accepted*100/4)
 		return r.acceptedRatio(r.servers["r00"])
 	}
-	if calm, flood := part(1), part(0.2); flood > 0.3*calm || flood < 0.1*calm {
-		t.Errorf("a part of %.2f where all is taken, %.2f where a fifth is", calm, flood)
+	if normal, flood := ratio(1), ratio(0.2); flood > 0.3*normal || flood < 0.1*normal {
+		t.Errorf("accepted ratio %.2f if all requests are accepted, %.2f if one in five is", normal, flood)
 	}
 }
 
-// What a server says itself that it keeps goes before what the front remembers of it: a text that was evicted draws
-// nothing, one that another front had read there does.
-func TestReportsGoBeforeTheRecord(t *testing.T) {
-	r, f := start(t, settings(), fleet())
-	home, _ := serve(r, f, ask(1), 0)
+// A server's report of its cache overrides the router's own record: an evicted prefix attracts no requests, one that
+// another router had read there does.
+func TestReportedCacheOverridesRecord(t *testing.T) {
+	r, rec := newTestRouter(t, testSettings(), testServers())
+	home, _ := serve(r, rec, testRequest(1), 0)
 	other := ""
-	for _, s := range fleet() {
+	for _, s := range testServers() {
 		if s.Kind == 0 && s.ID != home {
 			other = s.ID
 		}
 	}
-	q := ask(2)
+	q := testRequest(2)
 	q.Kept = map[string]int{home: 0, other: 1500}
-	if got, _ := serve(r, f, q, time.Second); got != other {
-		t.Errorf("read at %s: %s says that it keeps half, %s that it keeps nothing", got, other, home)
+	if got, _ := serve(r, rec, q, time.Second); got != other {
+		t.Errorf("read at %s, though %s reports half of the prompt as cached and %s nothing", got, other, home)
 	}
-	q = ask(3)
+	q = testRequest(3)
 	q.Kept = map[string]int{home: 2500, other: 1500}
-	if got, _ := serve(r, f, q, 2*time.Second); got != home {
-		t.Errorf("read at %s, though %s says that it keeps more", got, home)
+	if got, _ := serve(r, rec, q, 2*time.Second); got != home {
+		t.Errorf("read at %s, though %s reports more cached", got, home)
 	}
-	q = ask(4)
+	q = testRequest(4)
 	q.Kept = map[string]int{"nobody": 3000}
-	if got, _ := serve(r, f, q, 3*time.Second); got != home {
-		t.Errorf("read at %s: of the others nothing is told, so the record counts", got)
+	if got, _ := serve(r, rec, q, 3*time.Second); got != home {
+		t.Errorf("read at %s, want the home: no listed server has a report, so the record counts", got)
 	}
 }
 
-// The record that a front keeps itself, to compare with an index of reports: one operation asks 100 readers, with as many
-// beginnings on record as there may be, how much of a prompt they keep.
-func BenchmarkRecord(b *testing.B) {
+// BenchmarkPrefixMatch matches a prompt against the records of 100 readers with the maximum number of prefixes each,
+// for comparison with an index of reports.
+func BenchmarkPrefixMatch(b *testing.B) {
 	readers := make([]prefixes, 100)
 	for i := range readers {
 		readers[i] = newPrefixes(fmt.Sprint("r", i))
@@ -1539,44 +1553,45 @@
 	}
 }
 
-// Most of a prompt is read anew where it shares little with others: one home of all of them would drown, though no front
-// sees two of them there. Each session has its own home then, the same at all fronts.
-func TestAShortBeginningGathersNoSessions(t *testing.T) {
-	set := settings()
-	set.Fronts, set.CanProbe = 300, true
+// If the shared prefix is the smaller part of the prompt, most of each prompt is read anew, and a common home would be
+// overloaded although no router sends two requests there. Each session then has a home of its own, the same for all
+// routers.
+func TestShortPrefixDoesNotGatherSessions(t *testing.T) {
+	cfg := testSettings()
+	cfg.Fronts, cfg.CanProbe = 300, true
 	var all []Server
 	for i := range 30 {
 		all = append(all, Server{ID: fmt.Sprintf("r%d", i), Kind: 0}, Server{ID: fmt.Sprintf("w%d", i), Kind: 1})
 	}
-	read := func(prefixLen, prompt int) (most int, agree bool) {
-		reads, homes := map[string]int{}, map[uint64]string{}
+	submitAll := func(prefixLen, prompt int) (most int, agree bool) {
+		readCounts, homes := map[string]int{}, map[uint64]string{}
 		agree = true
-		for set.Front = range 300 {
-			r, f := start(t, set, all)
+		for cfg.Front = range 300 {
+			r, rec := newTestRouter(t, cfg, all)
 			for id := RequestID(1); id <= 4; id++ {
-				q := ask(id)
-				q.Session, q.Prefix, q.PrefixLen, q.Prompt = uint64(set.Front/2*10)+uint64(id), 7, prefixLen, prompt
+				q := testRequest(id)
+				q.Session, q.Prefix, q.PrefixLen, q.Prompt = uint64(cfg.Front/2*10)+uint64(id), 7, prefixLen, prompt
 				r.Request(0, q)
 				if p := r.requests[id]; p.probed {
 					r.Timer(p.retryAt, uint64(id))
 				}
-				reads[f.last()]++
-				if home, ok := homes[q.Session]; ok && home != f.last() {
+				readCounts[rec.lastServer()]++
+				if home, ok := homes[q.Session]; ok && home != rec.lastServer() {
 					agree = false
 				}
-				homes[q.Session] = f.last()
+				homes[q.Session] = rec.lastServer()
 			}
 		}
-		for _, n := range reads {
+		for _, n := range readCounts {
 			most = max(most, n)
 		}
 		return most, agree
 	}
 	const mean = 300 * 4 / 30
-	if most, agree := read(500, 5000); most > 2*mean || !agree {
-		t.Errorf("%d of 1200 prompts that share a tenth at one reader, %d on average; all fronts agree: %v", most, mean, agree)
+	if most, agree := submitAll(500, 5000); most > 2*mean || !agree {
+		t.Errorf("%d of 1200 prompts that share a tenth at one reader, %d on average; all routers agree: %v", most, mean, agree)
 	}
-	if most, _ := read(4500, 5000); most < 4*mean {
-		t.Errorf("%d of 1200 prompts that share nine tenths at one reader: nothing is gained from that", most)
+	if most, _ := submitAll(4500, 5000); most < 4*mean {
+		t.Errorf("only %d of 1200 prompts that share nine tenths at one reader: the prefix is not reused", most)
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -1,7 +1,7 @@
 package decide
 
-// A fleet of independent Routers and toy servers on a simulated clock. It counts what all fronts together do to
-// one server. It must never hand one Router what another knows.
+// A simulation of many independent Routers and toy servers on a virtual clock. The tests check the load that all
+// routers together put on a server. Routers share no state in it, as in production.
 
 import (
 	"cmp"
@@ -18,534 +18,550 @@
 	"rowanyard/internal/scale/virtualclock"
 )
 
-// box is a toy server: it serves so many at once at a pace, the rest waits in order.
-type box struct {
+// simServer is a toy server. It serves up to toySlots requests at once; the rest wait in order.
+type simServer struct {
 	Server
-	queue *toyserver.Queue
-	each  time.Duration // that a request takes warm
-	mute  bool          // it says nothing to what it is sent, and answers no probe
-	sends []time.Duration
-	told  []bool    // of each send: its front had been told of the latest start
-	work  []float64 // of each send: the mean work of its class, against that of all
+	queue       *toyserver.Queue
+	serviceTime time.Duration   // of a request of work 1 while the server is warm
+	silent      bool            // answers neither requests nor probes
+	sentAt      []time.Duration // of each attempt
+	startKnown  []bool          // of each attempt: its router knew of the latest start
+	work        []float64       // of each attempt, relative to the mean of all requests
 }
 
-// town is a fleet.
-type town struct {
+// simulation is a set of routers and toy servers on a virtual clock.
+type simulation struct {
 	virtualclock.Clock
-	set    Settings
-	rng    *rand.Rand
-	boxes  map[string]*box
-	fronts []*front
-	lastID RequestID
-	ends   map[string]int // final answers by kind
-	did    func(format string, a ...any)
-	can    func(age time.Duration) float64 // what a server can do so long after its start
-	again  func(f *front, id RequestID)    // what a client does that got no answer, nil: nothing
-	work   func(class int) float64         // a request's work against the mean, nil: all are alike
-	size   func(q Request) float64         // the same by request, goes first
-	drops  bool                            // servers drop what has expired in their queue
-	served func(id RequestID)              // told of each answer, nil: nobody
-	tweak  func(set *Settings)             // what is told to fronts in place of the settings, nil: nothing else
+	settings       Settings
+	rng            *rand.Rand
+	servers        map[string]*simServer
+	routers        []*simRouter
+	lastID         RequestID
+	answers        map[string]int                   // final answers by outcome: served, refused, failed, twice
+	trace          func(format string, a ...any)    // records sends and final answers, nil = none
+	capacity       func(age time.Duration) float64  // share of full capacity, by time since the start
+	onUnanswered   func(r *simRouter, id RequestID) // reaction of a client without an answer, nil = none
+	work           func(class int) float64          // work by class, relative to the mean, nil = 1
+	requestWork    func(q Request) float64          // the same by request, overrides work
+	dropExpired    bool                             // servers drop requests that expired in their queue
+	onServed       func(id RequestID)               // called for each answer, nil = none
+	changeSettings func(settings *Settings)         // edits the settings of each router, nil = none
 }
 
-type front struct {
+// simRouter is a Router and its Executor.
+type simRouter struct {
 	*Router
-	t     *town
-	sent  map[RequestID]int
-	open  map[RequestID]bool
-	asked map[RequestID]Request
-	tries map[RequestID]int        // of its client before
-	born  map[string]time.Duration // starts that it was told of
-	dead  bool
+	sim           *simulation
+	attempts      map[RequestID]int  // sent
+	open          map[RequestID]bool // without a final answer
+	submitted     map[RequestID]Request
+	clientRetries map[RequestID]int        // earlier tries of the client
+	knownStarts   map[string]time.Duration // latest start by server, from the lists received
+	stopped       bool
 }
 
-// Servers tells the front a list.
-func (f *front) Servers(now time.Duration, l ServerList) {
+// Servers passes a server list to the router.
+func (r *simRouter) Servers(now time.Duration, l ServerList) {
 	for _, s := range l.Servers {
-		f.born[s.ID] = s.Since
+		r.knownStarts[s.ID] = s.Since
 	}
-	f.Router.Servers(now, l)
+	r.Router.Servers(now, l)
 }
 
 const (
-	toyPlaces = 8
-	toyRead   = 120 * ms
-	toyWrite  = 400 * ms
+	toySlots     = 8
+	toyReadTime  = 120 * ms
+	toyWriteTime = 400 * ms
 )
 
-func newTown(fronts, readers, writers int) *town {
-	set := settings()
-	set.Fronts, set.CanProbe, set.ColdWindow = fronts, true, 2*time.Second
-	set.ColdFrom, set.ColdMultiple, set.ColdFor = 1./3, 2.5, 20*time.Second
-	t := &town{set: set, rng: rand.New(rand.NewPCG(7, uint64(fronts))), boxes: make(map[string]*box), ends: make(map[string]int)}
-	t.can = func(age time.Duration) float64 {
-		return min(1, t.set.ColdFrom+(1-t.set.ColdFrom)*float64(age)/float64(t.set.ColdFor))
+// newSimulation returns a simulation with readers and writers in four cells. Its routers are not started yet.
+func newSimulation(routers, readers, writers int) *simulation {
+	settings := testSettings()
+	settings.Fronts, settings.CanProbe, settings.ColdWindow = routers, true, 2*time.Second
+	settings.ColdFrom, settings.ColdMultiple, settings.ColdFor = 1./3, 2.5, 20*time.Second
+	sim := &simulation{settings: settings, rng: rand.New(rand.NewPCG(7, uint64(routers))),
+		servers: make(map[string]*simServer), answers: make(map[string]int)}
+	sim.capacity = func(age time.Duration) float64 {
+		return min(1, sim.settings.ColdFrom+(1-sim.settings.ColdFrom)*float64(age)/float64(sim.settings.ColdFor))
 	}
 	for i := range readers {
-		t.add(Server{ID: fmt.Sprintf("r%d", i), Kind: 0, Cell: i % 4, Weight: 1}, toyRead)
+		sim.addServer(Server{ID: fmt.Sprintf("r%d", i), Kind: 0, Cell: i % 4, Weight: 1}, toyReadTime)
 	}
 	for i := range writers {
-		t.add(Server{ID: fmt.Sprintf("w%d", i), Kind: 1, Cell: i % 4, Weight: 1}, toyWrite)
+		sim.addServer(Server{ID: fmt.Sprintf("w%d", i), Kind: 1, Cell: i % 4, Weight: 1}, toyWriteTime)
 	}
-	for range fronts {
-		t.fronts = append(t.fronts, nil)
+	for range routers {
+		sim.routers = append(sim.routers, nil)
 	}
-	return t
+	return sim
 }
 
-func (t *town) add(s Server, each time.Duration) {
-	t.boxes[s.ID] = &box{Server: s, each: each, queue: toyserver.NewQueue(toyPlaces, 0)}
+func (sim *simulation) addServer(s Server, serviceTime time.Duration) {
+	sim.servers[s.ID] = &simServer{Server: s, serviceTime: serviceTime, queue: toyserver.NewQueue(toySlots, 0)}
 }
 
-func (t *town) list() []Server {
+// serverList returns the current servers, sorted by ID.
+func (sim *simulation) serverList() []Server {
 	var all []Server
-	for _, b := range t.boxes {
-		all = append(all, b.Server)
+	for _, srv := range sim.servers {
+		all = append(all, srv.Server)
 	}
 	slices.SortFunc(all, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// boot starts front i with what it is told to know.
-func (t *town) boot(i int, known []Server) {
-	f := &front{t: t, sent: make(map[RequestID]int), open: make(map[RequestID]bool), asked: make(map[RequestID]Request),
-		tries: make(map[RequestID]int), born: make(map[string]time.Duration)}
-	set := t.set
-	set.Front = i
-	if t.tweak != nil {
-		t.tweak(&set)
+// startRouter starts router i and passes it a server list, unless that is nil.
+func (sim *simulation) startRouter(i int, known []Server) {
+	router := &simRouter{sim: sim, attempts: make(map[RequestID]int), open: make(map[RequestID]bool),
+		submitted: make(map[RequestID]Request), clientRetries: make(map[RequestID]int), knownStarts: make(map[string]time.Duration)}
+	settings := sim.settings
+	settings.Front = i
+	if sim.changeSettings != nil {
+		sim.changeSettings(&settings)
 	}
-	r, err := New(set, uint64(i), f)
+	r, err := New(settings, uint64(i), router)
 	if err != nil {
 		panic(err)
 	}
-	f.Router, t.fronts[i] = r, f
+	router.Router, sim.routers[i] = r, router
 	if known != nil {
-		f.Servers(t.Now, ServerList{Whole: true, Servers: known})
+		router.Servers(sim.Now, ServerList{Whole: true, Servers: known})
 	}
 }
 
-// tell gives each front the list of now, each a little later than another.
-func (t *town) tell(within time.Duration) {
-	l := t.list()
-	for _, f := range t.fronts {
-		t.After(time.Duration(t.rng.Int64N(int64(within))), func() {
-			if !f.dead {
-				f.Servers(t.Now, ServerList{Whole: true, Servers: l})
+// publishServers passes the current server list to each router, after a random delay up to maxDelay.
+func (sim *simulation) publishServers(maxDelay time.Duration) {
+	l := sim.serverList()
+	for _, r := range sim.routers {
+		sim.After(time.Duration(sim.rng.Int64N(int64(maxDelay))), func() {
+			if !r.stopped {
+				r.Servers(sim.Now, ServerList{Whole: true, Servers: l})
 			}
 		})
 	}
 }
 
-// load has requests come at a rate over all fronts until end, some fronts seeing several times the mean.
-func (t *town) load(rate float64, end time.Duration) {
-	weight, sum := make([]float64, len(t.fronts)), 0.0
+// generateLoad submits requests until end, at a rate in requests per second over all routers. Some routers receive
+// several times the mean.
+func (sim *simulation) generateLoad(rate float64, end time.Duration) {
+	weight, sum := make([]float64, len(sim.routers)), 0.0
 	for i := range weight {
-		weight[i] = 0.2 + 2*t.rng.Float64()*t.rng.Float64()
+		weight[i] = 0.2 + 2*sim.rng.Float64()*sim.rng.Float64()
 		sum += weight[i]
 	}
 	var next func()
 	next = func() {
-		if t.Now >= end {
+		if sim.Now >= end {
 			return
 		}
-		t.After(seconds(t.rng.ExpFloat64()/rate), next)
-		draw, i := t.rng.Float64()*sum, 0
+		sim.After(seconds(sim.rng.ExpFloat64()/rate), next)
+		draw, i := sim.rng.Float64()*sum, 0
 		for draw -= weight[0]; draw > 0 && i < len(weight)-1; draw -= weight[i] {
 			i++
 		}
-		f := t.fronts[i]
-		if f == nil {
+		r := sim.routers[i]
+		if r == nil {
 			return
 		}
-		t.lastID++
-		q := Request{ID: t.lastID, TimeLeft: 8 * time.Second, Session: t.rng.Uint64N(4096) + 1, Prompt: 3000, PrefixLen: 2000, MaxOutput: 200}
+		sim.lastID++
+		q := Request{ID: sim.lastID, TimeLeft: 8 * time.Second, Session: sim.rng.Uint64N(4096) + 1,
+			Prompt: 3000, PrefixLen: 2000, MaxOutput: 200}
 		q.Prefix = q.Session%61 + 1
-		f.open[q.ID] = true
-		f.Request(t.Now, q)
+		r.open[q.ID] = true
+		r.Request(sim.Now, q)
 	}
-	t.After(0, next)
+	sim.After(0, next)
 }
 
-func (f *front) Send(id RequestID, server string, timeout time.Duration) {
-	t, n := f.t, f.sent[id]
-	if t.did != nil {
-		t.did("%v %d sends %d to %s within %v\n", t.Now, f.cfg.Front, id, server, timeout)
+func (r *simRouter) Send(id RequestID, server string, timeout time.Duration) {
+	sim, n := r.sim, r.attempts[id]
+	if sim.trace != nil {
+		sim.trace("%v %d sends %d to %s within %v\n", sim.Now, r.cfg.Front, id, server, timeout)
 	}
-	f.sent[id]++
-	b := t.boxes[server]
-	if b == nil { // it has left: the connection is refused
-		t.After(ms, func() { f.over(t.Now, Outcome{ID: id, Attempt: n, Server: server, Status: ConnectFailed, Took: ms}) })
+	r.attempts[id]++
+	srv := sim.servers[server]
+	if srv == nil { // no longer there: the connection is refused
+		sim.After(ms, func() {
+			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: ConnectFailed, Took: ms})
+		})
 		return
 	}
 	work := 1.0
-	if t.work != nil {
-		work = t.work(f.asked[id].Class)
+	if sim.work != nil {
+		work = sim.work(r.submitted[id].Class)
 	}
-	if t.size != nil {
-		work = t.size(f.asked[id])
+	if sim.requestWork != nil {
+		work = sim.requestWork(r.submitted[id])
 	}
-	b.sends, b.told, b.work = append(b.sends, t.Now), append(b.told, f.born[server] == b.Since), append(b.work, work)
-	if b.mute {
-		t.After(timeout, func() {
-			f.over(t.Now, Outcome{ID: id, Attempt: n, Server: server, Status: TimedOut, Took: timeout})
+	srv.sentAt, srv.startKnown, srv.work = append(srv.sentAt, sim.Now),
+		append(srv.startKnown, r.knownStarts[server] == srv.Since), append(srv.work, work)
+	if srv.silent {
+		sim.After(timeout, func() {
+			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: TimedOut, Took: timeout})
 		})
 		return
 	}
-	began, slot := t.Now, b.queue.Next(t.Now)
-	took := time.Duration(float64(b.each) * work)
-	if b.Since > 0 {
-		took = time.Duration(float64(took) / t.can(t.Now-b.Since))
+	began, slot := sim.Now, srv.queue.Next(sim.Now)
+	took := time.Duration(float64(srv.serviceTime) * work)
+	if srv.Since > 0 {
+		took = time.Duration(float64(took) / sim.capacity(sim.Now-srv.Since))
 	}
-	wait := slot.Begins + took - t.Now
-	if expired := slot.Begins-t.Now > timeout; !t.drops || !expired { // else it is dropped when its turn comes
+	wait := slot.Begins + took - sim.Now
+	if expired := slot.Begins-sim.Now > timeout; !sim.dropExpired || !expired { // else the server drops it at its turn
 		slot.Take(took)
 	}
 	if wait > timeout {
-		t.After(timeout, func() {
-			f.over(t.Now, Outcome{ID: id, Attempt: n, Server: server, Status: TimedOut, Took: timeout})
+		sim.After(timeout, func() {
+			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: TimedOut, Took: timeout})
 		})
 		return
 	}
-	t.After(wait, func() {
-		if f.dead {
+	sim.After(wait, func() {
+		if r.stopped {
 			return
 		}
-		if t.set.Kinds[b.Kind].Role == Reader {
-			f.Outcome(t.Now, Outcome{ID: id, Attempt: n, Server: server, Status: Read, Took: t.Now - began, Kept: 2000})
+		if sim.settings.Kinds[srv.Kind].Role == Reader {
+			r.Outcome(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: Read, Took: sim.Now - began, Kept: 2000})
 			return
 		}
-		if f.open[id] {
-			f.end(id, "served")
-			if t.served != nil {
-				t.served(id)
+		if r.open[id] {
+			r.finish(id, "served")
+			if sim.onServed != nil {
+				sim.onServed(id)
 			}
-			f.Started(t.Now, Started{ID: id, Attempt: n, Server: server, Took: t.Now - began})
+			r.Started(sim.Now, Started{ID: id, Attempt: n, Server: server, Took: sim.Now - began})
 		}
-		f.Outcome(t.Now, Outcome{ID: id, Attempt: n, Server: server, Status: Served, Final: true, Took: t.Now - began})
+		r.Outcome(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: Served, Final: true, Took: sim.Now - began})
 	})
 }
 
-// over is an outcome, unless the front has ended.
-func (f *front) over(now time.Duration, o Outcome) {
-	if !f.dead {
-		f.Outcome(now, o)
+// deliver passes an outcome to the router unless it has stopped.
+func (r *simRouter) deliver(now time.Duration, o Outcome) {
+	if !r.stopped {
+		r.Outcome(now, o)
 	}
 }
 
-func (f *front) end(id RequestID, how string) {
-	if !f.open[id] {
+// finish counts a final answer; a second one for the same request counts as "twice".
+func (r *simRouter) finish(id RequestID, how string) {
+	if !r.open[id] {
 		how = "twice"
 	}
-	delete(f.open, id)
-	if f.t.did != nil {
-		f.t.did("%v %d %s %d\n", f.t.Now, f.cfg.Front, how, id)
+	delete(r.open, id)
+	if r.sim.trace != nil {
+		r.sim.trace("%v %d %s %d\n", r.sim.Now, r.cfg.Front, how, id)
 	}
-	f.t.ends[how]++
-	if f.t.again != nil && (how == "refused" || how == "failed") {
-		f.t.again(f, id)
+	r.sim.answers[how]++
+	if r.sim.onUnanswered != nil && (how == "refused" || how == "failed") {
+		r.sim.onUnanswered(r, id)
 	}
 }
 
-// Cancel ends an attempt at a server that says nothing. Others are seen to their end.
-func (f *front) Cancel(id RequestID, n int) {
-	p := f.Router.requests[id]
-	if b := f.t.boxes[p.attempts[n].server.ID]; b != nil && b.mute {
-		o := Outcome{ID: id, Attempt: n, Server: b.ID, Status: Cancelled, Took: f.t.Now - p.attempts[n].sentAt}
-		f.t.After(0, func() { f.over(f.t.Now, o) })
+// Cancel ends attempts at silent servers only; others run to their end.
+func (r *simRouter) Cancel(id RequestID, n int) {
+	p := r.Router.requests[id]
+	if srv := r.sim.servers[p.attempts[n].server.ID]; srv != nil && srv.silent {
+		o := Outcome{ID: id, Attempt: n, Server: srv.ID, Status: Cancelled, Took: r.sim.Now - p.attempts[n].sentAt}
+		r.sim.After(0, func() { r.deliver(r.sim.Now, o) })
 	}
 }
 
-func (f *front) Refuse(id RequestID, _ time.Duration) { f.end(id, "refused") }
-func (f *front) Fail(id RequestID)                    { f.end(id, "failed") }
-func (f *front) Release(RequestID)                    {}
-func (f *front) AskServers(bool)                      {}
-func (f *front) SetTimer(token uint64, at time.Duration) {
-	f.t.After(at-f.t.Now, func() {
-		if !f.dead {
-			f.Timer(f.t.Now, token)
+func (r *simRouter) Refuse(id RequestID, _ time.Duration) { r.finish(id, "refused") }
+func (r *simRouter) Fail(id RequestID)                    { r.finish(id, "failed") }
+func (r *simRouter) Release(RequestID)                    {}
+func (r *simRouter) AskServers(bool)                      {}
+func (r *simRouter) SetTimer(token uint64, at time.Duration) {
+	r.sim.After(at-r.sim.Now, func() {
+		if !r.stopped {
+			r.Timer(r.sim.Now, token)
 		}
 	})
 }
-func (f *front) Probe(server string) {
-	t := f.t
-	t.After(3*ms, func() {
-		b := t.boxes[server]
-		if b == nil || b.mute || f.dead {
+func (r *simRouter) Probe(server string) {
+	sim := r.sim
+	sim.After(3*ms, func() {
+		srv := sim.servers[server]
+		if srv == nil || srv.silent || r.stopped {
 			return
 		}
-		behind := b.queue.Backlog(t.Now)
-		q := max(0, float64(behind)/float64(b.each)-toyPlaces)
-		f.Probed(t.Now, Probed{Server: server, Queue: q, Tokens: q * 1000, Held: min(1, float64(behind)/float64(b.each)/toyPlaces)})
+		backlog := srv.queue.Backlog(sim.Now)
+		q := max(0, float64(backlog)/float64(srv.serviceTime)-toySlots)
+		r.Probed(sim.Now, Probed{Server: server, Queue: q, Tokens: q * 1000,
+			Held: min(1, float64(backlog)/float64(srv.serviceTime)/toySlots)})
 	})
 }
 
-// worst is the largest share of the rule's budget that all sends to b together took in any window: work sent
-// against multiple times present capacity times the window.
-func (t *town) worst(b *box) float64 {
-	most, from := 0.0, 0
-	full := toyPlaces / b.each.Seconds()
-	for i, at := range b.sends {
-		for b.sends[from] < at-t.set.ColdWindow {
+// worstColdLoad returns the most that all routers together sent a cold server in any window, as a multiple of its budget.
+// The budget is ColdOverloadFactor times the capacity at the start of the window times ColdOverloadWindow.
+func (sim *simulation) worstColdLoad(srv *simServer) float64 {
+	highest, from := 0.0, 0
+	full := toySlots / srv.serviceTime.Seconds()
+	for i, at := range srv.sentAt {
+		for srv.sentAt[from] < at-sim.settings.ColdWindow {
 			from++
 		}
-		if at >= b.Since+t.set.ColdFor { // warm by now
+		if at >= srv.Since+sim.settings.ColdFor { // warm from here on
 			break
 		}
-		most = max(most, float64(i-from+1)/(t.set.ColdMultiple*t.can(b.sends[from]-b.Since)*full*t.set.ColdWindow.Seconds()))
+		highest = max(highest, float64(i-from+1)/(sim.settings.ColdMultiple*
+			sim.capacity(srv.sentAt[from]-srv.Since)*full*sim.settings.ColdWindow.Seconds()))
 	}
-	return most
+	return highest
 }
 
-// steady plays 40 s of a fleet at 60% of what its readers can do, all of them warm.
-func steady(fronts int) *town {
-	t := newTown(fronts, 10, 34)
-	for i := range fronts {
-		t.boot(i, t.list())
+// newWarmSimulation returns a simulation that has run for 40 s with warm servers, at 60% of the capacity of the
+// readers.
+func newWarmSimulation(routers int) *simulation {
+	sim := newSimulation(routers, 10, 34)
+	for i := range routers {
+		sim.startRouter(i, sim.serverList())
 	}
-	t.load(0.6*10*toyPlaces/toyRead.Seconds(), 80*time.Second)
-	t.Until(40 * time.Second)
-	return t
+	sim.generateLoad(0.6*10*toySlots/toyReadTime.Seconds(), 80*time.Second)
+	sim.Until(40 * time.Second)
+	return sim
 }
 
-func (t *town) check(tt *testing.T, name string, served float64) {
-	tt.Helper()
+// checkAnswers checks that each request has exactly one final answer and that at least the given share was served.
+func (sim *simulation) checkAnswers(t *testing.T, name string, served float64) {
+	t.Helper()
 	all := 0
-	for _, n := range t.ends {
+	for _, n := range sim.answers {
 		all += n
 	}
-	if t.ends["twice"] > 0 {
-		tt.Errorf("%s: %d second final answers", name, t.ends["twice"])
+	if sim.answers["twice"] > 0 {
+		t.Errorf("%s: %d second final answers", name, sim.answers["twice"])
 	}
-	for _, f := range t.fronts {
-		if n := len(f.open); n > 0 {
-			tt.Errorf("%s: %d requests without an answer", name, n)
+	for _, r := range sim.routers {
+		if n := len(r.open); n > 0 {
+			t.Errorf("%s: %d requests without an answer", name, n)
 			break
 		}
 	}
-	if share := float64(t.ends["served"]) / float64(all); share < served {
-		tt.Errorf("%s: served %.2f of %d: %v", name, share, all, t.ends)
+	if share := float64(sim.answers["served"]) / float64(all); share < served {
+		t.Errorf("%s: served %.2f of %d requests: %v", name, share, all, sim.answers)
 	}
-	tt.Logf("%s: %v", name, t.ends)
+	t.Logf("%s: %v", name, sim.answers)
 }
 
-// cool makes a server a process that has just started.
-func (t *town) cool(b *box) {
-	b.Since, b.sends, b.told, b.work, b.queue = t.Now, nil, nil, nil, toyserver.NewQueue(toyPlaces, t.Now)
+// restartServer makes the server cold and empty, as after a restart of its process.
+func (sim *simulation) restartServer(srv *simServer) {
+	srv.Since, srv.sentAt, srv.startKnown, srv.work, srv.queue = sim.Now, nil, nil, nil, toyserver.NewQueue(toySlots, sim.Now)
 }
 
-// kept checks the rule on cold servers for one of them.
-func (t *town) kept(tt *testing.T, name string, b *box) {
-	tt.Helper()
-	if worst := t.worst(b); worst > 1 {
-		tt.Errorf("%s: all fronts together sent %s %.2f of what the rule allows", name, b.ID, worst)
+// checkColdBudget checks that no window of a cold server exceeded its budget.
+func (sim *simulation) checkColdBudget(t *testing.T, name string, srv *simServer) {
+	t.Helper()
+	if worstColdLoad := sim.worstColdLoad(srv); worstColdLoad > 1 {
+		t.Errorf("%s: all routers together sent %s %.2f of its budget", name, srv.ID, worstColdLoad)
 	}
 }
 
-// Many fronts meet one cold server that is back under its old id, each too seldom to see the others. However
-// many they are, their sends together stay within what the rule allows in any window, and the server is used.
-func TestFleetMeetsOneColdServer(t *testing.T) {
-	for _, fronts := range []int{4, 80, 300} {
+// A server restarts under its old ID. However many routers there are, each too rarely at the server to notice the
+// others, their sends together must stay within its budget in any window, and the server must be used.
+func TestRoutersPaceOneColdServer(t *testing.T) {
+	for _, routers := range []int{4, 80, 300} {
 		for _, id := range []string{"r3", "w3"} {
-			name := fmt.Sprintf("%d fronts, %s", fronts, id)
+			name := fmt.Sprintf("%d routers, %s", routers, id)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				town := steady(fronts)
-				b := town.boxes[id]
-				town.cool(b)
-				town.tell(500 * ms)
-				town.Until(95 * time.Second)
-				town.check(t, name, 0.97)
-				town.kept(t, name, b)
-				early := 0
-				for _, at := range b.sends {
-					if at < b.Since+town.set.ColdFor {
-						early++
+				sim := newWarmSimulation(routers)
+				srv := sim.servers[id]
+				sim.restartServer(srv)
+				sim.publishServers(500 * ms)
+				sim.Until(95 * time.Second)
+				sim.checkAnswers(t, name, 0.97)
+				sim.checkColdBudget(t, name, srv)
+				coldSends := 0
+				for _, at := range srv.sentAt {
+					if at < srv.Since+sim.settings.ColdFor {
+						coldSends++
 					}
 				}
-				t.Logf("%.2f of the budget at most, %d sends while cold", town.worst(b), early)
-				if early < 20 {
-					t.Errorf("%d sends in %v: it stays unused", early, town.set.ColdFor)
+				t.Logf("%.2f of the budget at most, %d sends while cold", sim.worstColdLoad(srv), coldSends)
+				if coldSends < 20 {
+					t.Errorf("only %d sends to the cold server in %v", coldSends, sim.settings.ColdFor)
 				}
 			})
 		}
 	}
 }
 
-// Four in five servers of one role fall silent together for 4 s, three times, and nobody is told: each request gets its one
-// answer, what is left serves on, and all of it is back soon after.
-func TestFleetWhileFourInFiveOfARoleAreSilent(t *testing.T) {
+// Four in five servers of one role go silent together for 4 s, three times, without a change of the server list. Each
+// request must get exactly one answer, the remaining servers must continue to serve, and the service must recover soon
+// afterwards.
+func TestRecoveryFromSilentServers(t *testing.T) {
 	for _, c := range []struct {
-		role   string
-		fronts int
+		role    string
+		routers int
 	}{{"r", 4}, {"w", 4}, {"w", 80}} {
-		t.Run(fmt.Sprint(c.role, c.fronts), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.role, c.routers), func(t *testing.T) {
 			t.Parallel()
-			silences(t, c.role, c.fronts)
+			testSilentServers(t, c.role, c.routers)
 		})
 	}
 }
 
-// The same where routers are many and each sends to a reader seldom.
-func TestManyFrontsAfterFourInFiveReadersWereSilent(t *testing.T) { silences(t, "r", 80) }
+// As TestRecoveryFromSilentServers, with many routers that each send to a reader rarely.
+func TestManyRoutersRecoverFromSilentReaders(t *testing.T) { testSilentServers(t, "r", 80) }
 
-// silences plays them for the servers of a role, whose ids begin with it.
-func silences(t *testing.T, role string, fronts int) {
+// testSilentServers runs these silences for the servers whose IDs begin with the role: "r" or "w".
+func testSilentServers(t *testing.T, role string, routers int) {
 	t.Helper()
-	const long, pause = 4 * time.Second, 10 * time.Second
-	town := newTown(fronts, 10, 34)
-	for i := range town.fronts {
-		town.boot(i, town.list())
+	const duration, pause = 4 * time.Second, 10 * time.Second
+	sim := newSimulation(routers, 10, 34)
+	for i := range sim.routers {
+		sim.startRouter(i, sim.serverList())
 	}
-	town.load(0.3*10*toyPlaces/toyRead.Seconds(), 60*time.Second)
+	sim.generateLoad(0.3*10*toySlots/toyReadTime.Seconds(), 60*time.Second)
 	for n := range 3 {
-		silent := func(mute bool) func() {
+		setSilent := func(silent bool) func() {
 			return func() {
-				for i, s := range town.list() {
+				for i, s := range sim.serverList() {
 					if s.ID[:1] == role && (i+n)%5 > 0 {
-						town.boxes[s.ID].mute = mute
+						sim.servers[s.ID].silent = silent
 					}
 				}
 			}
 		}
-		at := 10*time.Second + time.Duration(n)*(long+pause)
-		town.After(at, silent(true))
-		town.After(at+long, silent(false))
+		at := 10*time.Second + time.Duration(n)*(duration+pause)
+		sim.After(at, setSilent(true))
+		sim.After(at+duration, setSilent(false))
 	}
 	served := func(from, until time.Duration) float64 {
-		town.Until(from)
-		before, all := maps.Clone(town.ends), 0
-		town.Until(until)
-		for how, n := range town.ends {
+		sim.Until(from)
+		before, all := maps.Clone(sim.answers), 0
+		sim.Until(until)
+		for how, n := range sim.answers {
 			all += n - before[how]
 		}
-		return float64(town.ends["served"]-before["served"]) / float64(max(1, all))
+		return float64(sim.answers["served"]-before["served"]) / float64(max(1, all))
 	}
-	quiet, back := served(5*time.Second, 10*time.Second), served(52*time.Second, 60*time.Second)
-	if t.Logf("%.3f served before, %.3f when all are back", quiet, back); back < quiet-0.03 {
-		t.Errorf("%.3f served before, %.3f when all are back", quiet, back)
+	initial, after := served(5*time.Second, 10*time.Second), served(52*time.Second, 60*time.Second)
+	if t.Logf("%.3f served before, %.3f when all are back", initial, after); after < initial-0.03 {
+		t.Errorf("%.3f served before, %.3f when all are back", initial, after)
 	}
-	town.Until(90 * time.Second)
-	town.check(t, role, 0.7)
+	sim.Until(90 * time.Second)
+	sim.checkAnswers(t, role, 0.7)
 }
 
-// Six in ten servers are replaced within 7 s while requests come, and wait for them. No new one is pushed over.
-func TestFleetWhileSixInTenAreReplaced(t *testing.T) {
-	for _, fronts := range []int{80, 300} {
-		t.Run(fmt.Sprint(fronts), func(t *testing.T) {
+// Six in ten servers are replaced by cold ones within 7 s under load. The new servers must be used, each within its
+// budget.
+func TestReplacementOfSixInTenServers(t *testing.T) {
+	for _, routers := range []int{80, 300} {
+		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			t.Parallel()
-			town := steady(fronts)
-			var new []*box
-			for i, old := range town.list() {
+			sim := newWarmSimulation(routers)
+			var replacements []*simServer
+			for i, old := range sim.serverList() {
 				if i%5 < 2 {
 					continue
 				}
-				town.After(time.Duration(i)*7*time.Second/44, func() {
+				sim.After(time.Duration(i)*7*time.Second/44, func() {
 					s := old
-					s.ID, s.Since = "n"+old.ID, town.Now
-					each := town.boxes[old.ID].each
-					delete(town.boxes, old.ID)
-					town.add(s, each)
-					new = append(new, town.boxes[s.ID])
-					town.cool(town.boxes[s.ID])
-					town.tell(500 * ms)
+					s.ID, s.Since = "n"+old.ID, sim.Now
+					serviceTime := sim.servers[old.ID].serviceTime
+					delete(sim.servers, old.ID)
+					sim.addServer(s, serviceTime)
+					replacements = append(replacements, sim.servers[s.ID])
+					sim.restartServer(sim.servers[s.ID])
+					sim.publishServers(500 * ms)
 				})
 			}
-			town.Until(95 * time.Second)
-			town.check(t, "replaced", 0.8)
+			sim.Until(95 * time.Second)
+			sim.checkAnswers(t, "replaced", 0.8)
 			used := 0
-			for _, b := range new {
-				town.kept(t, "replaced", b)
-				if len(b.sends) > 0 {
+			for _, srv := range replacements {
+				sim.checkColdBudget(t, "replaced", srv)
+				if len(srv.sentAt) > 0 {
 					used++
 				}
 			}
-			if len(new) < 26 || used < len(new)*9/10 {
-				t.Errorf("%d of %d new servers used", used, len(new))
+			if len(replacements) < 26 || used < len(replacements)*9/10 {
+				t.Errorf("%d of %d new servers used, want at least 26 and nine in ten of them", used, len(replacements))
 			}
 		})
 	}
 }
 
-// All fronts start at once, with nothing known or with a list of which half has long left, and learn the true
-// one some seconds later: each request gets one answer, and the service comes back.
-func TestFleetThatStartsAtOnce(t *testing.T) {
-	for _, known := range []string{"empty", "old"} {
-		t.Run(known, func(t *testing.T) {
+// All routers start at once, with an empty server list or one of which half the servers are gone, and receive the
+// current list some seconds later. Each request must get exactly one answer, and the service must recover.
+func TestSimultaneousStartOfAllRouters(t *testing.T) {
+	for _, initialList := range []string{"empty", "old"} {
+		t.Run(initialList, func(t *testing.T) {
 			t.Parallel()
-			town := newTown(80, 10, 34)
-			var list []Server
-			if known == "old" {
-				list = town.list()
-				for i := range list {
+			sim := newSimulation(80, 10, 34)
+			var serverList []Server
+			if initialList == "old" {
+				serverList = sim.serverList()
+				for i := range serverList {
 					if i%2 == 0 {
-						list[i].ID = "gone" + list[i].ID
+						serverList[i].ID = "gone" + serverList[i].ID
 					}
 				}
 			}
-			for i := range town.fronts {
-				town.boot(i, list)
+			for i := range sim.routers {
+				sim.startRouter(i, serverList)
 			}
-			for _, b := range town.boxes {
-				town.cool(b)
-				b.Since = 1
+			for _, srv := range sim.servers {
+				sim.restartServer(srv)
+				srv.Since = 1
 			}
-			town.load(0.2*10*toyPlaces/toyRead.Seconds(), 30*time.Second)
-			town.After(3*time.Second, func() { town.tell(500 * ms) })
-			town.Until(5 * time.Second)
-			before := town.ends["served"]
-			town.Until(30 * time.Second)
-			if got := town.ends["served"] - before; got < 2400 {
-				t.Errorf("%d served once the list was had: %v", got, town.ends)
+			sim.generateLoad(0.2*10*toySlots/toyReadTime.Seconds(), 30*time.Second)
+			sim.After(3*time.Second, func() { sim.publishServers(500 * ms) })
+			sim.Until(5 * time.Second)
+			before := sim.answers["served"]
+			sim.Until(30 * time.Second)
+			if got := sim.answers["served"] - before; got < 2400 {
+				t.Errorf("only %d served after the current list had arrived: %v", got, sim.answers)
 			}
-			town.Until(60 * time.Second)
-			town.check(t, known, 0.65)
-			for _, b := range town.boxes {
-				town.kept(t, known, b)
+			sim.Until(60 * time.Second)
+			sim.checkAnswers(t, initialList, 0.65)
+			for _, srv := range sim.servers {
+				sim.checkColdBudget(t, initialList, srv)
 			}
 		})
 	}
 }
 
-// The check on cold servers is no empty one: fronts that know no rule break it.
-func TestFleetWithoutPacingIsCaught(t *testing.T) {
-	town := newTown(80, 2, 34)
-	town.set.ColdFor = 0 // the fronts take all servers for warm
-	for i := range town.fronts {
-		town.boot(i, town.list())
-	}
-	town.set.ColdFor = 20 * time.Second
-	b := town.boxes["r1"]
-	b.Since = 1
-	town.load(2*2*toyPlaces/toyRead.Seconds(), 10*time.Second)
-	town.Until(30 * time.Second)
-	if town.worst(b) <= 1 {
-		t.Errorf("%.2f of the budget, though nothing paced the sends", town.worst(b))
+// The budget check must detect routers that do not pace their sends to cold servers.
+func TestColdBudgetCheckDetectsMissingPacing(t *testing.T) {
+	sim := newSimulation(80, 2, 34)
+	sim.settings.ColdFor = 0 // the routers take all servers for warm
+	for i := range sim.routers {
+		sim.startRouter(i, sim.serverList())
+	}
+	sim.settings.ColdFor = 20 * time.Second
+	srv := sim.servers["r1"]
+	srv.Since = 1
+	sim.generateLoad(2*2*toySlots/toyReadTime.Seconds(), 10*time.Second)
+	sim.Until(30 * time.Second)
+	if sim.worstColdLoad(srv) <= 1 {
+		t.Errorf("%.2f of the budget without pacing, want more than 1", sim.worstColdLoad(srv))
 	}
 }
 
-// recorded is what 12 fronts do in 10 s of a fleet of which a third is replaced, each send and each final answer. It was
-// taken when writers that show no sign were first probed.
-const recorded = "d0e8439abc1f4b11fe43033afb543c0c7c6ab34d78ee46fe1639244342f13f6d"
+// callsHash is a hash over each send and final answer of 12 routers under load for 10 s, with a third of the servers
+// restarting meanwhile. Probes of writers that give no sign of life are included.
+const callsHash = "d0e8439abc1f4b11fe43033afb543c0c7c6ab34d78ee46fe1639244342f13f6d"
 
-// Without reports all is as it was before there were any, to the last action.
-func TestNoReportsNoChange(t *testing.T) {
+// Without cache reports, decisions must be exactly those of a Router that knows no reports.
+func TestDecisionsWithoutReportsAreUnchanged(t *testing.T) {
 	sum := sha256.New()
-	town := newTown(12, 10, 34)
-	town.did = func(format string, a ...any) { fmt.Fprintf(sum, format, a...) }
-	for i := range town.fronts {
-		town.boot(i, town.list())
-	}
-	town.load(0.8*10*toyPlaces/toyRead.Seconds(), 10*time.Second)
-	town.Until(4 * time.Second)
-	for i, s := range town.list() {
+	sim := newSimulation(12, 10, 34)
+	sim.trace = func(format string, a ...any) { fmt.Fprintf(sum, format, a...) }
+	for i := range sim.routers {
+		sim.startRouter(i, sim.serverList())
+	}
+	sim.generateLoad(0.8*10*toySlots/toyReadTime.Seconds(), 10*time.Second)
+	sim.Until(4 * time.Second)
+	for i, s := range sim.serverList() {
 		if i%3 == 0 {
-			town.cool(town.boxes[s.ID])
+			sim.restartServer(sim.servers[s.ID])
 		}
 	}
-	town.tell(500 * ms)
-	town.Until(20 * time.Second)
-	if got := hex.EncodeToString(sum.Sum(nil)); got != recorded {
-		t.Errorf("the record is %s now", got)
+	sim.publishServers(500 * ms)
+	sim.Until(20 * time.Second)
+	if got := hex.EncodeToString(sum.Sum(nil)); got != callsHash {
+		t.Errorf("hash of the calls is %s", got)
 	}
 }
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// recordedDeployments are what the fronts of some drawn deployments did, each send and each final answer: looking things up
-// in another way must not change a decision. Taken since writers that show no sign are probed.
-var recordedDeployments = map[uint64]string{
+// decisionHashes holds, by seed, hashes over every send and final answer of the routers of some deployments. Changes to
+// data structures and lookups must not change a decision. Probes of writers that give no sign of life are included.
+var decisionHashes = map[uint64]string{
 	3:    "c897264e295f38a965dae1715aeb06c6c256b13eabed9d848b982c0b4b43249f",
 	6:    "eecaed8e54512b16448576fa6e8c2225d0bcee19f4c10d95eaefe4e2fe2d43bd",
 	12:   "94c9d7c586bf829cfc1b245b96d57ea2dff47bc9a5869bd49443145f435bac9a",
@@ -20,16 +20,17 @@
 	1091: "9cd0f6829e201807b4d3c905dc64e8fbf00eef7f3631fc024c0ae981c64c9634",
 }
 
-func TestDecisionsAreAsRecorded(t *testing.T) {
-	for seed, want := range recordedDeployments {
+// A change that is not meant to change decisions must leave all hashes as they are.
+func TestDecisionsMatchRecordedHashes(t *testing.T) {
+	for seed, want := range decisionHashes {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			sum := sha256.New()
-			d := draw(seed, 300)
-			d.did = func(format string, a ...any) { fmt.Fprintf(sum, format, a...) }
-			d.play()
+			d := drawDeployment(seed, 300)
+			d.trace = func(format string, a ...any) { fmt.Fprintf(sum, format, a...) }
+			d.run()
 			if got := hex.EncodeToString(sum.Sum(nil)); got != want {
-				t.Errorf("the record is %s now", got)
+				t.Errorf("hash of the decisions is %s", got)
 			}
 		})
 	}
