--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -1,8 +1,8 @@
-// Package kvindex owns what a router knows of the texts that workers keep, as engines report it: from chains of block
-// hashes to the workers that keep them. Time comes in; it does no I/O and starts no goroutine.
-//
-// It must never trust a report past its worker's own knowledge, grow without bound, nor be wrong for longer than
-// Settings.Bound: what may be wrong ages out.
+// Package kvindex indexes which prompt blocks each worker has cached, as reported by the engines: it maps chains of block
+// hashes to the workers that hold them. The caller supplies the time; the package does no I/O and starts no goroutine.
+// The index assumes that reports may be lost, late or wrong. A report only affects what is known about its own worker,
+// memory is bounded, and a worker's blocks are forgotten when a gap in its reports has been open for longer than
+// Settings.MaxStaleness.
 package kvindex
 
 import (
@@ -12,95 +12,96 @@
 	"time"
 )
 
-// Batch is one batch of reports, as it came.
+// Batch is one batch of cache changes from one publisher.
 type Batch struct {
-	Incarnation uint64 // of the publisher's process; a later start has a larger one
-	Seq         uint64 // counts the batches of an incarnation from 0
+	Incarnation uint64 // of the publisher's process; larger after each restart
+	Seq         uint64 // batch number within the incarnation, from 0
 	Changes     []Change
 }
 
-// Change is one change: blocks stored, blocks removed, or all of them gone.
+// Change is one change to a worker's cache: blocks stored, blocks removed, or the whole cache cleared.
 type Change struct {
 	Stored  []uint64
-	Parent  uint64 // of the first of them, 0 = it begins a text
-	Block   int    // tokens in a block
+	Parent  uint64 // hash of the block before the first stored one; 0 at the start of a prompt
+	Block   int    // tokens per block
 	Removed []uint64
 	Cleared bool
 }
 
-// Settings are an Index's.
+// Settings configure an Index.
 type Settings struct {
-	Blocks   int           // known at once
-	Workers  int           // known at once. The sets of who keeps a block grow by need, and hold fewer blocks then
-	Bound    time.Duration // what may be wrong is not believed for longer
-	Buffered int           // batches of a worker that came too early and are kept
-	Rate     float64       // changes of blocks that a worker may report in a second ...
-	Burst    float64       // ... and at once
+	Blocks   int           // blocks in the index
+	Workers  int           // workers in the index; beyond 128 of them, larger slot sets leave room for fewer blocks
+	Bound    time.Duration // how long a worker's blocks are believed while one of its batches is missing
+	Buffered int           // batches per worker kept while an earlier one is missing
+	Rate     float64       // block changes that a worker may report per second
+	Burst    float64       // block changes that a worker may report at once
 }
 
-// Check refuses settings that make no sense.
+// Check returns an error if a setting is out of range.
 func (s Settings) Check() error {
 	if s.Blocks < 1 || s.Workers < 1 || s.Bound <= 0 || s.Buffered < 0 || s.Rate <= 0 || s.Burst < 1 {
-		return errors.New("kvindex: blocks, workers, bound, rate and burst must be above zero")
+		return errors.New("kvindex: blocks, workers and burst must be at least 1, staleness bound and change rate above 0, buffered batches not below 0")
 	}
 	return nil
 }
 
-// Why a report, or a part of it, counts for nothing. They are counted in Stats.
+// Reasons for which a report, or part of one, is refused or suspect. Stats counts them.
 const (
-	OldIncarnation = "old_incarnation" // of a process that is gone
-	Duplicate      = "duplicate"       // came before
-	Early          = "early"           // came before those that it follows, and there is no room to keep it
-	Flood          = "flood"           // more than a worker may report
-	NoRoom         = "no_room"         // more workers than fit
-	UnknownParent  = "unknown_parent"  // stored after what the worker does not keep; taken all the same
-	NeverStored    = "never_stored"    // removed though it was not kept
-	BlockSize      = "block_size"      // another size than before: all that was known of the worker goes
+	OldIncarnation = "old_incarnation" // from a process that has been replaced
+	Duplicate      = "duplicate"       // received before
+	Early          = "early"           // an earlier batch is missing and the buffer is full
+	Flood          = "flood"           // over the worker's rate limit
+	NoRoom         = "no_room"         // no room for another worker
+	UnknownParent  = "unknown_parent"  // the parent isn't cached by the worker; the blocks are stored all the same
+	NeverStored    = "never_stored"    // removed without having been stored
+	BlockSize      = "block_size"      // differs from the worker's earlier blocks, which are all forgotten
 	NoBlock        = "no_block"        // a block without a hash or a size
 )
 
-// Stats are counts since the start.
+// Stats are gauges of the index and counters since its creation.
 type Stats struct {
-	Blocks    int // known now
+	Blocks    int // currently in the index
 	Workers   int
 	Refused   map[string]int64 // by reason
 	Gaps      int64
-	Replays   int64 // gaps that were filled in time
-	Aged      int64 // that were not: the worker's knowledge went
-	Predicted int64 // requests whose kept length was predicted and told
-	Wrong     int64 // by more than a tenth of it, or a block
+	Replays   int64 // gaps filled by a replay in time
+	Aged      int64 // gaps that weren't filled in time, so that the worker's blocks were forgotten
+	Predicted int64 // requests with a predicted and an actual cached prefix
+	Wrong     int64 // predictions off by more than a tenth of the actual length and by more than 64 tokens
 }
 
-// Index is what is known. It is not safe for concurrent use.
+// Index holds the reported blocks of all workers. It is not safe for concurrent use.
 type Index struct {
-	set     Settings
-	table   *table
-	alive   set
-	dirty   set // slots of knowledge that is void, still in entries
-	sweeps  set // those of them that the walk under way takes out
-	free    []int
-	workers map[string]*worker
-	of      []*worker   // by slot; few slots are in use by workers, the rest is being cleaned
-	sizes   map[int]set // slots by block size
-	cur     set         // of the lookup that is under way
-	out     set
-	stats   Stats
+	settings           Settings
+	table              *table
+	active             slotSet
+	stale              slotSet // released slots whose bits are still set in table entries
+	sweeping           slotSet // the stale slots that the current sweep clears
+	freeSlots          []int
+	workers            map[string]*worker
+	workerBySlot       []*worker       // nil = slot is free or stale; kept at most half assigned, as stale slots wait for the sweep
+	slotsByBlockTokens map[int]slotSet // slots by block size in tokens
+	matching           slotSet         // scratch space of Lookup
+	dropped            slotSet
+	stats              Stats
 }
 
+// worker is the state of one worker's reports.
 type worker struct {
 	id          string
-	slot        int // pending = none free
+	slot        int // noSlot = none was free
 	incarnation uint64
-	next        uint64 // the batch that is due
-	top         uint64 // the one after the latest that is known to be out
-	block       int
-	gap         time.Duration // since then something is missing, 0 = nothing
-	early       []Batch       // by number
+	nextSeq     uint64 // number of the next batch to apply
+	endSeq      uint64 // one past the highest batch number known to be published
+	blockTokens int
+	gapSince    time.Duration // when a batch was first missed, 0 = nothing is missing
+	buffered    []Batch       // batches received ahead of nextSeq, by number
 	budget      float64
-	spentAt     time.Duration
-	held        int
-	partial     bool // its knowledge has aged out since it began: it may keep more than is known
-	silent      bool // its publisher was not heard of since
+	budgetAt    time.Duration
+	blockCount  int
+	incomplete  bool // may hold more than is indexed: blocks were forgotten since its cache was last empty
+	silent      bool // nothing was heard from its publisher since
 }
 
 // New returns an empty Index.
@@ -108,120 +109,121 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	x := &Index{set: s, workers: make(map[string]*worker), sizes: make(map[int]set), stats: Stats{Refused: make(map[string]int64)}}
-	x.table = newTable(s.Blocks, leastWords)
-	x.widen(leastWords)
+	x := &Index{settings: s, workers: make(map[string]*worker), slotsByBlockTokens: make(map[int]slotSet), stats: Stats{Refused: make(map[string]int64)}}
+	x.table = newTable(s.Blocks, minSetWords)
+	x.growSlots(minSetWords)
 	return x, nil
 }
 
-// widen makes room for so many words of slots.
-func (x *Index) widen(words int) {
-	x.alive, x.dirty, x.sweeps = x.alive.wider(words), x.dirty.wider(words), x.sweeps.wider(words)
-	x.cur, x.out = make(set, words), make(set, words)
-	for block, s := range x.sizes {
-		x.sizes[block] = s.wider(words)
+// growSlots grows all slot sets to the given number of words.
+func (x *Index) growSlots(words int) {
+	x.active, x.stale, x.sweeping = x.active.grown(words), x.stale.grown(words), x.sweeping.grown(words)
+	x.matching, x.dropped = make(slotSet, words), make(slotSet, words)
+	for blockTokens, s := range x.slotsByBlockTokens {
+		x.slotsByBlockTokens[blockTokens] = s.grown(words)
 	}
-	had := len(x.of)
-	x.of = append(x.of, make([]*worker, 64*words-had)...)
-	for i := len(x.of) - 1; i >= had; i-- {
-		x.free = append(x.free, i)
+	oldSlots := len(x.workerBySlot)
+	x.workerBySlot = append(x.workerBySlot, make([]*worker, 64*words-oldSlots)...)
+	for i := len(x.workerBySlot) - 1; i >= oldSlots; i-- {
+		x.freeSlots = append(x.freeSlots, i)
 	}
 	if x.table.words == words {
 		return
 	}
-	x.table = x.table.wider(words, x.alive)
-	for _, w := range x.workers { // what had no room is not known any more
-		w.held = 0
+	x.table = x.table.grown(words, x.active)
+	for _, w := range x.workers { // blocks that no longer fit have been dropped
+		w.blockCount = 0
 	}
 	for i, e := range x.table.entries {
 		if e.hash != 0 {
-			x.table.of(i).each(func(slot int) {
-				if w := x.of[slot]; w != nil {
-					w.held++
+			x.table.slots(i).each(func(slot int) {
+				if w := x.workerBySlot[slot]; w != nil {
+					w.blockCount++
 				}
 			})
 		}
 	}
-	x.table.broom, x.sweeps = 0, make(set, words) // the walk begins anew
+	x.table.sweepAt, x.sweeping = 0, make(slotSet, words) // the table has been rebuilt: sweep from the start
 }
 
-// Replay asks a publisher for what is missing: its batches from a number on.
+// ReplayRequest asks a publisher to send its batches again, starting with number FromSeq.
 type Replay struct {
 	Worker string
 	From   uint64
 }
 
-// Apply takes a batch of a worker's. It returns what has to be asked for again, nil = nothing.
+// Apply applies a worker's batch, or buffers it while an earlier one is missing. It returns the replay to request from
+// the publisher, or nil if no batch is missing.
 func (x *Index) Apply(now time.Duration, id string, b Batch) *Replay {
-	x.clean()
+	x.sweepStale()
 	w := x.workers[id]
 	if w == nil {
-		if len(x.workers) >= x.set.Workers {
+		if len(x.workers) >= x.settings.Workers {
 			x.stats.Refused[NoRoom]++
 			return nil
 		}
-		if 2*(len(x.workers)+1) > len(x.of) {
-			x.widen(2 * x.table.words)
+		if 2*(len(x.workers)+1) > len(x.workerBySlot) {
+			x.growSlots(2 * x.table.words)
 		}
-		w = &worker{id: id, incarnation: b.Incarnation, budget: x.set.Burst, spentAt: now, slot: pending}
+		w = &worker{id: id, incarnation: b.Incarnation, budget: x.settings.Burst, budgetAt: now, slot: noSlot}
 		x.workers[id] = w
-		x.seat(w)
+		x.assignSlot(w)
 	}
-	x.age(now, w)
+	x.expireGap(now, w)
 	switch {
 	case b.Incarnation < w.incarnation:
 		x.stats.Refused[OldIncarnation]++
 		return nil
-	case b.Incarnation > w.incarnation: // it has started again: nothing that was known of it holds
-		x.void(w)
-		w.incarnation, w.next, w.top, w.gap, w.early = b.Incarnation, 0, 0, 0, nil
-		w.partial, w.silent = false, false
+	case b.Incarnation > w.incarnation: // the process was restarted with an empty cache
+		x.forgetBlocks(w)
+		w.incarnation, w.nextSeq, w.endSeq, w.gapSince, w.buffered = b.Incarnation, 0, 0, 0, nil
+		w.incomplete, w.silent = false, false
 	}
-	if !x.pay(now, w, b) {
+	if !x.spendBudget(now, w, b) {
 		x.stats.Refused[Flood]++
-		return w.missing()
+		return w.replayRequest()
 	}
-	if w.silent && b.Seq >= w.next { // it is back: what it said meanwhile is of no use any more
-		w.next, w.silent = b.Seq, false
+	if w.silent && b.Seq >= w.nextSeq { // its publisher is back: skip what was published meanwhile
+		w.nextSeq, w.silent = b.Seq, false
 	}
-	w.top = max(w.top, b.Seq+1)
+	w.endSeq = max(w.endSeq, b.Seq+1)
 	switch {
-	case b.Seq < w.next:
+	case b.Seq < w.nextSeq:
 		x.stats.Refused[Duplicate]++
-		return w.missing()
-	case b.Seq > w.next:
-		x.keep(w, b)
-		if w.gap == 0 {
-			w.gap = max(now, 1)
+		return w.replayRequest()
+	case b.Seq > w.nextSeq:
+		x.bufferEarly(w, b)
+		if w.gapSince == 0 {
+			w.gapSince = max(now, 1)
 			x.stats.Gaps++
 		}
-		return w.missing()
+		return w.replayRequest()
 	}
-	x.change(w, b)
-	for w.next++; len(w.early) > 0 && w.early[0].Seq <= w.next; w.early = w.early[1:] {
-		if w.early[0].Seq == w.next {
-			x.change(w, w.early[0])
-			w.next++
+	x.applyBatch(w, b)
+	for w.nextSeq++; len(w.buffered) > 0 && w.buffered[0].Seq <= w.nextSeq; w.buffered = w.buffered[1:] {
+		if w.buffered[0].Seq == w.nextSeq {
+			x.applyBatch(w, w.buffered[0])
+			w.nextSeq++
 		}
 	}
-	if w.gap > 0 && w.next >= w.top {
-		w.gap = 0
+	if w.gapSince > 0 && w.nextSeq >= w.endSeq {
+		w.gapSince = 0
 		x.stats.Replays++
 	}
-	return w.missing()
+	return w.replayRequest()
 }
 
-// missing is what has to be asked for again.
-func (w *worker) missing() *Replay {
-	if w.gap == 0 {
+// replayRequest returns the replay to request, or nil if no batch is missing.
+func (w *worker) replayRequest() *Replay {
+	if w.gapSince == 0 {
 		return nil
 	}
-	return &Replay{w.id, w.next}
+	return &Replay{w.id, w.nextSeq}
 }
 
-// keep keeps a batch that came too early.
-func (x *Index) keep(w *worker, b Batch) {
-	at, found := slices.BinarySearchFunc(w.early, b.Seq, func(e Batch, seq uint64) int {
+// bufferEarly keeps a batch that arrived before an earlier one.
+func (x *Index) bufferEarly(w *worker, b Batch) {
+	pos, found := slices.BinarySearchFunc(w.buffered, b.Seq, func(e Batch, seq uint64) int {
 		switch {
 		case e.Seq < seq:
 			return -1
@@ -233,21 +235,22 @@
 	switch {
 	case found:
 		x.stats.Refused[Duplicate]++
-	case len(w.early) >= x.set.Buffered:
+	case len(w.buffered) >= x.settings.Buffered:
 		x.stats.Refused[Early]++
 	default:
-		w.early = slices.Insert(w.early, at, b)
+		w.buffered = slices.Insert(w.buffered, pos, b)
 	}
 }
 
-// pay says whether a worker may report so much now. Guards the router's time against a flood.
-func (x *Index) pay(now time.Duration, w *worker, b Batch) bool {
+// spendBudget takes a batch's cost from the worker's token bucket and reports whether it sufficed. This bounds the time
+// that a flood of reports can cost the router.
+func (x *Index) spendBudget(now time.Duration, w *worker, b Batch) bool {
 	cost := 1.0
 	for _, c := range b.Changes {
 		cost += float64(len(c.Stored) + len(c.Removed))
 	}
-	w.budget = math.Min(x.set.Burst, w.budget+x.set.Rate*(now-w.spentAt).Seconds())
-	w.spentAt = now
+	w.budget = math.Min(x.settings.Burst, w.budget+x.settings.Rate*(now-w.budgetAt).Seconds())
+	w.budgetAt = now
 	if cost > w.budget {
 		return false
 	}
@@ -255,22 +258,22 @@
 	return true
 }
 
-// change takes a batch in its turn.
-func (x *Index) change(w *worker, b Batch) {
+// applyBatch applies a batch that is next in order.
+func (x *Index) applyBatch(w *worker, b Batch) {
 	for _, c := range b.Changes {
 		if c.Cleared {
-			x.void(w)
-			w.partial = false
+			x.forgetBlocks(w)
+			w.incomplete = false
 		}
 		if len(c.Stored) > 0 {
-			x.store(w, c)
+			x.storeBlocks(w, c)
 		}
 		for _, h := range c.Removed {
-			if i := x.table.find(h); h != 0 && w.slot != pending && i >= 0 && x.table.of(i).has(w.slot) {
-				x.table.of(i).remove(w.slot)
-				w.held--
-				if x.table.of(i).within(x.dirty) {
-					x.table.dropHash(h)
+			if i := x.table.find(h); h != 0 && w.slot != noSlot && i >= 0 && x.table.slots(i).has(w.slot) {
+				x.table.slots(i).remove(w.slot)
+				w.blockCount--
+				if x.table.slots(i).subsetOf(x.stale) {
+					x.table.removeHash(h)
 				}
 			} else {
 				x.stats.Refused[NeverStored]++
@@ -279,223 +282,227 @@
 	}
 }
 
-func (x *Index) store(w *worker, c Change) {
+// storeBlocks indexes the stored blocks of a change.
+func (x *Index) storeBlocks(w *worker, c Change) {
 	if c.Block < 1 {
 		x.stats.Refused[NoBlock]++
 		return
 	}
-	if w.block != c.Block {
-		if w.block != 0 {
+	if w.blockTokens != c.Block {
+		if w.blockTokens != 0 {
 			x.stats.Refused[BlockSize]++
-			x.void(w)
+			x.forgetBlocks(w)
 		}
-		x.size(w, c.Block)
+		x.setBlockTokens(w, c.Block)
 	}
-	if w.slot == pending {
+	if w.slot == noSlot {
 		x.stats.Refused[NoRoom]++
 		return
 	}
 	if c.Parent != 0 {
-		if i := x.table.find(c.Parent); i < 0 || !x.table.of(i).has(w.slot) {
+		if i := x.table.find(c.Parent); i < 0 || !x.table.slots(i).has(w.slot) {
 			x.stats.Refused[UnknownParent]++
 		}
 	}
-	x.table.now++
+	x.table.useClock++
 	for _, h := range c.Stored {
 		if h == 0 {
 			x.stats.Refused[NoBlock]++
 			continue
 		}
-		i := x.table.put(h, x.alive)
-		if !x.table.of(i).has(w.slot) {
-			w.held++
+		i := x.table.findOrInsert(h, x.active)
+		if !x.table.slots(i).has(w.slot) {
+			w.blockCount++
 		}
-		x.table.of(i).add(w.slot)
-		x.table.entries[i].used = x.table.now
+		x.table.slots(i).add(w.slot)
+		x.table.entries[i].lastUsed = x.table.useClock
 	}
 }
 
-// size notes the size of a worker's blocks.
-func (x *Index) size(w *worker, block int) {
-	if s := x.sizes[w.block]; s != nil && w.slot != pending {
+// setBlockTokens records the size of a worker's blocks.
+func (x *Index) setBlockTokens(w *worker, blockTokens int) {
+	if s := x.slotsByBlockTokens[w.blockTokens]; s != nil && w.slot != noSlot {
 		s.remove(w.slot)
 		if s.empty() {
-			delete(x.sizes, w.block)
+			delete(x.slotsByBlockTokens, w.blockTokens)
 		}
 	}
-	if w.block = block; block == 0 || w.slot == pending {
+	if w.blockTokens = blockTokens; blockTokens == 0 || w.slot == noSlot {
 		return
 	}
-	if x.sizes[block] == nil {
-		x.sizes[block] = make(set, x.table.words)
+	if x.slotsByBlockTokens[blockTokens] == nil {
+		x.slotsByBlockTokens[blockTokens] = make(slotSet, x.table.words)
 	}
-	x.sizes[block].add(w.slot)
+	x.slotsByBlockTokens[blockTokens].add(w.slot)
 }
 
-// void forgets all that a worker was known to keep, at no cost however much that was: its slot counts no more, and is
-// taken out of the entries little by little.
-func (x *Index) void(w *worker) {
-	if w.slot != pending && w.held == 0 { // nothing to forget
+// forgetBlocks forgets all blocks of a worker in constant time: the worker moves to another slot, and sweepStale clears
+// the old one from the table entries step by step.
+func (x *Index) forgetBlocks(w *worker) {
+	if w.slot != noSlot && w.blockCount == 0 { // nothing is indexed
 		return
 	}
-	block := w.block
-	x.unseat(w)
-	x.seat(w)
-	x.size(w, block)
+	blockTokens := w.blockTokens
+	x.releaseSlot(w)
+	x.assignSlot(w)
+	x.setBlockTokens(w, blockTokens)
 }
 
-func (x *Index) unseat(w *worker) {
-	x.size(w, 0)
-	if w.slot != pending {
-		x.alive.remove(w.slot)
-		x.dirty.add(w.slot)
-		x.of[w.slot] = nil
+// releaseSlot marks the worker's slot as stale.
+func (x *Index) releaseSlot(w *worker) {
+	x.setBlockTokens(w, 0)
+	if w.slot != noSlot {
+		x.active.remove(w.slot)
+		x.stale.add(w.slot)
+		x.workerBySlot[w.slot] = nil
 	}
-	w.slot, w.held = pending, 0
+	w.slot, w.blockCount = noSlot, 0
 }
 
-func (x *Index) seat(w *worker) {
-	for len(x.free) == 0 && !x.dirty.empty() { // more starts than walks: clean now
-		x.clean()
+// assignSlot gives the worker a free slot, if there is one.
+func (x *Index) assignSlot(w *worker) {
+	for len(x.freeSlots) == 0 && !x.stale.empty() { // restarts outpace the sweep: finish it now
+		x.sweepStale()
 	}
-	if len(x.free) == 0 {
+	if len(x.freeSlots) == 0 {
 		return
 	}
-	w.slot = x.free[len(x.free)-1]
-	x.free = x.free[:len(x.free)-1]
-	x.alive.add(w.slot)
-	x.of[w.slot] = w
+	w.slot = x.freeSlots[len(x.freeSlots)-1]
+	x.freeSlots = x.freeSlots[:len(x.freeSlots)-1]
+	x.active.add(w.slot)
+	x.workerBySlot[w.slot] = w
 }
 
-const sweepEach = 256 // entries looked at for each batch
+const sweepEntriesPerBatch = 256 // table entries visited for each batch
 
-// clean takes void slots out of some entries. A walk over the whole table frees those that were void when it began.
-func (x *Index) clean() {
-	if x.dirty.empty() {
+// sweepStale clears stale slots from some table entries. A pass over the whole table frees the slots that were stale when
+// the pass began.
+func (x *Index) sweepStale() {
+	if x.stale.empty() {
 		return
 	}
-	if x.sweeps.empty() {
-		copy(x.sweeps, x.dirty)
-		x.table.broom = 0
+	if x.sweeping.empty() {
+		copy(x.sweeping, x.stale)
+		x.table.sweepAt = 0
 	}
-	if !x.table.sweep(sweepEach, x.sweeps) {
+	if !x.table.sweep(sweepEntriesPerBatch, x.sweeping) {
 		return
 	}
-	x.sweeps.each(func(i int) {
-		x.dirty.remove(i)
-		x.free = append(x.free, i)
+	x.sweeping.each(func(i int) {
+		x.stale.remove(i)
+		x.freeSlots = append(x.freeSlots, i)
 	})
-	clear(x.sweeps)
+	clear(x.sweeping)
 }
 
-// Lost says that nothing is heard from a worker's publisher any more, until it reports again: something may be missing.
+// PublisherLost records that the connection to a worker's publisher is lost: batches may be missing until it is back.
 func (x *Index) Lost(now time.Duration, id string) {
-	if w := x.workers[id]; w != nil && w.gap == 0 && !w.silent {
-		w.gap = max(now, 1)
+	if w := x.workers[id]; w != nil && w.gapSince == 0 && !w.silent {
+		w.gapSince = max(now, 1)
 		x.stats.Gaps++
 	}
 }
 
-// Heard says that a worker's publisher is there, and which batch it would give out next: where that is the one that
-// is due, nothing is missing.
-func (x *Index) Heard(now time.Duration, id string, incarnation, next uint64) *Replay {
+// Heartbeat records that a worker's publisher is alive and which batch it sends next. If that is the next batch to apply,
+// nothing is missing.
+func (x *Index) Heard(now time.Duration, id string, incarnation, nextSeq uint64) *Replay {
 	w := x.workers[id]
 	if w == nil {
 		return nil
 	}
-	x.age(now, w)
+	x.expireGap(now, w)
 	if w.silent && incarnation == w.incarnation {
 		w.silent = false
 	}
 	if incarnation == w.incarnation {
-		w.top = max(w.top, next)
+		w.endSeq = max(w.endSeq, nextSeq)
 	}
-	if incarnation == w.incarnation && w.top == w.next {
-		if w.gap > 0 {
+	if incarnation == w.incarnation && w.endSeq == w.nextSeq {
+		if w.gapSince > 0 {
 			x.stats.Replays++
 		}
-		w.gap = 0
-	} else if incarnation == w.incarnation && next > w.next && w.gap == 0 {
-		w.gap = max(now, 1)
+		w.gapSince = 0
+	} else if incarnation == w.incarnation && nextSeq > w.nextSeq && w.gapSince == 0 {
+		w.gapSince = max(now, 1)
 		x.stats.Gaps++
 	}
-	return w.missing()
+	return w.replayRequest()
 }
 
-// Gone forgets a worker that is listed no more.
+// RemoveWorker forgets a worker that is no longer listed.
 func (x *Index) Gone(id string) {
 	if w := x.workers[id]; w != nil {
-		x.unseat(w)
+		x.releaseSlot(w)
 		delete(x.workers, id)
 	}
 }
 
-// age drops a worker's knowledge once something has been missing for too long. It goes on with the latest batches: older
-// ones, though they may come yet, tell of what may have changed since.
-func (x *Index) age(now time.Duration, w *worker) {
-	if w.gap == 0 || now-w.gap <= x.set.Bound {
+// expireGap forgets a worker's blocks once a batch has been missing for longer than MaxStaleness. Of the buffered batches,
+// only the unbroken run up to the latest is applied: blocks stored by older ones may have been removed by a missing one.
+func (x *Index) expireGap(now time.Duration, w *worker) {
+	if w.gapSince == 0 || now-w.gapSince <= x.settings.Bound {
 		return
 	}
 	x.stats.Aged++
-	x.void(w)
-	w.partial = true
-	w.silent = w.next >= w.top // nothing is known to be missing: its publisher is
-	from := len(w.early)
-	for from > 0 && w.early[from-1].Seq+uint64(len(w.early)-from)+1 == w.top {
+	x.forgetBlocks(w)
+	w.incomplete = true
+	w.silent = w.nextSeq >= w.endSeq // no batch is known to be missing, so the publisher itself has been lost
+	from := len(w.buffered)
+	for from > 0 && w.buffered[from-1].Seq+uint64(len(w.buffered)-from)+1 == w.endSeq {
 		from--
 	}
-	late := w.early[from:]
-	w.early, w.next, w.gap = nil, max(w.next, w.top), 0
-	for _, b := range late {
-		x.change(w, b)
+	latest := w.buffered[from:]
+	w.buffered, w.nextSeq, w.gapSince = nil, max(w.nextSeq, w.endSeq), 0
+	for _, b := range latest {
+		x.applyBatch(w, b)
 	}
 }
 
-// Kept is how much of a prompt a worker keeps.
+// CachedPrefix is the length of a prompt's prefix that a worker has cached.
 type Kept struct {
 	Worker string
 	Tokens int
 }
 
-// Lookup says how much of a prompt each worker keeps that reports and keeps any of it, and of whom all is known: who is not
-// named there may keep more. chain
-// gives the prompt's hashes for a size of block; it is called once for each size that is in use.
-func (x *Index) Lookup(now time.Duration, chain func(block int) []uint64) (kept []Kept, reports []string) {
+// Lookup returns the cached prefix of a prompt for each worker that holds any of it, longest first, and the ids of the
+// workers whose cache is completely known; a worker not among these may hold more than is indexed. chainFor returns the
+// prompt's block hashes for a block size; it is called once for each size in use.
+func (x *Index) Lookup(now time.Duration, chainFor func(blockTokens int) []uint64) (kept []Kept, complete []string) {
 	for _, w := range x.workers {
-		x.age(now, w)
+		x.expireGap(now, w)
 	}
-	x.table.now++
-	for block, who := range x.sizes {
+	x.table.useClock++
+	for blockTokens, sameSize := range x.slotsByBlockTokens {
 		depth := 0
-		end := func(out set) {
-			out.each(func(i int) {
+		addKept := func(dropped slotSet) {
+			dropped.each(func(i int) {
 				if depth > 0 {
-					kept = append(kept, Kept{x.of[i].id, depth * block})
+					kept = append(kept, Kept{x.workerBySlot[i].id, depth * blockTokens})
 				}
 			})
 		}
-		copy(x.cur, x.alive)
-		x.cur.leave(who, x.out)
-		for _, h := range chain(block) {
+		copy(x.matching, x.active)
+		x.matching.intersect(sameSize, x.dropped)
+		for _, h := range chainFor(blockTokens) {
 			i := x.table.find(h)
 			if i < 0 {
 				break
 			}
-			x.table.entries[i].used = x.table.now
-			x.cur.leave(x.table.of(i), x.out)
-			if end(x.out); x.cur.empty() {
+			x.table.entries[i].lastUsed = x.table.useClock
+			x.matching.intersect(x.table.slots(i), x.dropped)
+			if addKept(x.dropped); x.matching.empty() {
 				break
 			}
 			depth++
 		}
-		end(x.cur)
+		addKept(x.matching)
 	}
 	for id, w := range x.workers {
-		if w.slot != pending && !w.partial && !w.silent {
-			reports = append(reports, id)
+		if w.slot != noSlot && !w.incomplete && !w.silent {
+			complete = append(complete, id)
 		}
 	}
-	slices.Sort(reports)
+	slices.Sort(complete)
 	slices.SortFunc(kept, func(a, b Kept) int {
 		if a.Tokens != b.Tokens {
 			return b.Tokens - a.Tokens
@@ -505,18 +512,18 @@
 		}
 		return 1
 	})
-	return kept, reports
+	return kept, complete
 }
 
-// Compare notes what an engine found kept against what was predicted.
+// RecordPrediction compares the predicted cached tokens of a prompt with those that an engine actually found.
 func (x *Index) Compare(predicted, found int) {
 	x.stats.Predicted++
-	if off := predicted - found; max(off, -off) > max(found/10, 64) {
+	if diff := predicted - found; max(diff, -diff) > max(found/10, 64) {
 		x.stats.Wrong++
 	}
 }
 
-// Stats counts.
+// Stats returns the current gauges and counters.
 func (x *Index) Stats() Stats {
 	s := x.stats
 	s.Blocks, s.Workers = x.table.count, len(x.workers)
--- a/internal/kvindex/index_test.go
+++ b/internal/kvindex/index_test.go
@@ -88,7 +88,7 @@
 	if d, _ := x.depth(0, "a", c); d != 0 || x.Stats().Refused[OldIncarnation] != 1 {
 		t.Errorf("%d blocks by late news", d)
 	}
-	for i := range uint64(3 * len(x.of)) { // many returns: slots are cleaned and used again
+	for i := range uint64(3 * len(x.workerBySlot)) { // many returns: slots are cleaned and used again
 		x.Apply(0, "a", stored(3+i, 0, 0, c...))
 		if d, _ := x.depth(0, "a", c); d != 50 {
 			t.Fatalf("return %d: %d blocks", i, d)
@@ -379,7 +379,7 @@
 					t.Fatalf("%x is not found where it stands", e.hash)
 				}
 			}
-			if n != x.table.count || len(x.free) > len(x.of) {
+			if n != x.table.count || len(x.freeSlots) > len(x.workerBySlot) {
 				t.Fatalf("%d entries, %d counted", n, x.table.count)
 			}
 		}
@@ -395,7 +395,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bytes := func() int { return len(x.table.entries)*bareBytes + 8*len(x.table.holders) }
+	bytes := func() int { return len(x.table.entries)*entryBytes + 8*len(x.table.holders) }
 	before := bytes()
 	shared := []uint64{1001, 1002, 1003}
 	name := func(i int) string { return fmt.Sprintf("w%04d", i) }
--- a/internal/kvindex/table.go
+++ b/internal/kvindex/table.go
@@ -1,8 +1,8 @@
 package kvindex
 
-// This file owns the table from a block's hash to the slots of those that keep it: one flat array, open addressing. It
-// must never grow past its size: at it, what was neither told nor asked for in the longest time goes, by a hand that
-// walks round.
+// The table maps a block's hash to the slots of the workers that hold it. It is one flat array with open addressing and
+// linear probing. Its size is fixed: when it is full, a hand that moves round the array evicts the least recently used of
+// a sample of entries.
 
 import (
 	"cmp"
@@ -11,20 +11,20 @@
 )
 
 const (
-	leastWords = 4 // of a set; more where there are more workers
-	loadMost   = 0.75
-	pending    = -1 // no slot
-	samples    = 16 // entries that are compared to drop one
-	bareBytes  = 16 // of an entry, its set not counted
+	minSetWords     = 4 // words in a slotSet at first; grows with the number of workers
+	maxLoadFactor   = 0.75
+	noSlot          = -1 // the worker has no slot
+	evictionSamples = 16 // entries compared for each eviction
+	entryBytes      = 16 // size of an entry without its slotSet
 )
 
-// set is a set of slots. Sets of one index have the same length.
-type set []uint64
+// slotSet is a bitset of worker slots. All sets of an index have the same length.
+type slotSet []uint64
 
-func (s set) add(i int)      { s[i>>6] |= 1 << (i & 63) }
-func (s set) remove(i int)   { s[i>>6] &^= 1 << (i & 63) }
-func (s set) has(i int) bool { return s[i>>6]&(1<<(i&63)) != 0 }
-func (s set) empty() bool {
+func (s slotSet) add(i int)      { s[i>>6] |= 1 << (i & 63) }
+func (s slotSet) remove(i int)   { s[i>>6] &^= 1 << (i & 63) }
+func (s slotSet) has(i int) bool { return s[i>>6]&(1<<(i&63)) != 0 }
+func (s slotSet) empty() bool {
 	for _, v := range s {
 		if v != 0 {
 			return false
@@ -33,8 +33,8 @@
 	return true
 }
 
-// meets says that s and o have a slot in common.
-func (s set) meets(o set) bool {
+// intersects reports whether s and o have a slot in common.
+func (s slotSet) intersects(o slotSet) bool {
 	for w, v := range s {
 		if v&o[w] != 0 {
 			return true
@@ -43,8 +43,8 @@
 	return false
 }
 
-// within says that all of s is in o.
-func (s set) within(o set) bool {
+// subsetOf reports whether all slots of s are in o.
+func (s slotSet) subsetOf(o slotSet) bool {
 	for w, v := range s {
 		if v&^o[w] != 0 {
 			return false
@@ -53,31 +53,31 @@
 	return true
 }
 
-// take takes the slots of o out of s and says whether none is left.
-func (s set) take(o set) (empty bool) {
+// subtract removes the slots of o from s and reports whether s is now empty.
+func (s slotSet) subtract(o slotSet) (empty bool) {
 	for w := range s {
 		s[w] &^= o[w]
 	}
 	return s.empty()
 }
 
-// leave leaves in s what o has too, and puts the others into out.
-func (s set) leave(o, out set) {
+// intersect keeps in s only the slots that are also in o, and puts the others into removed.
+func (s slotSet) intersect(o, removed slotSet) {
 	for w, v := range s {
-		out[w] = v &^ o[w]
+		removed[w] = v &^ o[w]
 		s[w] = v & o[w]
 	}
 }
 
-// wider is s with room for more slots.
-func (s set) wider(words int) set {
-	w := make(set, words)
+// grown returns a copy of s with the given number of words.
+func (s slotSet) grown(words int) slotSet {
+	w := make(slotSet, words)
 	copy(w, s)
 	return w
 }
 
-// each calls f for each slot in the set.
-func (s set) each(f func(int)) {
+// each calls f for each slot in s.
+func (s slotSet) each(f func(int)) {
 	for w, v := range s {
 		for ; v != 0; v &= v - 1 {
 			f(w<<6 | bits.TrailingZeros64(v))
@@ -85,68 +85,69 @@
 	}
 }
 
-// entry is one block. Who holds it stands in the table's holders.
+// entry is one block. The slots that hold it are in table.holders.
 type entry struct {
-	hash uint64 // 0 = free
-	used uint32 // told or asked for then, on the table's own count
+	hash     uint64 // 0 = the entry is free
+	lastUsed uint32 // value of the table's useClock when the block was last stored or looked up
 }
 
-// table holds entries by hash.
+// table is a hash table of blocks with a bounded number of entries.
 type table struct {
-	entries []entry
-	holders []uint64 // so many words for each entry
-	words   int
-	mask    uint64
-	count   int
-	most    int
-	now     uint32 // counts what was told and asked
-	hand    uint64 // of eviction
-	broom   uint64 // of cleaning
-}
-
-func newTable(most, words int) *table {
+	entries    []entry
+	holders    []uint64 // a slotSet of the given number of words for each entry
+	words      int
+	mask       uint64
+	count      int
+	maxEntries int
+	useClock   uint32 // advances with each store and lookup
+	evictAt    uint64 // next entry considered for eviction
+	sweepAt    uint64 // next entry to sweep
+}
+
+func newTable(maxEntries, words int) *table {
 	size := uint64(8)
-	for float64(size)*loadMost < float64(most) {
+	for float64(size)*maxLoadFactor < float64(maxEntries) {
 		size <<= 1
 	}
-	return &table{entries: make([]entry, size), holders: make([]uint64, int(size)*words), words: words, mask: size - 1, most: most}
+	return &table{entries: make([]entry, size), holders: make([]uint64, int(size)*words), words: words, mask: size - 1, maxEntries: maxEntries}
 }
 
-// wider is a table of the same memory with room for more slots in each set, and so for fewer blocks: those that were used
-// last stay.
-func (t *table) wider(words int, alive set) *table {
-	w := newTable(max(1, t.most*(bareBytes+8*t.words)/(bareBytes+8*words)), words)
-	w.now = t.now
+// grown returns a table that takes the same memory with larger slot sets and therefore fewer entries. It keeps the most
+// recently used ones.
+func (t *table) grown(words int, active slotSet) *table {
+	w := newTable(max(1, t.maxEntries*(entryBytes+8*t.words)/(entryBytes+8*words)), words)
+	w.useClock = t.useClock
 	order := make([]int, 0, t.count)
 	for i, e := range t.entries {
-		if e.hash != 0 && t.of(i).meets(alive) {
+		if e.hash != 0 && t.slots(i).intersects(active) {
 			order = append(order, i)
 		}
 	}
-	slices.SortFunc(order, func(a, b int) int { // the ages, as the count may have come round
-		return cmp.Or(cmp.Compare(t.now-t.entries[a].used, t.now-t.entries[b].used), cmp.Compare(t.entries[a].hash, t.entries[b].hash))
+	slices.SortFunc(order, func(a, b int) int { // compare ages, as useClock may have wrapped around
+		return cmp.Or(cmp.Compare(t.useClock-t.entries[a].lastUsed, t.useClock-t.entries[b].lastUsed), cmp.Compare(t.entries[a].hash, t.entries[b].hash))
 	})
-	for _, i := range order[:min(len(order), w.most)] {
-		j := w.put(t.entries[i].hash, nil)
-		w.entries[j].used = t.entries[i].used
-		copy(w.of(j), t.of(i))
+	for _, i := range order[:min(len(order), w.maxEntries)] {
+		j := w.findOrInsert(t.entries[i].hash, nil)
+		w.entries[j].lastUsed = t.entries[i].lastUsed
+		copy(w.slots(j), t.slots(i))
 	}
 	return w
 }
 
-// of is who holds the i-th entry.
-func (t *table) of(i int) set { return t.holders[i*t.words : (i+1)*t.words] }
+// slots returns the set of slots that hold the i-th entry's block.
+func (t *table) slots(i int) slotSet { return t.holders[i*t.words : (i+1)*t.words] }
 
-func (t *table) home(hash uint64) uint64 {
+// homeIndex returns the index at which probing for a hash starts.
+func (t *table) homeIndex(hash uint64) uint64 {
 	h := hash
 	h ^= h >> 31
 	h *= 0x9e3779b97f4a7c15
 	return h >> 20 & t.mask
 }
 
-// find is the number of a hash's entry, -1 = there is none.
+// find returns the index of a hash's entry, or -1 if there is none.
 func (t *table) find(hash uint64) int {
-	for i := t.home(hash); ; i = (i + 1) & t.mask {
+	for i := t.homeIndex(hash); ; i = (i + 1) & t.mask {
 		switch t.entries[i].hash {
 		case hash:
 			return int(i)
@@ -156,16 +157,16 @@
 	}
 }
 
-// put is the number of a hash's entry, made if it is not there. alive are the slots that count: what none of them keeps
-// goes first.
-func (t *table) put(hash uint64, alive set) int {
+// findOrInsert returns the index of a hash's entry, inserting it if needed. A full table first evicts an entry; one that no
+// active slot holds is preferred.
+func (t *table) findOrInsert(hash uint64, active slotSet) int {
 	if i := t.find(hash); i >= 0 {
 		return i
 	}
-	if t.count >= t.most {
-		t.evict(alive)
+	if t.count >= t.maxEntries {
+		t.evict(active)
 	}
-	i := t.home(hash)
+	i := t.homeIndex(hash)
 	for t.entries[i].hash != 0 {
 		i = (i + 1) & t.mask
 	}
@@ -174,30 +175,30 @@
 	return int(i)
 }
 
-// evict drops one entry: of some that stand together, wherever the hand is, the one that was neither told nor asked for in
-// the longest time, or that none of the alive slots keeps.
-func (t *table) evict(alive set) {
-	worst, seen, age := uint64(0), 0, uint32(0)
-	for i := t.hand; seen < samples; i = (i + 1) & t.mask {
-		t.hand = (i + 1) & t.mask
+// evict removes one entry: of the next evictionSamples entries, the least recently used one, or the first that no active
+// slot holds.
+func (t *table) evict(active slotSet) {
+	victim, seen, victimAge := uint64(0), 0, uint32(0)
+	for i := t.evictAt; seen < evictionSamples; i = (i + 1) & t.mask {
+		t.evictAt = (i + 1) & t.mask
 		e := &t.entries[i]
 		if e.hash == 0 {
 			continue
 		}
-		if !t.of(int(i)).meets(alive) {
-			worst = i
+		if !t.slots(int(i)).intersects(active) {
+			victim = i
 			break
 		}
-		if old := t.now - e.used; seen == 0 || old > age {
-			worst, age = i, old
+		if age := t.useClock - e.lastUsed; seen == 0 || age > victimAge {
+			victim, victimAge = i, age
 		}
 		seen++
 	}
-	t.drop(worst)
+	t.removeAt(victim)
 }
 
-// drop frees the i-th entry and moves up those that stand after it only because of it.
-func (t *table) drop(i uint64) {
+// removeAt frees the i-th entry and moves up later entries that linear probing had pushed past it.
+func (t *table) removeAt(i uint64) {
 	t.count--
 	for j := i; ; {
 		j = (j + 1) & t.mask
@@ -205,33 +206,33 @@
 		if e.hash == 0 {
 			break
 		}
-		if h := t.home(e.hash); (j-h)&t.mask >= (j-i)&t.mask { // its home is at i or before
+		if h := t.homeIndex(e.hash); (j-h)&t.mask >= (j-i)&t.mask { // its home index is at or before i
 			t.entries[i] = *e
-			copy(t.of(int(i)), t.of(int(j)))
+			copy(t.slots(int(i)), t.slots(int(j)))
 			i = j
 		}
 	}
 	t.entries[i] = entry{}
-	clear(t.of(int(i)))
+	clear(t.slots(int(i)))
 }
 
-// sweep takes slots out of the next n entries, and says whether it came past the end of the table.
-func (t *table) sweep(n int, out set) (round bool) {
+// sweep clears the stale slots from the next n entries and reports whether it has passed the end of the table.
+func (t *table) sweep(n int, stale slotSet) (wrapped bool) {
 	for range n {
-		if t.entries[t.broom].hash != 0 && t.of(int(t.broom)).take(out) {
-			t.drop(t.broom)
-			continue // another may have moved here
+		if t.entries[t.sweepAt].hash != 0 && t.slots(int(t.sweepAt)).subtract(stale) {
+			t.removeAt(t.sweepAt)
+			continue // another entry may have moved here
 		}
-		if t.broom = (t.broom + 1) & t.mask; t.broom == 0 {
+		if t.sweepAt = (t.sweepAt + 1) & t.mask; t.sweepAt == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// dropHash drops a hash, if it is there.
-func (t *table) dropHash(hash uint64) {
+// removeHash removes a hash's entry, if there is one.
+func (t *table) removeHash(hash uint64) {
 	if i := t.find(hash); i >= 0 {
-		t.drop(uint64(i))
+		t.removeAt(uint64(i))
 	}
 }
