--- a/internal/kvevents/events.go
+++ b/internal/kvevents/events.go
@@ -1,7 +1,7 @@
-// Package kvevents owns the form in which engines publish what they keep: batches in the msgpack layout of vLLM's KV
-// cache events. It must never trust what it reads: depth, lengths and tags are checked before anything is made of them.
+// Package kvevents encodes and decodes the batches of KV cache events that engines publish, in the msgpack layout of
+// vLLM. The decoder takes hostile input: it checks nesting, lengths and event types before it allocates anything for them.
 //
-// A batch is [ts, [event, ...]], optionally followed by further fields that are passed over; an event is
+// A batch is [ts, [event, ...]], optionally followed by further fields, which are skipped; an event is
 //
 //	["BlockStored", [hash, ...], parent or nil, [token, ...], block size, lora id or nil, ...]
 //	["BlockRemoved", [hash, ...], ...]
@@ -16,51 +16,51 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// Batch is what an engine publishes at once.
+// Batch is the cache events that an engine publishes in one message.
 type Batch struct {
-	At     float64 // seconds, on the engine's clock
+	At     float64 // seconds on the engine's clock
 	Events []Event
 }
 
-// Event is one change: Stored, Removed or Cleared.
+// Event is one change to an engine's cache: blocks stored, blocks removed, or the whole cache cleared.
 type Event struct {
 	Stored  []uint64
-	Parent  uint64 // of the first stored block, 0 = it begins a text
-	Block   int    // tokens in a block
+	Parent  uint64 // hash of the block before the first stored one; 0 at the start of a prompt
+	Block   int    // tokens per block
 	Removed []uint64
 	Cleared bool
 }
 
-// Limits of a batch.
+// Limits of a batch. Decode refuses a batch that exceeds one.
 const (
-	MaxBytes  = 1 << 20
-	MaxEvents = 1 << 15
-	MaxHashes = 1 << 16 // in a batch
-	MaxBlock  = 1 << 16
-	maxTokens = 1 << 18 // token ids in an event: read past, never kept
-	maxDepth  = 8       // of what is passed over
+	MaxBytes    = 1 << 20
+	MaxEvents   = 1 << 15
+	MaxHashes   = 1 << 16 // in all events of a batch
+	MaxBlock    = 1 << 16
+	maxElements = 1 << 18 // in a skipped array or map, such as an event's token ids
+	maxDepth    = 8       // of skipped fields
 )
 
-// Why a batch is refused. Errors of Decode wrap one of these.
+// Errors of Decode wrap one of these.
 var (
-	ErrLong  = errors.New("longer than it may be")
-	ErrShape = errors.New("not of the form of a batch")
-	ErrTag   = errors.New("an event of a kind that is not known")
+	ErrLong  = errors.New("too long")
+	ErrShape = errors.New("malformed")
+	ErrTag   = errors.New("unknown kind of event")
 	ErrDepth = errors.New("nested too deeply")
 )
 
 const (
-	tagStored  = "BlockStored"
-	tagRemoved = "BlockRemoved"
-	tagCleared = "AllBlocksCleared"
+	blockStored      = "BlockStored"
+	blockRemoved     = "BlockRemoved"
+	allBlocksCleared = "AllBlocksCleared"
 )
 
-// Encode is a batch on the wire. Token ids are left out: the list is empty.
+// Encode returns the msgpack encoding of a batch. The list of token ids is left empty.
 func Encode(b Batch) []byte {
 	out := msgp.AppendArrayHeader(nil, 2)
 	out = msgp.AppendFloat64(out, b.At)
 	out = msgp.AppendArrayHeader(out, uint32(len(b.Events)))
-	hashes := func(list []uint64) {
+	appendHashes := func(list []uint64) {
 		out = msgp.AppendArrayHeader(out, uint32(len(list)))
 		for _, h := range list {
 			out = msgp.AppendUint64(out, h)
@@ -70,15 +70,15 @@
 		switch {
 		case e.Cleared:
 			out = msgp.AppendArrayHeader(out, 1)
-			out = msgp.AppendString(out, tagCleared)
+			out = msgp.AppendString(out, allBlocksCleared)
 		case e.Removed != nil:
 			out = msgp.AppendArrayHeader(out, 2)
-			out = msgp.AppendString(out, tagRemoved)
-			hashes(e.Removed)
+			out = msgp.AppendString(out, blockRemoved)
+			appendHashes(e.Removed)
 		default:
 			out = msgp.AppendArrayHeader(out, 6)
-			out = msgp.AppendString(out, tagStored)
-			hashes(e.Stored)
+			out = msgp.AppendString(out, blockStored)
+			appendHashes(e.Stored)
 			if e.Parent == 0 {
 				out = msgp.AppendNil(out)
 			} else {
@@ -92,58 +92,58 @@
 	return out
 }
 
-// reader reads msgpack from a text, with a first error that stays.
-type reader struct {
-	rest   []byte
-	err    error
-	hashes int
+// decoder reads msgpack values from a buffer and keeps the first error.
+type decoder struct {
+	rest      []byte
+	err       error
+	hashCount int
 }
 
-func (r *reader) fail(why error, what string) {
-	if r.err == nil {
-		r.err = fmt.Errorf("%w: %s", why, what)
+// fail records an error, unless there is one already.
+func (d *decoder) fail(kind error, what string) {
+	if d.err == nil {
+		d.err = fmt.Errorf("%w: %s", kind, what)
 	}
 }
 
-// array reads the head of an array of at least and at most so many.
-func (r *reader) array(what string, least, most int) int {
-	if r.err != nil {
+// arrayHeader reads the header of an array and checks that its length is between minLen and maxLen.
+func (d *decoder) arrayHeader(what string, minLen, maxLen int) int {
+	if d.err != nil {
 		return 0
 	}
-	n, rest, err := msgp.ReadArrayHeaderBytes(r.rest)
+	n, rest, err := msgp.ReadArrayHeaderBytes(d.rest)
 	switch {
 	case err != nil:
-		r.fail(ErrShape, what)
-	case int64(n) > int64(most):
-		r.fail(ErrLong, fmt.Sprintf("%s: %d", what, n))
-	case int(n) < least, int(n) > len(rest): // each takes a byte at least
-		r.fail(ErrShape, fmt.Sprintf("%s: %d", what, n))
+		d.fail(ErrShape, what)
+	case int64(n) > int64(maxLen):
+		d.fail(ErrLong, fmt.Sprintf("%s: %d", what, n))
+	case int(n) < minLen, int(n) > len(rest): // each element takes at least one byte
+		d.fail(ErrShape, fmt.Sprintf("%s: %d", what, n))
 	default:
-		r.rest = rest
+		d.rest = rest
 		return int(n)
 	}
 	return 0
 }
 
-// hash reads a block's hash. Engines publish it as a signed or unsigned number, or as bytes, of which the last eight
-// count.
-func (r *reader) hash() uint64 {
-	if r.err != nil {
+// hash reads a block hash. Engines publish it as a signed or unsigned integer, or as bytes of which the last eight count.
+func (d *decoder) hash() uint64 {
+	if d.err != nil {
 		return 0
 	}
 	var rest []byte
 	var err error
 	v := uint64(0)
-	switch msgp.NextType(r.rest) {
+	switch msgp.NextType(d.rest) {
 	case msgp.IntType:
 		var i int64
-		i, rest, err = msgp.ReadInt64Bytes(r.rest)
+		i, rest, err = msgp.ReadInt64Bytes(d.rest)
 		v = uint64(i)
 	case msgp.UintType:
-		v, rest, err = msgp.ReadUint64Bytes(r.rest)
+		v, rest, err = msgp.ReadUint64Bytes(d.rest)
 	case msgp.BinType:
 		var b []byte
-		if b, rest, err = msgp.ReadBytesZC(r.rest); err == nil && (len(b) < 8 || len(b) > 64) {
+		if b, rest, err = msgp.ReadBytesZC(d.rest); err == nil && (len(b) < 8 || len(b) > 64) {
 			err = ErrShape
 		}
 		if err == nil {
@@ -155,206 +155,210 @@
 		err = ErrShape
 	}
 	if err != nil {
-		r.fail(ErrShape, "a hash")
+		d.fail(ErrShape, "hash")
 		return 0
 	}
-	r.rest = rest
+	d.rest = rest
 	return v
 }
 
-func (r *reader) list(what string) []uint64 {
-	n := r.array(what, 0, MaxHashes)
-	if r.hashes += n; r.hashes > MaxHashes {
-		r.fail(ErrLong, what)
+// hashList reads an array of hashes.
+func (d *decoder) hashList(what string) []uint64 {
+	n := d.arrayHeader(what, 0, MaxHashes)
+	if d.hashCount += n; d.hashCount > MaxHashes {
+		d.fail(ErrLong, what)
 	}
-	if r.err != nil {
+	if d.err != nil {
 		return nil
 	}
 	out := make([]uint64, 0, n)
 	for range n {
-		out = append(out, r.hash())
-		if r.err != nil {
+		out = append(out, d.hash())
+		if d.err != nil {
 			return nil
 		}
 	}
 	return out
 }
 
-// skip passes over one thing.
-func (r *reader) skip(depth int) {
-	if r.err != nil {
+// skip skips one value of any type.
+func (d *decoder) skip(depth int) {
+	if d.err != nil {
 		return
 	}
 	if depth > maxDepth {
-		r.fail(ErrDepth, "a field")
+		d.fail(ErrDepth, "skipped field")
 		return
 	}
-	n, each := uint32(0), 1
-	switch msgp.NextType(r.rest) {
+	n, perElement := uint32(0), 1
+	switch msgp.NextType(d.rest) {
 	case msgp.ArrayType:
 		var err error
-		if n, r.rest, err = msgp.ReadArrayHeaderBytes(r.rest); err != nil {
-			r.fail(ErrShape, "a field")
+		if n, d.rest, err = msgp.ReadArrayHeaderBytes(d.rest); err != nil {
+			d.fail(ErrShape, "skipped field")
 			return
 		}
 	case msgp.MapType:
 		var err error
-		if n, r.rest, err = msgp.ReadMapHeaderBytes(r.rest); err != nil {
-			r.fail(ErrShape, "a field")
+		if n, d.rest, err = msgp.ReadMapHeaderBytes(d.rest); err != nil {
+			d.fail(ErrShape, "skipped field")
 			return
 		}
-		each = 2
+		perElement = 2
 	case msgp.InvalidType:
-		r.fail(ErrShape, "a field")
+		d.fail(ErrShape, "skipped field")
 		return
 	default:
-		rest, err := msgp.Skip(r.rest)
+		rest, err := msgp.Skip(d.rest)
 		if err != nil {
-			r.fail(ErrShape, "a field")
+			d.fail(ErrShape, "skipped field")
 			return
 		}
-		r.rest = rest
+		d.rest = rest
 		return
 	}
-	if int64(n) > maxTokens || int64(n)*int64(each) > int64(len(r.rest)) {
-		r.fail(ErrLong, "a field")
+	if int64(n) > maxElements || int64(n)*int64(perElement) > int64(len(d.rest)) {
+		d.fail(ErrLong, "skipped field")
 		return
 	}
-	for range int(n) * each {
-		r.skip(depth + 1)
+	for range int(n) * perElement {
+		d.skip(depth + 1)
 	}
 }
 
-// Decode reads a batch.
-func Decode(text []byte) (Batch, error) {
+// Decode decodes and checks a batch. Hashes of all widths are reduced to 64 bits, token ids and unknown fields dropped.
+func Decode(data []byte) (Batch, error) {
 	var b Batch
-	if len(text) > MaxBytes {
-		return b, fmt.Errorf("%w: %d bytes", ErrLong, len(text))
+	if len(data) > MaxBytes {
+		return b, fmt.Errorf("%w: %d bytes", ErrLong, len(data))
 	}
-	r := &reader{rest: text}
-	fields := r.array("a batch", 2, 16)
-	b.At = r.number()
-	n := r.array("events", 0, MaxEvents)
+	d := &decoder{rest: data}
+	fields := d.arrayHeader("batch", 2, 16)
+	b.At = d.number()
+	n := d.arrayHeader("events", 0, MaxEvents)
 	for range n {
-		if r.err != nil {
+		if d.err != nil {
 			break
 		}
-		b.Events = append(b.Events, r.event())
+		b.Events = append(b.Events, d.event())
 	}
 	for range fields - 2 {
-		r.skip(1)
+		d.skip(1)
 	}
-	if r.err == nil && len(r.rest) > 0 {
-		r.fail(ErrShape, "something follows its end")
+	if d.err == nil && len(d.rest) > 0 {
+		d.fail(ErrShape, "data after the end of the batch")
 	}
-	if r.err != nil {
-		return Batch{}, r.err
+	if d.err != nil {
+		return Batch{}, d.err
 	}
 	return b, nil
 }
 
-func (r *reader) number() float64 {
-	if r.err != nil {
+// number reads a finite number of any numeric type.
+func (d *decoder) number() float64 {
+	if d.err != nil {
 		return 0
 	}
 	var v float64
 	var rest []byte
 	var err error
-	switch msgp.NextType(r.rest) {
+	switch msgp.NextType(d.rest) {
 	case msgp.Float64Type:
-		v, rest, err = msgp.ReadFloat64Bytes(r.rest)
+		v, rest, err = msgp.ReadFloat64Bytes(d.rest)
 	case msgp.Float32Type:
 		var f float32
-		f, rest, err = msgp.ReadFloat32Bytes(r.rest)
+		f, rest, err = msgp.ReadFloat32Bytes(d.rest)
 		v = float64(f)
 	case msgp.IntType, msgp.UintType:
 		var i int64
-		i, rest, err = msgp.ReadInt64Bytes(r.rest)
+		i, rest, err = msgp.ReadInt64Bytes(d.rest)
 		v = float64(i)
 	default:
 		err = ErrShape
 	}
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		r.fail(ErrShape, "a time")
+		d.fail(ErrShape, "number")
 		return 0
 	}
-	r.rest = rest
+	d.rest = rest
 	return v
 }
 
-func (r *reader) event() (e Event) {
-	fields := r.array("an event", 1, 16)
-	if r.err != nil {
+// event reads one event and skips the fields that aren't known.
+func (d *decoder) event() (e Event) {
+	fields := d.arrayHeader("event", 1, 16)
+	if d.err != nil {
 		return e
 	}
-	tag, rest, err := msgp.ReadStringZC(r.rest)
+	tag, rest, err := msgp.ReadStringZC(d.rest)
 	if err != nil {
-		r.fail(ErrShape, "an event's tag")
+		d.fail(ErrShape, "event type")
 		return e
 	}
-	r.rest = rest
+	d.rest = rest
 	used := 1
 	switch string(tag) {
-	case tagStored:
+	case blockStored:
 		if fields < 5 {
-			r.fail(ErrShape, tagStored)
+			d.fail(ErrShape, blockStored)
 			return e
 		}
-		e.Stored = r.list("stored blocks")
-		if r.err == nil && msgp.IsNil(r.rest) {
-			r.rest = r.rest[1:]
+		e.Stored = d.hashList("stored blocks")
+		if d.err == nil && msgp.IsNil(d.rest) {
+			d.rest = d.rest[1:]
 		} else {
-			e.Parent = r.hash()
+			e.Parent = d.hash()
 		}
-		r.skip(1) // token ids
-		size := r.number()
-		if r.err == nil && (size < 1 || size > MaxBlock || size != math.Trunc(size)) {
-			r.fail(ErrShape, "a block's size")
+		d.skip(1) // token ids
+		size := d.number()
+		if d.err == nil && (size < 1 || size > MaxBlock || size != math.Trunc(size)) {
+			d.fail(ErrShape, "block size")
 		}
 		e.Block = int(size)
 		used = 5
-	case tagRemoved:
+	case blockRemoved:
 		if fields < 2 {
-			r.fail(ErrShape, tagRemoved)
+			d.fail(ErrShape, blockRemoved)
 			return e
 		}
-		e.Removed = r.list("removed blocks")
-		if e.Removed == nil && r.err == nil {
+		e.Removed = d.hashList("removed blocks")
+		if e.Removed == nil && d.err == nil {
 			e.Removed = []uint64{}
 		}
 		used = 2
-	case tagCleared:
+	case allBlocksCleared:
 		e.Cleared = true
 	default:
-		r.fail(ErrTag, fmt.Sprintf("%.40q", tag))
+		d.fail(ErrTag, fmt.Sprintf("%.40q", tag))
 		return e
 	}
 	for range fields - used {
-		r.skip(1)
+		d.skip(1)
 	}
 	return e
 }
 
-// CharsToken is how many characters a token has.
+// BytesPerToken is the prompt length in bytes that counts as one token.
 const CharsToken = 4
 
-// Chain is the hashes of a text's whole blocks, of so many tokens each. A hash names a block with all that comes before it.
-func Chain(text []byte, block int) []uint64 {
-	size := block * CharsToken
-	if size <= 0 {
+// BlockHashes returns the hashes of a prompt's complete blocks of blockTokens tokens each. A hash covers its block and all
+// blocks before it.
+func Chain(text []byte, blockTokens int) []uint64 {
+	blockBytes := blockTokens * CharsToken
+	if blockBytes <= 0 {
 		return nil
 	}
-	chain := make([]uint64, 0, len(text)/size)
+	chain := make([]uint64, 0, len(text)/blockBytes)
 	parent := uint64(0xcbf29ce484222325)
-	for ; len(text) >= size; text = text[size:] {
+	for ; len(text) >= blockBytes; text = text[blockBytes:] {
 		h := parent * 0x100000001b3
-		for _, c := range text[:size] {
+		for _, c := range text[:blockBytes] {
 			h = (h ^ uint64(c)) * 0x100000001b3
 		}
 		h ^= h >> 29
 		h *= 0xbf58476d1ce4e5b9
 		h ^= h >> 32
-		if h == 0 { // names no block
+		if h == 0 { // 0 stands for no block
 			h = 1
 		}
 		parent = h
--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -1,5 +1,6 @@
 // Package kvindex indexes which prompt blocks each worker has cached, as reported by the engines: it maps chains of block
 // hashes to the workers that hold them. The caller supplies the time; the package does no I/O and starts no goroutine.
+//
 // The index assumes that reports may be lost, late or wrong. A report only affects what is known about its own worker,
 // memory is bounded, and a worker's blocks are forgotten when a gap in its reports has been open for longer than
 // Settings.MaxStaleness.
--- a/internal/reports/reports.go
+++ b/internal/reports/reports.go
@@ -1,8 +1,9 @@
-// Package reports listens to what engines report of the texts that they keep, and tells the core what is kept of a
-// prompt. What is known, and for how long it is believed, is package kvindex's; the form of a batch package kvevents'.
+// Package reports serves the gRPC service to which engines publish their KV cache events, and tells the core how much of a
+// prompt each worker has cached. Package kvindex holds what is known and decides how long it is believed; package kvevents
+// decodes the batches.
 //
-// It must never let a publisher speak for another's worker, nor let a bad batch cost more than its worker's knowledge. It
-// is off unless an operator's file turns it on.
+// A publisher may only report for a worker that is listed at the publisher's own IP address, and a bad batch costs at most
+// what is known about its worker. The service runs only if the operator's file configures it.
 package reports
 
 import (
@@ -28,38 +29,39 @@
 	"rowanyard/internal/reports/pb"
 )
 
-// Listener is the service. It implements core.Texts.
+// Listener implements the KVEvents service and core.Texts. It is safe for concurrent use.
 type Listener struct {
 	pb.UnimplementedKVEventsServer
 	core  *core.Core
 	log   *slog.Logger
 	start time.Time
 
-	mu      sync.Mutex
-	index   *kvindex.Index
-	streams map[string]*stream // by worker
-	refused map[string]int64   // batches that could not be read, by reason
+	mu         sync.Mutex
+	index      *kvindex.Index
+	streams    map[string]*stream // the current stream of each worker
+	unreadable map[string]int64   // batches that could not be decoded, by reason
 }
 
+// stream is an open Publish call.
 type stream struct {
 	incarnation uint64
-	end         context.CancelCauseFunc
+	cancel      context.CancelCauseFunc
 }
 
 var errReplaced = errors.New("a later stream of this worker has begun")
 
 // New returns a Listener with an empty index.
-func New(c *core.Core, set kvindex.Settings, log *slog.Logger) (*Listener, error) {
-	x, err := kvindex.New(set)
+func New(c *core.Core, settings kvindex.Settings, log *slog.Logger) (*Listener, error) {
+	idx, err := kvindex.New(settings)
 	if err != nil {
 		return nil, err
 	}
-	return &Listener{core: c, log: log, start: time.Now(), index: x, streams: make(map[string]*stream), refused: make(map[string]int64)}, nil
+	return &Listener{core: c, log: log, start: time.Now(), index: idx, streams: make(map[string]*stream), unreadable: make(map[string]int64)}, nil
 }
 
 func (l *Listener) now() time.Duration { return time.Since(l.start) }
 
-// GRPC returns a gRPC server with the service registered.
+// GRPC returns a gRPC server with the service registered. A panic in a stream is logged and ends only that stream.
 func (l *Listener) GRPC() *grpc.Server {
 	g := grpc.NewServer(append(grpcfront.Bounds(kvevents.MaxBytes+4<<10), grpc.StreamInterceptor(
 		func(srv any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) (err error) {
@@ -75,7 +77,8 @@
 	return g
 }
 
-// Moved takes the news that workers have begun or ceased to take new work: one that is listed no more is forgotten.
+// Moved is told which workers have started or stopped taking new work. It forgets those that are no longer listed and ends
+// their streams.
 func (l *Listener) Moved(ids []string) {
 	for _, id := range ids {
 		if l.core.Known(id) {
@@ -84,28 +87,29 @@
 		l.mu.Lock()
 		l.index.Gone(id)
 		if s := l.streams[id]; s != nil {
-			s.end(errors.New("the worker is listed no more"))
+			s.cancel(errors.New("the worker is listed no more"))
 		}
 		l.mu.Unlock()
 	}
 }
 
-// Kept implements core.Texts.
+// Kept implements core.Texts: it returns the cached prompt tokens of each worker whose cache is completely known or that is
+// known to have cached some of the prompt, or nil if there is none.
 func (l *Listener) Kept(prompt []byte) map[string]int {
-	chains := make(map[int][]uint64)
+	hashes := make(map[int][]uint64)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept, whole := l.index.Lookup(l.now(), func(block int) []uint64 {
-		if chains[block] == nil {
-			chains[block] = kvevents.Chain(prompt, block)
+	kept, complete := l.index.Lookup(l.now(), func(blockTokens int) []uint64 {
+		if hashes[blockTokens] == nil {
+			hashes[blockTokens] = kvevents.Chain(prompt, blockTokens)
 		}
-		return chains[block]
+		return hashes[blockTokens]
 	})
-	if len(kept)+len(whole) == 0 {
+	if len(kept)+len(complete) == 0 {
 		return nil
 	}
-	out := make(map[string]int, len(whole))
-	for _, id := range whole {
+	out := make(map[string]int, len(complete))
+	for _, id := range complete {
 		out[id] = 0
 	}
 	for _, k := range kept {
@@ -114,25 +118,25 @@
 	return out
 }
 
-// Found implements core.Texts.
+// Found implements core.Texts: it records how a prediction by Kept compares with what the worker found.
 func (l *Listener) Found(_ string, predicted, kept int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index.Compare(predicted, kept)
 }
 
-// Stats counts. Batches that could not be read are among what was refused.
+// Stats returns the index's statistics. Batches that could not be decoded are counted in Refused.
 func (l *Listener) Stats() kvindex.Stats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.index.Stats()
-	for k, n := range l.refused {
+	for k, n := range l.unreadable {
 		s.Refused[k] += n
 	}
 	return s
 }
 
-// Publish implements the service.
+// Publish implements the service. A later stream of a worker replaces an earlier one.
 func (l *Listener) Publish(in grpc.BidiStreamingServer[pb.Published, pb.Wanted]) error {
 	hello, err := in.Recv()
 	if err != nil {
@@ -141,59 +145,59 @@
 	if hello.Worker == "" || len(hello.Worker) > 256 || hello.Incarnation == 0 || len(hello.Batch) > 0 {
 		return status.Error(codes.InvalidArgument, "the first message names the worker and its incarnation, and has no batch")
 	}
-	if err := l.at(in.Context(), hello.Worker); err != nil {
+	if err := l.checkPublisher(in.Context(), hello.Worker); err != nil {
 		l.log.Warn("reports refused", "worker", hello.Worker, "err", err)
 		return status.Error(codes.PermissionDenied, err.Error())
 	}
-	ctx, end := context.WithCancelCause(in.Context())
-	defer end(nil)
-	me := &stream{hello.Incarnation, end}
+	ctx, cancel := context.WithCancelCause(in.Context())
+	defer cancel(nil)
+	current := &stream{hello.Incarnation, cancel}
 	l.mu.Lock()
 	if old := l.streams[hello.Worker]; old != nil {
 		if old.incarnation > hello.Incarnation {
 			l.mu.Unlock()
 			return status.Error(codes.PermissionDenied, "a later process of this worker publishes")
 		}
-		old.end(errReplaced)
+		old.cancel(errReplaced)
 	}
-	l.streams[hello.Worker] = me
+	l.streams[hello.Worker] = current
 	l.mu.Unlock()
 	l.log.Info("reports", "worker", hello.Worker, "incarnation", hello.Incarnation, "next", hello.Next)
 	defer func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.streams[hello.Worker] == me {
+		if l.streams[hello.Worker] == current {
 			delete(l.streams, hello.Worker)
 			l.index.Lost(l.now(), hello.Worker)
 		}
 	}()
-	came := make(chan *pb.Published)
-	ended := make(chan error, 1)
+	messages := make(chan *pb.Published)
+	recvErr := make(chan error, 1)
 	go func() {
 		for {
 			m, err := in.Recv()
 			if err != nil {
-				ended <- err
+				recvErr <- err
 				return
 			}
 			select {
-			case came <- m:
+			case messages <- m:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	asked, at := uint64(0), time.Time{}
+	askedFrom, askedAt := uint64(0), time.Time{}
 	for m := hello; ; {
-		if ask := l.take(hello, m); ask != nil && (ask.From != asked || time.Since(at) > replayAgain) {
-			asked, at = ask.From, time.Now()
+		if ask := l.handleMessage(hello, m); ask != nil && (ask.From != askedFrom || time.Since(askedAt) > replayRetryInterval) {
+			askedFrom, askedAt = ask.From, time.Now()
 			if err := in.Send(&pb.Wanted{ReplayFrom: ask.From}); err != nil {
 				return err
 			}
 		}
 		select {
-		case m = <-came:
-		case err := <-ended:
+		case m = <-messages:
+		case err := <-recvErr:
 			l.log.Info("reports ended", "worker", hello.Worker, "err", err)
 			if err == io.EOF {
 				return nil
@@ -205,10 +209,11 @@
 	}
 }
 
-const replayAgain = 200 * time.Millisecond
+// replayRetryInterval is how long the same replay is not requested again.
+const replayRetryInterval = 200 * time.Millisecond
 
-// at says whether a publisher may speak for a worker: it has to be where discovery says that the worker is.
-func (l *Listener) at(ctx context.Context, worker string) error {
+// checkPublisher returns an error unless the stream's peer has the IP address that discovery lists for the worker.
+func (l *Listener) checkPublisher(ctx context.Context, worker string) error {
 	w, ok := l.core.Worker(worker)
 	if !ok {
 		return errors.New("no such worker is listed")
@@ -225,17 +230,17 @@
 	if err != nil {
 		return err
 	}
-	if a, b := net.ParseIP(host), net.ParseIP(from); a == nil || !a.Equal(b) {
+	if listed, actual := net.ParseIP(host), net.ParseIP(from); listed == nil || !listed.Equal(actual) {
 		return fmt.Errorf("the worker is at %s, not at %s", host, from)
 	}
 	return nil
 }
 
-// take hands a message to the index.
-func (l *Listener) take(hello, m *pb.Published) *kvindex.Replay {
+// handleMessage passes a message to the index and returns the replay to request, if any.
+func (l *Listener) handleMessage(hello, m *pb.Published) *kvindex.Replay {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if m == hello { // it counts as known from now on, with nothing kept
+	if m == hello { // nothing has been published yet, so nothing can be missing
 		if hello.Next == 0 {
 			return nil
 		}
@@ -245,9 +250,9 @@
 	}
 	b, err := kvevents.Decode(m.Batch)
 	if err != nil {
-		l.refused[reasonOf(err)]++
+		l.unreadable[refusalReason(err)]++
 		l.log.Info("a batch that can't be read", "worker", hello.Worker, "seq", m.Seq, "err", err)
-		return nil // it counts as missing
+		return nil // the index treats it as missing
 	}
 	batch := kvindex.Batch{Incarnation: hello.Incarnation, Seq: m.Seq}
 	for _, e := range b.Events {
@@ -256,9 +261,10 @@
 	return l.index.Apply(l.now(), hello.Worker, batch)
 }
 
-func reasonOf(err error) string {
-	for is, name := range map[error]string{kvevents.ErrLong: "batch_long", kvevents.ErrShape: "batch_shape", kvevents.ErrTag: "batch_tag", kvevents.ErrDepth: "batch_depth"} {
-		if errors.Is(err, is) {
+// refusalReason returns the name under which a decoding error is counted.
+func refusalReason(err error) string {
+	for target, name := range map[error]string{kvevents.ErrLong: "batch_long", kvevents.ErrShape: "batch_shape", kvevents.ErrTag: "batch_tag", kvevents.ErrDepth: "batch_depth"} {
+		if errors.Is(err, target) {
 			return name
 		}
 	}
