--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,6 +1,6 @@
 package engine
 
-// This file owns an engine's life: its queue, its batches, its states, and what befalls it.
+// The engine itself: its queue, its steps, the states that wait to be fetched, and faults such as pauses and crashes.
 
 import (
 	"cmp"
@@ -10,48 +10,48 @@
 	"time"
 )
 
-// Work is one request as an engine gets it.
+// Request is one request as an engine receives it.
 type Work struct {
 	ID     string
-	Chain  []Hash // the prompt's whole blocks
-	Tokens int    // in the prompt
-	Output int    // tokens that the answer will have; writers only
-	Holds  bool   // a writer's: the state is at hand, else it is turned away
+	Chain  []Hash // hashes of the prompt's complete blocks
+	Tokens int    // length of the prompt
+	Output int    // length of the answer, for writers only
+	Holds  bool   // for writers: the state can be fetched, otherwise the request is rejected
 }
 
-// Happened is what became of work.
+// EventKind says what happened to a request.
 type Happened uint8
 
-// What may happen to work.
+// The kinds of events.
 const (
-	ReadDone   Happened = iota + 1 // the prompt is read, its state waits
-	First                          // the state is fetched and the first token is out
-	Token                          // one more
-	Done                           // the last one was
-	TurnedAway                     // it never ran: no room, no state, or it is draining
-	Dropped                        // it was called off before it ran
-	Stopped                        // it was called off while it ran
+	ReadDone   Happened = iota + 1 // the prompt has been processed and its state waits to be fetched
+	First                          // the state has been fetched and the first token is out
+	Token                          // one more token
+	Done                           // the answer is complete
+	TurnedAway                     // it never ran: no room, no state, or an unusable request
+	Dropped                        // it was cancelled before it ran
+	Stopped                        // it was cancelled while it ran
 	Lost                           // the engine died with it
-	Again                          // its memory was needed: it goes back and is read anew
+	Again                          // its memory was needed: it is queued again and its tokens are recomputed
 )
 
-var happenings = [...]string{"?", "read", "first", "token", "done", "turned away", "dropped", "stopped", "lost", "again"}
+var eventNames = [...]string{"?", "prefill done", "first token", "token", "done", "rejected", "dropped", "stopped", "lost", "preempted"}
 
-func (h Happened) String() string { return happenings[min(int(h), len(happenings)-1)] }
+func (h Happened) String() string { return eventNames[min(int(h), len(eventNames)-1)] }
 
-// final says that nothing more happens to the work.
+// final reports whether no more events follow for the request.
 func (h Happened) final() bool { return h != First && h != Token && h != Again }
 
-// Event is one thing that happened.
+// Event is something that happened to a request.
 type Event struct {
 	At   time.Duration
 	What Happened
 	ID   string
-	Kept int // ReadDone and First: prompt tokens that were found kept
+	Kept int // of PrefillDone and FirstToken: prompt tokens found in the cache
 	Why  string
 }
 
-// Report is a batch of changes to what an engine keeps.
+// Report is a batch of changes to an engine's cache.
 type Report struct {
 	Seq         uint64
 	Incarnation uint64
@@ -59,32 +59,32 @@
 	Changes     []Change
 }
 
-// Change is one change: blocks stored, blocks removed, or all of them gone.
+// Change is one change to the cache: blocks stored, blocks removed, or the whole cache cleared.
 type Change struct {
 	Stored  []Hash
-	Parent  Hash // of the first of them, 0 = it begins a text
+	Parent  Hash // hash of the block before the first stored one; 0 at the start of a prompt
 	Removed []Hash
 	Cleared bool
 }
 
-// Engine is one engine. It is not safe for concurrent use.
+// Engine is one emulated engine. It is not safe for concurrent use.
 type Engine struct {
-	set     Settings
-	now     time.Duration
-	memory  *memory
-	queue   []*job
-	running []*job
-	jobs    map[string]*job
-	states  map[string]*job // read, and waiting to be fetched
-	stepEnd time.Duration   // of the step that runs, 0 = none
-	batch   []share         // what it reads
-
-	born   time.Duration
-	paused time.Duration // until then no step begins
-	slow   []spell       // times in which all takes longer; they compose
-	fallen bool
-	dead   bool
-	recent []sample // what came lately, for falling over
+	settings Settings
+	now      time.Duration
+	memory   *memory
+	queue    []*job
+	running  []*job
+	jobs     map[string]*job
+	states   map[string]*job // prefilled, and waiting to be fetched
+	stepEnd  time.Duration   // when the running step ends, 0 = none is running
+	batch    []prefillChunk  // prompt tokens processed in the running step
+
+	startedAt      time.Duration
+	pausedUntil    time.Duration // no step starts before this
+	slowdowns      []slowdown    // current slowdowns, whose factors multiply
+	overloaded     bool
+	crashed        bool
+	recentArrivals []arrival // within the last ColdOverloadWindow of a cold engine
 
 	incarnation uint64
 	seq         uint64
@@ -93,301 +93,309 @@
 	reports     []Report
 }
 
+// job is a request that the engine has accepted.
 type job struct {
 	Work
-	blocks   []*block // in use
-	read     int      // prompt tokens that need no reading any more
-	kept     int
-	written  int
-	order    int // of arrival
-	called   bool
-	reading  bool // its prompt has still to be read
-	finished bool
-	blind    bool // its beginning was forgotten while it ran: what follows can't be found either
-}
-
-// target is how far it has to be read: what was written counts where it is read anew.
-func (j *job) target() int { return j.Tokens + j.written }
-
-type share struct {
+	blocks       []*block // with a reference held by this job
+	prefilled    int      // tokens that need no more prefill
+	cachedTokens int
+	generated    int
+	arrivalOrder int
+	cancelled    bool
+	prefilling   bool // tokens remain to be prefilled
+	finished     bool
+	prefixLost   bool // the cache was cleared while it ran: blocks that follow would have no cached parent
+}
+
+// prefillTarget is the number of tokens to prefill. After a preemption it includes the tokens generated before.
+func (j *job) prefillTarget() int { return j.Tokens + j.generated }
+
+// prefillChunk is the part of a prompt that one step processes.
+type prefillChunk struct {
 	job    *job
 	tokens int
 }
 
-type spell struct {
-	until time.Duration
-	times float64
+// slowdown multiplies the duration of steps until a time.
+type slowdown struct {
+	until  time.Duration
+	factor float64
 }
 
-type sample struct {
+// arrival is a prompt that came to a cold engine.
+type arrival struct {
 	at     time.Duration
 	tokens int
 }
 
-// New returns an engine that was started long ago.
+// New returns an engine that is already warm.
 func New(s Settings, incarnation uint64) *Engine {
-	e := &Engine{set: s, jobs: make(map[string]*job), states: make(map[string]*job), incarnation: incarnation, born: -s.Warm - 1}
-	e.fresh()
+	e := &Engine{settings: s, jobs: make(map[string]*job), states: make(map[string]*job), incarnation: incarnation, startedAt: -s.Warm - 1}
+	e.resetMemory()
 	return e
 }
 
-func (e *Engine) fresh() {
-	e.memory = newMemory(e.set.Blocks)
-	e.memory.store = func(h []Hash, parent Hash) {
+// resetMemory replaces the memory by an empty one.
+func (e *Engine) resetMemory() {
+	e.memory = newMemory(e.settings.Blocks)
+	e.memory.onStore = func(h []Hash, parent Hash) {
 		e.changes = append(e.changes, Change{Stored: slices.Clone(h), Parent: parent})
 	}
-	e.memory.drop = func(h []Hash) { e.changes = append(e.changes, Change{Removed: slices.Clone(h)}) }
+	e.memory.onRemove = func(h []Hash) { e.changes = append(e.changes, Change{Removed: slices.Clone(h)}) }
 }
 
-// Settings are the engine's.
-func (e *Engine) Settings() Settings { return e.set }
+// Settings returns the engine's settings.
+func (e *Engine) Settings() Settings { return e.settings }
 
-// Submit gives the engine work, at a time not before the latest one that it knows. What it can't take is turned away
-// at once.
+// Submit gives the engine a request, at a time not before that of earlier calls. A request that the engine can't take is
+// rejected at once.
 func (e *Engine) Submit(now time.Duration, w Work) {
 	e.Advance(now)
-	why := ""
+	reason := ""
 	switch {
-	case e.dead:
-		e.tell(Event{What: Lost, ID: w.ID, Why: "dead"})
+	case e.crashed:
+		e.emit(Event{What: Lost, ID: w.ID, Why: "dead"})
 		return
 	case e.jobs[w.ID] != nil:
-		why = "its id is open"
-	case e.fallen:
-		why = "fallen over"
-	case len(e.queue) >= e.set.Queue+e.set.Slots-len(e.running): // slots are filled when a step begins
-		why = "full"
-	case !e.set.Reads && !w.Holds:
-		why = "no state"
-	case (w.Tokens+w.Output+e.set.Block-1)/e.set.Block > e.set.Blocks:
-		why = "longer than the memory"
-	case w.Tokens < len(w.Chain)*e.set.Block || w.Tokens < 0 || w.Output < 0:
-		why = "a prompt shorter than its blocks"
-	}
-	if why != "" {
-		e.tell(Event{What: TurnedAway, ID: w.ID, Why: why})
+		reason = "its id is open"
+	case e.overloaded:
+		reason = "fallen over"
+	case len(e.queue) >= e.settings.Queue+e.settings.Slots-len(e.running): // free slots are filled only when a step starts
+		reason = "full"
+	case !e.settings.Reads && !w.Holds:
+		reason = "no state"
+	case (w.Tokens+w.Output+e.settings.Block-1)/e.settings.Block > e.settings.Blocks:
+		reason = "longer than the memory"
+	case w.Tokens < len(w.Chain)*e.settings.Block || w.Tokens < 0 || w.Output < 0:
+		reason = "a prompt shorter than its blocks"
+	}
+	if reason != "" {
+		e.emit(Event{What: TurnedAway, ID: w.ID, Why: reason})
 		return
 	}
-	e.press(w.Tokens)
-	if e.fallen {
-		e.tell(Event{What: Lost, ID: w.ID, Why: "fallen over"})
+	e.checkOverload(w.Tokens)
+	if e.overloaded {
+		e.emit(Event{What: Lost, ID: w.ID, Why: "fallen over"})
 		return
 	}
-	j := &job{Work: w, reading: e.set.Reads}
+	j := &job{Work: w, prefilling: e.settings.Reads}
 	e.jobs[w.ID] = j
 	e.queue = append(e.queue, j)
-	e.begin()
+	e.beginStep()
 }
 
-// press counts what comes to a cold engine: more than so many times what it can do, for long enough, and it falls over.
-func (e *Engine) press(tokens int) {
-	if e.warm() {
-		e.recent = nil
+// checkOverload records an arrival at an engine that is warming up. If the tokens that arrive within ColdOverloadWindow
+// exceed ColdOverloadFactor times the engine's current capacity, the engine fails and loses all its requests.
+func (e *Engine) checkOverload(tokens int) {
+	if e.isWarm() {
+		e.recentArrivals = nil
 		return
 	}
-	e.recent = append(e.recent, sample{e.now, tokens})
-	for e.now-e.recent[0].at > e.set.Fall {
-		e.recent = e.recent[1:]
+	e.recentArrivals = append(e.recentArrivals, arrival{e.now, tokens})
+	for e.now-e.recentArrivals[0].at > e.settings.Fall {
+		e.recentArrivals = e.recentArrivals[1:]
 	}
-	sum := 0
-	for _, s := range e.recent {
-		sum += s.tokens
+	total := 0
+	for _, s := range e.recentArrivals {
+		total += s.tokens
 	}
-	if float64(sum) > e.set.FallAt*e.can()*e.set.ReadPerS*e.set.Fall.Seconds() {
-		e.end("fallen over")
-		e.fallen = true
+	if float64(total) > e.settings.FallAt*e.capacity()*e.settings.ReadPerS*e.settings.Fall.Seconds() {
+		e.abortAll("fallen over")
+		e.overloaded = true
 	}
 }
 
-func (e *Engine) warm() bool { return e.now-e.born >= e.set.Warm }
+// isWarm reports whether the engine has its full speed.
+func (e *Engine) isWarm() bool { return e.now-e.startedAt >= e.settings.Warm }
 
-// can is the share of its capacity that the engine has now.
-func (e *Engine) can() float64 {
-	if e.warm() {
+// capacity is the share of its full speed that the engine has now.
+func (e *Engine) capacity() float64 {
+	if e.isWarm() {
 		return 1
 	}
-	return e.set.ColdFrom + (1-e.set.ColdFrom)*float64(e.now-e.born)/float64(e.set.Warm)
+	return e.settings.ColdFrom + (1-e.settings.ColdFrom)*float64(e.now-e.startedAt)/float64(e.settings.Warm)
 }
 
-// begin begins a step, where there is something to do and none runs.
-func (e *Engine) begin() {
-	if e.stepEnd != 0 || e.dead || e.fallen {
+// beginStep starts a step if there is something to do and none is running.
+func (e *Engine) beginStep() {
+	if e.stepEnd != 0 || e.crashed || e.overloaded {
 		return
 	}
 	e.admit()
 	if len(e.running) == 0 {
 		return
 	}
-	start := max(e.now, e.paused)
-	long, read, context, answers := e.set.Step, e.set.Chunk, 0, 0
+	start := max(e.now, e.pausedUntil)
+	duration, prefillBudget, contextTokens, generating := e.settings.Step, e.settings.Chunk, 0, 0
 	e.batch = e.batch[:0]
 	for _, j := range e.running {
-		context += j.read + j.written
-		if !j.reading {
-			answers++
+		contextTokens += j.prefilled + j.generated
+		if !j.prefilling {
+			generating++
 		}
 	}
-	for _, j := range e.running { // first come first: a long prompt takes the steps of those behind it
-		if !j.reading || read == 0 {
+	for _, j := range e.running { // in order of arrival: one long prompt delays all prompts behind it
+		if !j.prefilling || prefillBudget == 0 {
 			continue
 		}
-		n := min(read, j.target()-j.read)
-		read -= n
-		e.batch = append(e.batch, share{j, n})
-		long += time.Duration(n) * e.set.PerToken
+		n := min(prefillBudget, j.prefillTarget()-j.prefilled)
+		prefillBudget -= n
+		e.batch = append(e.batch, prefillChunk{j, n})
+		duration += time.Duration(n) * e.settings.PerToken
 	}
-	long += time.Duration(answers) * e.set.PerSeq
-	if answers > 0 {
-		long += time.Duration(float64(context) / 1000 * float64(e.set.PerContext))
+	duration += time.Duration(generating) * e.settings.PerSeq
+	if generating > 0 {
+		duration += time.Duration(float64(contextTokens) / 1000 * float64(e.settings.PerContext))
 	}
-	times := 1 / e.can()
-	for _, s := range e.slow {
+	factor := 1 / e.capacity()
+	for _, s := range e.slowdowns {
 		if start < s.until {
-			times *= s.times
+			factor *= s.factor
 		}
 	}
-	e.stepEnd = start + max(1, time.Duration(float64(long)*times))
+	e.stepEnd = start + max(1, time.Duration(float64(duration)*factor))
 }
 
-// admit moves work from the queue into slots, first come first, as far as slots and memory go.
+// admit moves requests from the queue to free slots, in order of arrival, as long as the memory suffices.
 func (e *Engine) admit() {
-	for len(e.queue) > 0 && len(e.running) < e.set.Slots {
+	for len(e.queue) > 0 && len(e.running) < e.settings.Slots {
 		j := e.queue[0]
-		need := (j.Tokens + e.set.Block - 1) / e.set.Block
-		if !e.set.Reads {
-			need = (j.Tokens + j.written + e.set.Block) / e.set.Block
+		neededBlocks := (j.Tokens + e.settings.Block - 1) / e.settings.Block
+		if !e.settings.Reads {
+			neededBlocks = (j.Tokens + j.generated + e.settings.Block) / e.settings.Block
 		}
-		have := 0
-		if e.set.Reads {
-			have = e.memory.find(j.Chain)
-			if have*e.set.Block == j.Tokens && have > 0 { // the last block is read again: its end makes the first token
-				have--
+		cachedBlocks := 0
+		if e.settings.Reads {
+			cachedBlocks = e.memory.cachedPrefix(j.Chain)
+			// If all of the prompt is cached, its last block is recomputed, as its output gives the first token.
+			if cachedBlocks*e.settings.Block == j.Tokens && cachedBlocks > 0 {
+				cachedBlocks--
 			}
 		}
-		if need-have > e.memory.room(j.Chain[:have]) {
+		if neededBlocks-cachedBlocks > e.memory.available(j.Chain[:cachedBlocks]) {
 			return
 		}
-		held := e.memory.hold(j.Chain[:have])
-		some, ok := e.memory.take(need - have)
+		shared := e.memory.acquire(j.Chain[:cachedBlocks])
+		fresh, ok := e.memory.allocate(neededBlocks - cachedBlocks)
 		if !ok {
-			e.memory.leave(held)
+			e.memory.release(shared)
 			return
 		}
-		j.blocks = append(held, some...)
-		j.kept = have * e.set.Block
-		j.read = j.kept
-		if !j.reading { // the state is fetched whole
-			j.read = j.Tokens
+		j.blocks = append(shared, fresh...)
+		j.cachedTokens = cachedBlocks * e.settings.Block
+		j.prefilled = j.cachedTokens
+		if !j.prefilling { // the whole state is fetched from the reader
+			j.prefilled = j.Tokens
 		}
 		e.queue = e.queue[1:]
 		e.running = append(e.running, j)
-		if !e.set.Reads && !j.reading && j.written == 0 {
-			e.tell(Event{What: First, ID: j.ID, Kept: j.kept})
-			j.written = 1
+		if !e.settings.Reads && !j.prefilling && j.generated == 0 {
+			e.emit(Event{What: First, ID: j.ID, Kept: j.cachedTokens})
+			j.generated = 1
 		}
 	}
 }
 
-// step ends the step that runs.
-func (e *Engine) step() {
+// finishStep completes the running step and starts the next.
+func (e *Engine) finishStep() {
 	e.stepEnd = 0
 	for _, s := range e.batch {
 		j := s.job
 		if j.finished {
 			continue
 		}
-		before := j.read / e.set.Block
-		j.read += s.tokens
-		if e.set.Reads && !j.blind {
-			after := min(j.read/e.set.Block, len(j.Chain))
+		before := j.prefilled / e.settings.Block
+		j.prefilled += s.tokens
+		if e.settings.Reads && !j.prefixLost {
+			after := min(j.prefilled/e.settings.Block, len(j.Chain))
 			if after > before {
-				e.memory.name(j.Chain, before, j.blocks[before:after])
+				e.memory.cacheBlocks(j.Chain, before, j.blocks[before:after])
 			}
 		}
-		if j.read < j.target() {
+		if j.prefilled < j.prefillTarget() {
 			continue
 		}
-		j.reading = false
-		if e.set.Reads {
+		j.prefilling = false
+		if e.settings.Reads {
 			e.running = slices.DeleteFunc(e.running, func(x *job) bool { return x == j })
-			if j.called { // it ran on to its end, for nobody
-				e.letGo(j, Stopped, "called off")
+			if j.cancelled { // the engine doesn't stop cancelled work, so it ran to the end for nothing
+				e.finish(j, Stopped, "called off")
 				continue
 			}
 			e.states[j.ID] = j
-			e.tell(Event{What: ReadDone, ID: j.ID, Kept: j.kept})
+			e.emit(Event{What: ReadDone, ID: j.ID, Kept: j.cachedTokens})
 		}
 	}
-	if !e.set.Reads {
-		e.write()
+	if !e.settings.Reads {
+		e.generateTokens()
 	}
-	e.begin()
+	e.beginStep()
 }
 
-// write gives each answer that runs one more token.
-func (e *Engine) write() {
+// generateTokens adds a token to each running answer.
+func (e *Engine) generateTokens() {
 	for _, j := range slices.Clone(e.running) {
-		if j.reading || j.finished {
+		if j.prefilling || j.finished {
 			continue
 		}
-		if j.written >= j.Output || j.called && e.set.CancelStops {
-			what := Done
-			if j.written < j.Output {
-				what = Stopped
+		if j.generated >= j.Output || j.cancelled && e.settings.CancelStops {
+			kind := Done
+			if j.generated < j.Output {
+				kind = Stopped
 			}
-			e.letGo(j, what, "")
+			e.finish(j, kind, "")
 			continue
 		}
-		if need := (j.Tokens + j.written + e.set.Block) / e.set.Block; need > len(j.blocks) {
-			some, ok := e.memory.take(need - len(j.blocks))
-			for !ok { // the newest answer goes back and is read anew
+		if need := (j.Tokens + j.generated + e.settings.Block) / e.settings.Block; need > len(j.blocks) {
+			fresh, ok := e.memory.allocate(need - len(j.blocks))
+			for !ok { // preempt the latest answer until the memory suffices
 				newest := e.running[len(e.running)-1]
-				e.goBack(newest)
+				e.preempt(newest)
 				if newest == j {
 					break
 				}
-				some, ok = e.memory.take(need - len(j.blocks))
+				fresh, ok = e.memory.allocate(need - len(j.blocks))
 			}
 			if !ok {
 				continue
 			}
-			j.blocks = append(j.blocks, some...)
+			j.blocks = append(j.blocks, fresh...)
 		}
-		j.written++
-		e.tell(Event{What: Token, ID: j.ID})
-		if j.written >= j.Output {
-			e.letGo(j, Done, "")
+		j.generated++
+		e.emit(Event{What: Token, ID: j.ID})
+		if j.generated >= j.Output {
+			e.finish(j, Done, "")
 		}
 	}
 }
 
-// goBack puts an answer back to the head of the queue; its prompt and what it has written have to be read anew.
-func (e *Engine) goBack(j *job) {
-	e.memory.leave(j.blocks)
-	j.blocks, j.read, j.reading = nil, 0, true
+// preempt puts an answer back at the head of the queue. Its prompt and the tokens generated so far must be recomputed.
+func (e *Engine) preempt(j *job) {
+	e.memory.release(j.blocks)
+	j.blocks, j.prefilled, j.prefilling = nil, 0, true
 	e.running = slices.DeleteFunc(e.running, func(x *job) bool { return x == j })
 	e.queue = slices.Insert(e.queue, 0, j)
-	e.tell(Event{What: Again, ID: j.ID})
+	e.emit(Event{What: Again, ID: j.ID})
 }
 
-// letGo ends work and gives its memory back.
-func (e *Engine) letGo(j *job, what Happened, why string) {
+// finish ends a request and releases its memory. It emits an event unless kind is 0.
+func (e *Engine) finish(j *job, kind Happened, reason string) {
 	if j.finished {
 		return
 	}
 	j.finished = true
-	e.memory.leave(j.blocks)
+	e.memory.release(j.blocks)
 	j.blocks = nil
 	delete(e.jobs, j.ID)
 	delete(e.states, j.ID)
 	e.running = slices.DeleteFunc(e.running, func(x *job) bool { return x == j })
 	e.queue = slices.DeleteFunc(e.queue, func(x *job) bool { return x == j })
-	if what != 0 {
-		e.tell(Event{What: what, ID: j.ID, Why: why})
+	if kind != 0 {
+		e.emit(Event{What: kind, ID: j.ID, Why: reason})
 	}
 }
 
-// Cancel calls work off: what waits is dropped, what runs goes on unless the engine stops it.
+// Cancel cancels a request. A queued one is dropped; a running one continues unless CancelStopsRunning is set.
 func (e *Engine) Cancel(now time.Duration, id string) {
 	e.Advance(now)
 	j := e.jobs[id]
@@ -395,110 +403,112 @@
 		return
 	}
 	if slices.Contains(e.queue, j) {
-		e.letGo(j, Dropped, "called off")
-	} else if j.called = true; e.set.CancelStops {
-		e.letGo(j, Stopped, "called off")
+		e.finish(j, Dropped, "called off")
+	} else if j.cancelled = true; e.settings.CancelStops {
+		e.finish(j, Stopped, "called off")
 	}
-	e.begin()
+	e.beginStep()
 }
 
-// Fetch hands a state over to a writer: the reader's memory is let go, its text stays kept. It says no where there is
-// none.
+// Fetch hands a state over to a writer: the reader releases its memory, while the prompt's blocks stay cached. It reports
+// whether there was a state.
 func (e *Engine) Fetch(now time.Duration, id string) bool {
 	e.Advance(now)
 	j := e.states[id]
 	if j == nil {
 		return false
 	}
-	e.letGo(j, 0, "")
-	e.begin()
+	e.finish(j, 0, "")
+	e.beginStep()
 	return true
 }
 
-// Release lets go of a state, if there is one.
+// Release discards a state, if there is one.
 func (e *Engine) Release(now time.Duration, id string) { e.Fetch(now, id) }
 
-// Pause has the engine begin no step until a time.
+// Pause prevents steps from starting before the given time, and delays the end of a running one until then.
 func (e *Engine) Pause(now, until time.Duration) {
 	e.Advance(now)
-	e.paused = max(e.paused, until)
+	e.pausedUntil = max(e.pausedUntil, until)
 	if e.stepEnd != 0 {
 		e.stepEnd = max(e.stepEnd, until)
 	}
 }
 
-// Slow makes all take so many times as long until a time, on top of what slows it already.
-func (e *Engine) Slow(now, until time.Duration, times float64) {
+// SlowDown multiplies the duration of steps by factor until the given time, on top of slowdowns in effect.
+func (e *Engine) Slow(now, until time.Duration, factor float64) {
 	e.Advance(now)
-	e.slow = append(slices.DeleteFunc(e.slow, func(s spell) bool { return s.until <= now }), spell{until, times})
+	e.slowdowns = append(slices.DeleteFunc(e.slowdowns, func(s slowdown) bool { return s.until <= now }), slowdown{until, factor})
 }
 
-// Forget loses all kept text; what runs goes on.
+// ClearCache forgets all cached blocks. Running requests continue.
 func (e *Engine) Forget(now time.Duration) {
 	e.Advance(now)
-	e.memory.forget()
+	e.memory.uncacheAll()
 	for _, j := range e.running {
-		j.blind = true
+		j.prefixLost = true
 	}
 	e.changes = append(e.changes, Change{Cleared: true})
 }
 
-// Die ends the process, and with it all work, states and text.
+// Crash ends the process. All requests, states and cached blocks are lost.
 func (e *Engine) Die(now time.Duration) {
 	e.Advance(now)
-	e.end("died")
-	e.dead = true
+	e.abortAll("died")
+	e.crashed = true
 }
 
-func (e *Engine) end(why string) {
+// abortAll ends all requests and empties the queue, the states and the cache.
+func (e *Engine) abortAll(reason string) {
 	for _, j := range slices.SortedFunc(maps.Values(e.jobs), func(a, b *job) int { return cmp.Compare(a.ID, b.ID) }) {
-		if e.states[j.ID] != nil { // its read had ended
-			e.letGo(j, 0, "")
+		if e.states[j.ID] != nil { // its prefill has been reported as done
+			e.finish(j, 0, "")
 			continue
 		}
-		e.letGo(j, Lost, why)
+		e.finish(j, Lost, reason)
 	}
-	e.stepEnd, e.queue, e.running, e.recent, e.changes = 0, nil, nil, nil, nil
-	e.fresh()
+	e.stepEnd, e.queue, e.running, e.recentArrivals, e.changes = 0, nil, nil, nil, nil
+	e.resetMemory()
 }
 
-// Start starts the process again, cold and with nothing kept, under a new incarnation.
+// Start starts the process again under a new incarnation, cold and with an empty cache.
 func (e *Engine) Start(now time.Duration, incarnation uint64) {
 	e.Advance(now)
-	if !e.dead && !e.fallen {
-		e.end("died")
+	if !e.crashed && !e.overloaded {
+		e.abortAll("died")
 	}
-	e.dead, e.fallen, e.born, e.paused, e.slow = false, false, now, 0, nil
+	e.crashed, e.overloaded, e.startedAt, e.pausedUntil, e.slowdowns = false, false, now, 0, nil
 	e.incarnation, e.seq, e.changes = incarnation, 0, []Change{{Cleared: true}}
 }
 
-// Next is when something happens by itself, and whether anything does.
+// NextStep returns the time at which the running step ends, and false if none is running.
 func (e *Engine) Next() (time.Duration, bool) { return e.stepEnd, e.stepEnd != 0 }
 
-// Advance moves the clock.
+// Advance moves the clock forward and completes the steps that end by then.
 func (e *Engine) Advance(now time.Duration) {
 	for e.stepEnd != 0 && e.stepEnd <= now {
 		e.now = max(e.now, e.stepEnd)
-		e.step()
+		e.finishStep()
 	}
 	e.now = max(e.now, now)
 }
 
-func (e *Engine) tell(x Event) {
-	x.At = e.now
-	e.events = append(e.events, x)
+// emit records an event at the current time.
+func (e *Engine) emit(ev Event) {
+	ev.At = e.now
+	e.events = append(e.events, ev)
 }
 
-// Events takes what has happened since the last call.
+// Events returns the events since the last call.
 func (e *Engine) Events() []Event {
 	out := e.events
 	e.events = nil
 	return out
 }
 
-// Report takes the changes since the last one as a batch; false: there were none.
+// Report returns the changes since the last report as a batch, and false if there are none.
 func (e *Engine) Report() (Report, bool) {
-	if len(e.changes) == 0 || e.dead {
+	if len(e.changes) == 0 || e.crashed {
 		return Report{}, false
 	}
 	r := Report{Seq: e.seq, Incarnation: e.incarnation, At: e.now, Changes: e.changes}
@@ -507,26 +517,26 @@
 	return r, true
 }
 
-// Snapshot is a batch that tells all that is kept from nothing, beginnings first. It takes the place of the changes
+// Snapshot returns a batch that clears the cache and then stores everything in it, parents first. It replaces the changes
 // since the last report.
 func (e *Engine) Snapshot() Report {
-	follow := make(map[Hash][]Hash)
+	children := make(map[Hash][]Hash)
 	var roots []Hash
 	for _, h := range e.Kept() {
-		if p := e.memory.kept[h].parent; e.memory.kept[p] != nil {
-			follow[p] = append(follow[p], h)
+		if p := e.memory.cached[h].parent; e.memory.cached[p] != nil {
+			children[p] = append(children[p], h)
 		} else {
 			roots = append(roots, h)
 		}
 	}
 	e.changes = []Change{{Cleared: true}}
-	for len(roots) > 0 { // each run of blocks without a fork is one change
+	for len(roots) > 0 { // one change for each run of blocks without a branch
 		h := roots[len(roots)-1]
 		roots = roots[:len(roots)-1]
-		c := Change{Parent: e.memory.kept[h].parent}
+		c := Change{Parent: e.memory.cached[h].parent}
 		for {
 			c.Stored = append(c.Stored, h)
-			next := follow[h]
+			next := children[h]
 			if len(next) == 0 {
 				break
 			}
@@ -539,22 +549,22 @@
 	return r
 }
 
-// Kept lists the hashes of all text that can be found again, in order.
+// CachedBlocks returns the hashes of all cached blocks in ascending order.
 func (e *Engine) Kept() []Hash {
-	out := make([]Hash, 0, len(e.memory.kept))
-	for h := range e.memory.kept {
+	out := make([]Hash, 0, len(e.memory.cached))
+	for h := range e.memory.cached {
 		out = append(out, h)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Load is the engine's load as it reports it: shares of slots and of memory in use, and how many wait.
+// Load returns the shares of slots and of memory in use, and the number of queued requests.
 func (e *Engine) Load() (slots, memory float64, waiting int) {
-	return float64(len(e.running)+len(e.states)) / float64(e.set.Slots), float64(e.memory.used) / float64(e.set.Blocks), len(e.queue)
+	return float64(len(e.running)+len(e.states)) / float64(e.settings.Slots), float64(e.memory.usedBlocks) / float64(e.settings.Blocks), len(e.queue)
 }
 
-// Check says which invariant is broken, if any.
+// CheckInvariants returns an error if an invariant of the engine is violated.
 func (e *Engine) Check() error {
 	if err := e.memory.check(); err != nil {
 		return err
@@ -567,18 +577,18 @@
 	}
 	for b, n := range refs {
 		if b.refs != n {
-			return fmt.Errorf("a block with %d references is used by %d", b.refs, n)
+			return fmt.Errorf("block has reference count %d, but %d users", b.refs, n)
 		}
 	}
 	switch {
-	case len(refs) != e.memory.used:
-		return fmt.Errorf("%d blocks are used, %d counted", len(refs), e.memory.used)
-	case len(e.running) > e.set.Slots:
-		return fmt.Errorf("%d in %d slots", len(e.running), e.set.Slots)
-	case len(e.queue) > e.set.Queue+e.set.Slots: // those that went back come on top
-		return fmt.Errorf("%d wait, %d may", len(e.queue), e.set.Queue)
+	case len(refs) != e.memory.usedBlocks:
+		return fmt.Errorf("%d blocks in use, but the count is %d", len(refs), e.memory.usedBlocks)
+	case len(e.running) > e.settings.Slots:
+		return fmt.Errorf("%d requests running in %d slots", len(e.running), e.settings.Slots)
+	case len(e.queue) > e.settings.Queue+e.settings.Slots: // preempted requests may exceed the queue's limit
+		return fmt.Errorf("%d requests wait in the queue, the limit is %d", len(e.queue), e.settings.Queue)
 	case len(e.running)+len(e.queue)+len(e.states) != len(e.jobs):
-		return fmt.Errorf("%d run, %d wait, %d states, %d open", len(e.running), len(e.queue), len(e.states), len(e.jobs))
+		return fmt.Errorf("%d run, %d wait and %d states don't add up to %d open requests", len(e.running), len(e.queue), len(e.states), len(e.jobs))
 	}
 	return nil
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -23,15 +23,15 @@
 
 // text is a prompt whose beginning is named, of so many tokens.
 func text(name string, tokens int) []byte {
-	out := make([]byte, 0, tokens*charsToken)
-	for i := 0; len(out) < tokens*charsToken; i++ {
+	out := make([]byte, 0, tokens*bytesPerToken)
+	for i := 0; len(out) < tokens*bytesPerToken; i++ {
 		out = fmt.Appendf(out, "%s-%d ", name, i)
 	}
-	return out[:tokens*charsToken]
+	return out[:tokens*bytesPerToken]
 }
 
 func work(e *Engine, id string, prompt []byte, output int) Work {
-	return Work{ID: id, Chain: Chain(prompt, e.set.Block), Tokens: len(prompt) / charsToken, Output: output, Holds: true}
+	return Work{ID: id, Chain: Chain(prompt, e.settings.Block), Tokens: len(prompt) / bytesPerToken, Output: output, Holds: true}
 }
 
 func count(events []Event, what Happened) (n int) {
@@ -88,18 +88,18 @@
 				}
 				within("pace", float64(n*each)/ended.Seconds(), doc.pace)
 			} else { // an answer that goes back is read anew at the kind's pace
-				j := &job{Work: Work{Tokens: 20000}, reading: true}
+				j := &job{Work: Work{Tokens: 20000}, prefilling: true}
 				e := New(s, 1)
 				e.running = []*job{j}
 				e.jobs[""] = j
-				e.begin()
-				for j.read < 20000 && e.stepEnd > 0 {
+				e.beginStep()
+				for j.prefilled < 20000 && e.stepEnd > 0 {
 					at := e.stepEnd
 					for _, x := range e.batch {
-						x.job.read += x.tokens
+						x.job.prefilled += x.tokens
 					}
-					if e.now, e.stepEnd = at, 0; j.read < 20000 {
-						e.begin()
+					if e.now, e.stepEnd = at, 0; j.prefilled < 20000 {
+						e.beginStep()
 					}
 				}
 				within("pace", 20000/e.now.Seconds(), doc.pace)
@@ -109,7 +109,7 @@
 				e.Submit(0, work(e, fmt.Sprint(i), text(fmt.Sprint(i), 20), 50))
 			}
 			e.stepEnd = 0
-			e.begin()
+			e.beginStep()
 			within("slots", float64(len(e.running)), doc.slots)
 			within("queue", float64(len(e.queue)), doc.queue)
 			if n := count(e.Events(), TurnedAway); n != 400-len(e.running)-len(e.queue) {
@@ -156,7 +156,7 @@
 	if removed == 0 {
 		t.Error("nothing is told of what had to go")
 	}
-	if left := e.memory.find(Chain(shared, s.Block)) * s.Block; left > 1500 {
+	if left := e.memory.cachedPrefix(Chain(shared, s.Block)) * s.Block; left > 1500 {
 		t.Errorf("%d of the shared text still kept", left)
 	}
 	if err := e.Check(); err != nil {
@@ -235,8 +235,8 @@
 		if events = run(e, time.Hour); !stops && (len(events) != 1 || events[0].What != Stopped) {
 			t.Errorf("it ran on to %v", events)
 		}
-		if len(e.jobs) != 0 || e.memory.used != 0 {
-			t.Errorf("%d jobs, %d blocks left", len(e.jobs), e.memory.used)
+		if len(e.jobs) != 0 || e.memory.usedBlocks != 0 {
+			t.Errorf("%d jobs, %d blocks left", len(e.jobs), e.memory.usedBlocks)
 		}
 	}
 }
@@ -270,12 +270,12 @@
 		return count(e.Events(), Lost)
 	}
 	e := New(s, 1)
-	if n := overrun(e); n > 0 || e.fallen {
+	if n := overrun(e); n > 0 || e.overloaded {
 		t.Errorf("a warm one fell over, %d lost", n)
 	}
 	e = New(s, 1)
 	e.Start(0, 2)
-	if n := overrun(e); n == 0 || !e.fallen {
+	if n := overrun(e); n == 0 || !e.overloaded {
 		t.Error("a cold one that was overrun did not fall over")
 	}
 	e = New(s, 1)
@@ -401,11 +401,11 @@
 		if err := e.Check(); err != nil {
 			return sum, err
 		}
-		if kept := e.Kept(); !e.dead && len(kept) != len(m) || !e.dead && slices.ContainsFunc(kept, func(h Hash) bool { _, ok := m[h]; return !ok }) {
+		if kept := e.Kept(); !e.crashed && len(kept) != len(m) || !e.crashed && slices.ContainsFunc(kept, func(h Hash) bool { _, ok := m[h]; return !ok }) {
 			return sum, fmt.Errorf("%d blocks kept, reports say %d", len(kept), len(m))
 		}
 	}
-	if !e.dead { // a snapshot tells the same as all reports
+	if !e.crashed { // a snapshot tells the same as all reports
 		snap := mirror{}
 		if err := snap.apply(e.Snapshot()); err != nil || len(snap) != len(e.Kept()) {
 			return sum, fmt.Errorf("a snapshot of %d blocks, %d kept: %w", len(snap), len(e.Kept()), err)
@@ -446,14 +446,14 @@
 	rare := func() bool { return rng.IntN(20) == 0 }
 	for name, spoil := range map[string]func(*Engine, *Report){
 		"a report with a change lost":  func(_ *Engine, r *Report) { r.Changes = r.Changes[1:] },
-		"a block counted twice":        func(e *Engine, _ *Report) { e.memory.free++ },
-		"a block lost":                 func(e *Engine, _ *Report) { e.memory.free-- },
+		"a block counted twice":        func(e *Engine, _ *Report) { e.memory.freeBlocks++ },
+		"a block lost":                 func(e *Engine, _ *Report) { e.memory.freeBlocks-- },
 		"a reference too few":          func(e *Engine, _ *Report) { spoilUsed(e, -1) },
 		"a reference too many":         func(e *Engine, _ *Report) { spoilUsed(e, 1) },
 		"a request that ends twice":    func(e *Engine, _ *Report) { spoilEvent(e) },
 		"a beginning that goes first":  func(e *Engine, _ *Report) { spoilOrder(e) },
-		"more in slots than there are": func(e *Engine, _ *Report) { e.set.Slots = 0 },
-		"a text kept without a report": func(e *Engine, _ *Report) { e.memory.kept[0xbad] = &block{hash: 0xbad, refs: 1} },
+		"more in slots than there are": func(e *Engine, _ *Report) { e.settings.Slots = 0 },
+		"a text kept without a report": func(e *Engine, _ *Report) { e.memory.cached[0xbad] = &block{hash: 0xbad, refs: 1} },
 	} {
 		caught := false
 		for seed := uint64(0); seed < 40 && !caught; seed++ {
@@ -481,33 +481,33 @@
 
 func spoilEvent(e *Engine) {
 	for id := range e.states {
-		e.tell(Event{What: Lost, ID: id})
+		e.emit(Event{What: Lost, ID: id})
 		return
 	}
 }
 
 func spoilOrder(e *Engine) {
-	for b := e.memory.first; b != nil; b = b.next {
+	for b := e.memory.lruHead; b != nil; b = b.next {
 		if b.kids > 0 { // to the front
-			e.memory.unqueue(b)
-			b.queued, b.next = true, e.memory.first
+			e.memory.removeIdle(b)
+			b.queued, b.next = true, e.memory.lruHead
 			if b.next != nil {
 				b.next.prev = b
 			} else {
-				e.memory.last = b
+				e.memory.lruTail = b
 			}
-			e.memory.first = b
-			e.memory.idle++
-			e.memory.take(1)
-			e.memory.used--
-			e.memory.free++
+			e.memory.lruHead = b
+			e.memory.idleBlocks++
+			e.memory.allocate(1)
+			e.memory.usedBlocks--
+			e.memory.freeBlocks++
 			return
 		}
 	}
 }
 
 func TestBadKindsAreRefused(t *testing.T) {
-	good := string(kinds)
+	good := string(defaultKinds)
 	for from, to := range map[string]string{
 		`"role": "read"`:               `"role": "both"`,
 		`"slots": [4.4, 11]`:           `"slots": [11, 4]`,
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -1,7 +1,7 @@
 package engine
 
-// This file owns an engine's memory: fixed blocks, who uses them, which of them hold text that can be found again, and
-// which goes first when room is needed. It must never evict a block in use, nor lose one.
+// The engine's memory is a KV cache of fixed-size blocks, as in vLLM. Each block is free, in use by one or more requests,
+// or idle: cached and unused, so that it can be found again or evicted. Idle blocks are evicted in LRU order.
 
 import (
 	"fmt"
@@ -9,265 +9,269 @@
 	"rowanyard/internal/kvevents"
 )
 
-// Hash names a block of text with all that comes before it: two prompts that begin alike have the same hashes as far as
-// they do.
+// Hash identifies a block together with all blocks before it: two prompts share the hashes of the blocks of their common
+// prefix.
 type Hash uint64
 
-// Chain is the hashes of a prompt's whole blocks.
-func Chain(text []byte, block int) []Hash {
+// BlockHashes returns the hashes of a prompt's complete blocks.
+func Chain(text []byte, blockTokens int) []Hash {
 	var chain []Hash
-	for _, h := range kvevents.Chain(text, block) {
+	for _, h := range kvevents.Chain(text, blockTokens) {
 		chain = append(chain, Hash(h))
 	}
 	return chain
 }
 
-const charsToken = kvevents.CharsToken
+const bytesPerToken = kvevents.CharsToken
 
 // block is one block of memory.
 type block struct {
-	hash   Hash // 0: its text can't be found again
+	hash   Hash // 0 = the block isn't cached
 	parent Hash
 	refs   int
-	kids   int    // kept blocks that follow it
-	prev   *block // in the order of leaving, while nobody uses it
+	kids   int    // cached blocks that follow it
+	prev   *block // in the LRU list of idle blocks
 	next   *block
 	queued bool
 }
 
 // memory is all blocks of an engine.
 type memory struct {
-	size  int
-	free  int // blocks that hold nothing
-	kept  map[Hash]*block
-	first *block // the first to go: least recently used, ends of texts before their beginnings
-	last  *block
-	idle  int // blocks in that order
-	used  int // blocks with a reference
-	torn  int // blocks that went before those that follow them: must stay 0
-	store func(hashes []Hash, parent Hash)
-	drop  func(hashes []Hash)
+	totalBlocks int
+	freeBlocks  int // neither in use nor cached
+	cached      map[Hash]*block
+	lruHead     *block // the next block to evict; within one prompt the last block comes first
+	lruTail     *block
+	idleBlocks  int // in the LRU list
+	usedBlocks  int // with at least one reference
+	orphaned    int // blocks evicted before one that follows them; must stay 0
+	onStore     func(hashes []Hash, parent Hash)
+	onRemove    func(hashes []Hash)
 }
 
-func newMemory(size int) *memory {
-	return &memory{size: size, free: size, kept: make(map[Hash]*block), store: func([]Hash, Hash) {}, drop: func([]Hash) {}}
+func newMemory(totalBlocks int) *memory {
+	return &memory{totalBlocks: totalBlocks, freeBlocks: totalBlocks, cached: make(map[Hash]*block), onStore: func([]Hash, Hash) {}, onRemove: func([]Hash) {}}
 }
 
-// find is how many blocks of a chain are kept, from its beginning.
-func (m *memory) find(chain []Hash) int {
+// cachedPrefix returns the number of leading blocks of a prompt that are cached.
+func (m *memory) cachedPrefix(chain []Hash) int {
 	for i, h := range chain {
-		if m.kept[h] == nil {
+		if m.cached[h] == nil {
 			return i
 		}
 	}
 	return len(chain)
 }
 
-// room is how many blocks could be taken, were no more than the named ones kept from it.
-func (m *memory) room(chain []Hash) int {
-	spare := 0
+// available returns how many blocks can be allocated if the given cached blocks must not be evicted.
+func (m *memory) available(chain []Hash) int {
+	reserved := 0
 	for _, h := range chain {
-		if b := m.kept[h]; b != nil && b.queued {
-			spare++
+		if b := m.cached[h]; b != nil && b.queued {
+			reserved++
 		}
 	}
-	return m.free + m.idle - spare
+	return m.freeBlocks + m.idleBlocks - reserved
 }
 
-// hold takes a reference to the kept beginning of a chain.
-func (m *memory) hold(chain []Hash) []*block {
+// acquire adds a reference to each leading block of a prompt that is cached.
+func (m *memory) acquire(chain []Hash) []*block {
 	var held []*block
 	for _, h := range chain {
-		b := m.kept[h]
+		b := m.cached[h]
 		if b == nil {
 			break
 		}
-		m.use(b)
+		m.addRef(b)
 		held = append(held, b)
 	}
 	return held
 }
 
-func (m *memory) use(b *block) {
+// addRef adds a reference to a block. An idle block leaves the LRU list.
+func (m *memory) addRef(b *block) {
 	if b.refs++; b.refs == 1 {
-		m.used++
+		m.usedBlocks++
 		if b.queued {
-			m.unqueue(b)
+			m.removeIdle(b)
 		}
 	}
 }
 
-// take returns n blocks that hold nothing, in use, and evicts what it must. It says no where there is no room, and
-// changes nothing then.
-func (m *memory) take(n int) ([]*block, bool) {
-	if n > m.free+m.idle {
+// allocate returns n empty blocks with one reference each, evicting idle blocks if needed. If there isn't enough room it
+// returns false and changes nothing.
+func (m *memory) allocate(n int) ([]*block, bool) {
+	if n > m.freeBlocks+m.idleBlocks {
 		return nil, false
 	}
-	var gone []Hash
-	var some []*block
+	var evicted []Hash
+	var blocks []*block
 	for range n {
 		b := &block{}
-		if m.free > 0 {
-			m.free--
+		if m.freeBlocks > 0 {
+			m.freeBlocks--
 		} else {
-			old := m.first
-			m.unqueue(old)
-			gone = append(gone, old.hash)
-			if old.kids > 0 {
-				m.torn++
+			victim := m.lruHead
+			m.removeIdle(victim)
+			evicted = append(evicted, victim.hash)
+			if victim.kids > 0 {
+				m.orphaned++
 			}
-			m.lose(old)
+			m.uncache(victim)
 		}
 		b.refs = 1
-		m.used++
-		some = append(some, b)
+		m.usedBlocks++
+		blocks = append(blocks, b)
 	}
-	if len(gone) > 0 {
-		m.drop(gone)
+	if len(evicted) > 0 {
+		m.onRemove(evicted)
 	}
-	return some, true
+	return blocks, true
 }
 
-// lose forgets a block's text.
-func (m *memory) lose(b *block) {
+// uncache removes a block from the cache index.
+func (m *memory) uncache(b *block) {
 	if b.hash == 0 {
 		return
 	}
-	delete(m.kept, b.hash)
-	if p := m.kept[b.parent]; p != nil {
+	delete(m.cached, b.hash)
+	if p := m.cached[b.parent]; p != nil {
 		p.kids--
 	}
 	b.hash = 0
 }
 
-// name gives blocks in use the text that they hold now, from the i-th of a chain on. Where the text is kept already the
-// kept block takes the copy's place, so that whoever uses a block uses those before it too.
-func (m *memory) name(chain []Hash, from int, blocks []*block) {
-	var fresh []Hash
-	flush := func(at int) {
-		if len(fresh) > 0 {
-			m.store(fresh, before(chain, at-len(fresh)))
-			fresh = nil
+// cacheBlocks adds blocks in use to the cache index as the blocks of a prompt, beginning with block number from. If one
+// of them is cached already, the cached block replaces the duplicate in blocks, so that whoever holds a block also holds
+// those before it.
+func (m *memory) cacheBlocks(chain []Hash, from int, blocks []*block) {
+	var stored []Hash
+	flush := func(end int) {
+		if len(stored) > 0 {
+			m.onStore(stored, parentHash(chain, end-len(stored)))
+			stored = nil
 		}
 	}
 	for i, b := range blocks {
 		h := chain[from+i]
-		if kept := m.kept[h]; kept != nil {
+		if cached := m.cached[h]; cached != nil {
 			flush(from + i)
-			m.use(kept)
-			blocks[i] = kept
-			m.used--
-			m.free++
+			m.addRef(cached)
+			blocks[i] = cached
+			m.usedBlocks--
+			m.freeBlocks++
 			continue
 		}
-		b.hash, b.parent = h, before(chain, from+i)
-		m.kept[h] = b
-		if p := m.kept[b.parent]; p != nil {
+		b.hash, b.parent = h, parentHash(chain, from+i)
+		m.cached[h] = b
+		if p := m.cached[b.parent]; p != nil {
 			p.kids++
 		}
-		fresh = append(fresh, h)
+		stored = append(stored, h)
 	}
 	flush(from + len(blocks))
 }
 
-// before is the hash before the i-th of a chain.
-func before(chain []Hash, i int) Hash {
+// parentHash returns the hash before the i-th block, or 0 for the first.
+func parentHash(chain []Hash, i int) Hash {
 	if i == 0 {
 		return 0
 	}
 	return chain[i-1]
 }
 
-// leave gives references back. What can be found again stays until its room is needed: the end of a text goes before
-// its beginning, and what was used longest ago before the rest.
-func (m *memory) leave(blocks []*block) {
+// release drops one reference of each block. Cached blocks become idle, the last block of a prompt first, so that a
+// prompt is evicted from its end.
+func (m *memory) release(blocks []*block) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		b := blocks[i]
 		if b.refs--; b.refs > 0 {
 			continue
 		}
-		m.used--
+		m.usedBlocks--
 		if b.hash == 0 {
-			m.free++
+			m.freeBlocks++
 			continue
 		}
-		m.queue(b)
+		m.pushIdle(b)
 	}
 }
 
-func (m *memory) queue(b *block) {
+// pushIdle appends a block to the LRU list.
+func (m *memory) pushIdle(b *block) {
 	b.queued = true
-	m.idle++
-	b.prev, b.next = m.last, nil
-	if m.last != nil {
-		m.last.next = b
+	m.idleBlocks++
+	b.prev, b.next = m.lruTail, nil
+	if m.lruTail != nil {
+		m.lruTail.next = b
 	} else {
-		m.first = b
+		m.lruHead = b
 	}
-	m.last = b
+	m.lruTail = b
 }
 
-func (m *memory) unqueue(b *block) {
+// removeIdle takes a block out of the LRU list.
+func (m *memory) removeIdle(b *block) {
 	b.queued = false
-	m.idle--
+	m.idleBlocks--
 	if b.prev != nil {
 		b.prev.next = b.next
 	} else {
-		m.first = b.next
+		m.lruHead = b.next
 	}
 	if b.next != nil {
 		b.next.prev = b.prev
 	} else {
-		m.last = b.prev
+		m.lruTail = b.prev
 	}
 	b.prev, b.next = nil, nil
 }
 
-// forget loses all text. Blocks in use stay in use, and can't be found.
-func (m *memory) forget() {
-	for b := m.first; b != nil; b = m.first {
-		m.unqueue(b)
-		m.lose(b)
-		m.free++
+// uncacheAll empties the cache. Blocks in use stay in use, but can't be found any more.
+func (m *memory) uncacheAll() {
+	for b := m.lruHead; b != nil; b = m.lruHead {
+		m.removeIdle(b)
+		m.uncache(b)
+		m.freeBlocks++
 	}
-	for _, b := range m.kept {
+	for _, b := range m.cached {
 		b.hash, b.kids = 0, 0
 	}
-	clear(m.kept)
+	clear(m.cached)
 }
 
-// check says which invariant is broken, if any.
+// check returns an error if an invariant is violated.
 func (m *memory) check() error {
-	idle := 0
-	for b := m.first; b != nil; b = b.next {
-		if idle++; b.refs != 0 || b.hash == 0 || m.kept[b.hash] != b || !b.queued {
-			return fmt.Errorf("a block that may go is in use or not kept: %+v", *b)
+	idleBlocks := 0
+	for b := m.lruHead; b != nil; b = b.next {
+		if idleBlocks++; b.refs != 0 || b.hash == 0 || m.cached[b.hash] != b || !b.queued {
+			return fmt.Errorf("idle block is in use or not cached: %+v", *b)
 		}
 	}
-	kids, held := make(map[Hash]int), 0
-	for h, b := range m.kept {
+	kids, inUse := make(map[Hash]int), 0
+	for h, b := range m.cached {
 		if b.hash != h || b.refs == 0 != b.queued {
-			return fmt.Errorf("a kept block is neither in use nor may it go: %+v", *b)
+			return fmt.Errorf("cached block is neither in use nor idle: %+v", *b)
 		}
 		if b.refs > 0 {
-			held++
+			inUse++
 		}
 		kids[b.parent]++
 	}
-	for h, b := range m.kept {
+	for h, b := range m.cached {
 		if b.kids != kids[h] {
-			return fmt.Errorf("%d blocks follow %x, %d counted", kids[h], h, b.kids)
+			return fmt.Errorf("%d blocks follow %x, but the count is %d", kids[h], h, b.kids)
 		}
 	}
 	switch {
-	case idle != m.idle:
-		return fmt.Errorf("%d blocks may go, %d counted", idle, m.idle)
-	case m.free < 0 || m.free+m.idle+m.used != m.size:
-		return fmt.Errorf("%d free, %d idle, %d in use of %d blocks", m.free, m.idle, m.used, m.size)
-	case m.torn > 0:
-		return fmt.Errorf("%d blocks went before those that follow them", m.torn)
-	case held > m.used:
-		return fmt.Errorf("%d kept ones in use, %d in use in all", held, m.used)
+	case idleBlocks != m.idleBlocks:
+		return fmt.Errorf("%d idle blocks, but the count is %d", idleBlocks, m.idleBlocks)
+	case m.freeBlocks < 0 || m.freeBlocks+m.idleBlocks+m.usedBlocks != m.totalBlocks:
+		return fmt.Errorf("%d free, %d idle and %d used blocks don't add up to %d", m.freeBlocks, m.idleBlocks, m.usedBlocks, m.totalBlocks)
+	case m.orphaned > 0:
+		return fmt.Errorf("%d blocks were evicted before blocks that follow them", m.orphaned)
+	case inUse > m.usedBlocks:
+		return fmt.Errorf("%d cached blocks in use, but only %d blocks in use", inUse, m.usedBlocks)
 	}
 	return nil
 }
