--- a/cmd/engine/main.go
+++ b/cmd/engine/main.go
@@ -1,6 +1,6 @@
 // Command engine serves emulated engines on loopback sockets: readers and writers that speak the platform's worker
-// protocol, report what they keep, and are listed by a discovery of their own. It writes the router's configuration to a
-// file and runs until it is interrupted. It must never be taken for a measure of real engines.
+// protocol and publish their cache events, and a discovery service that lists them. It writes a configuration for the
+// router to a file and runs until it is interrupted. Don't take its speed for a measurement of real engines.
 package main
 
 import (
@@ -14,41 +14,41 @@
 )
 
 func main() {
-	var c struct {
-		Readers int      `default:"3" help:"Engines that read prompts."`
-		Writers int      `default:"3" help:"Engines that write answers."`
-		Seed    uint64   `default:"1" help:"Their figures are drawn from it, within the documents' ranges."`
-		Memory  float64  `name:"memory-k" help:"Memory of each reader in thousands of tokens, to see texts evicted."`
-		Kinds   string   `type:"existingfile" help:"A file of kinds in place of the documents'."`
-		Reports []string `help:"Routers that listen for reports, such as 127.0.0.1:9094."`
-		Config  string   `default:"example/router.json" help:"Where to write the router's configuration."`
-		Listen  string   `default:"127.0.0.1:9000" help:"Where the router is to listen."`
+	var flags struct {
+		Readers int      `default:"3" help:"Number of readers, which process prompts."`
+		Writers int      `default:"3" help:"Number of writers, which generate answers."`
+		Seed    uint64   `default:"1" help:"Seed for the engines' figures, which are drawn within the ranges of their kinds."`
+		Memory  float64  `name:"memory-k" help:"Memory of each reader in thousands of tokens; a small one shows evictions."`
+		Kinds   string   `type:"existingfile" help:"File with kinds of engines, in place of the built-in ones."`
+		Reports []string `help:"Addresses of routers to which cache events are published, such as 127.0.0.1:9094."`
+		Config  string   `default:"example/router.json" help:"File to which the router's configuration is written."`
+		Listen  string   `default:"127.0.0.1:9000" help:"Address at which the router is to listen."`
 	}
-	kong.Parse(&c, kong.Name("engine"), kong.Description("Emulated engines on loopback sockets."))
-	o := enginehost.Options{Readers: c.Readers, Writers: c.Writers, Seed: c.Seed, MemoryK: c.Memory, Reports: c.Reports}
+	kong.Parse(&flags, kong.Name("engine"), kong.Description("Serves emulated engines on loopback sockets."))
+	options := enginehost.Options{Readers: flags.Readers, Writers: flags.Writers, Seed: flags.Seed, MemoryK: flags.Memory, Reports: flags.Reports}
 	var err error
-	if c.Kinds != "" {
-		o.Kinds, err = os.ReadFile(c.Kinds)
+	if flags.Kinds != "" {
+		options.Kinds, err = os.ReadFile(flags.Kinds)
 	}
-	var site *enginehost.Site
+	var cluster *enginehost.Site
 	if err == nil {
-		site, err = enginehost.Start(o)
+		cluster, err = enginehost.Start(options)
 	}
 	if err == nil {
-		err = os.WriteFile(c.Config, site.Config(c.Listen, enginehost.Settings()), 0o644)
+		err = os.WriteFile(flags.Config, cluster.Config(flags.Listen, enginehost.Settings()), 0o644)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "engine:", err)
 		os.Exit(1)
 	}
-	defer site.Close()
-	fmt.Printf("%d engines up, discovery at %s; start the router with ROUTER_CONFIG=%s\n", len(site.Boxes()), site.Discovery, c.Config)
-	stop := make(chan os.Signal, 1)
-	signal.Notify(stop, os.Interrupt)
-	<-stop
-	for _, b := range site.Boxes() {
-		if b.Reads > 0 {
-			fmt.Printf("%-10s %5d prompts read, %d of %d tokens found kept\n", b.ID, b.Reads, b.Kept, b.Prompt)
+	defer cluster.Close()
+	fmt.Printf("%d engines up, discovery at %s; start the router with ROUTER_CONFIG=%s\n", len(cluster.Boxes()), cluster.Discovery, flags.Config)
+	interrupted := make(chan os.Signal, 1)
+	signal.Notify(interrupted, os.Interrupt)
+	<-interrupted
+	for _, inst := range cluster.Boxes() {
+		if inst.Reads > 0 {
+			fmt.Printf("%-10s %5d prompts read, %d of %d tokens found in the cache\n", inst.ID, inst.Reads, inst.Kept, inst.Prompt)
 		}
 	}
 }
--- a/internal/enginehost/host.go
+++ b/internal/enginehost/host.go
@@ -1,8 +1,8 @@
-// Package enginehost puts emulated engines on loopback sockets: the platform's worker protocol towards routers, a stream of
-// reports of what each keeps, and a discovery that lists them. Tests, the example and cmd/engine use it; the router never
-// does.
+// Package enginehost serves emulated engines on loopback sockets: it speaks the platform's worker protocol to routers,
+// publishes each reader's cache events to them, and serves the list of engines as discovery does. Tests, the example and
+// cmd/engine use it; the router doesn't.
 //
-// It must never decide anything that an engine decides: it moves their clocks, and carries words in and out.
+// It only moves the engines' clocks and translates between them and the protocols. All decisions are package engine's.
 package enginehost
 
 import (
@@ -25,282 +25,283 @@
 )
 
 const (
-	maxBody     = 256 << 10
-	reportEvery = 20 * time.Millisecond
-	beatEvery   = 500 * time.Millisecond
-	keepBatches = 512 // for replays; past them a snapshot is published
-	tokenText   = "word "
+	maxBodyBytes      = 256 << 10
+	reportInterval    = 20 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	maxKeptBatches    = 512 // for replays; a publisher that is asked for older ones sends a snapshot
+	tokenText         = "word "
 )
 
-// Options describe a Site.
+// Options configure a Cluster.
 type Options struct {
 	Readers, Writers int
 	Seed             uint64
-	MemoryK          float64         // of readers, in thousands of tokens; 0: as the documents have it
-	Kinds            json.RawMessage // nil: those of the documents
-	Reports          []string        // routers that listen for reports
+	MemoryK          float64         // memory of each reader in thousands of tokens; 0 = drawn within the range of its kind
+	Kinds            json.RawMessage // kinds of engines; nil = the built-in ones
+	Reports          []string        // addresses of routers to which cache events are published
 	Lose             float64         // share of batches that are never sent, for tests
 }
 
-// Site is some engines and the list of them.
+// Cluster is a set of emulated engines with a discovery service that lists them.
 type Site struct {
-	Discovery string // its address
-	opts      Options
-	boxes     []*Box
-	mu        sync.Mutex // guards all engines, and what is below
-	start     time.Time
-	states    map[string]*Box // where a request's state waits
-	seq       int
-	watch     []chan struct{}
-	closers   []func()
-	stop      context.CancelFunc
-	ctx       context.Context
+	Discovery    string // address of the discovery service
+	options      Options
+	instances    []*Box
+	mu           sync.Mutex // guards all engines and the fields below
+	startTime    time.Time
+	stateHolders map[string]*Box // the reader at which a request's state waits, by request id
+	seq          int
+	watchers     []chan struct{}
+	closers      []func()
+	cancel       context.CancelFunc
+	ctx          context.Context
 }
 
-// Box is one engine on its socket.
+// Instance is one engine with its listener.
 type Box struct {
 	ID, Kind, Addr string
-	site           *Site
+	cluster        *Site
 	engine         *engine.Engine
 	calls          map[string]*call
 	timer          *time.Timer
-	born           int64
+	bornMs         int64
 	down           bool
-	batches        [][]byte // published, the first has number base
-	base           uint64
+	batches        [][]byte // published batches; the first has number firstSeq
+	firstSeq       uint64
 	incarnation    uint64
-	told           chan struct{} // there is something to publish
+	wake           chan struct{} // signals that there is something to publish
 	listener       net.Listener
 	server         *http.Server
-	Reads, Kept    int // prompts that were read, and tokens of them that were found kept
+	Reads, Kept    int // number of prompts processed, and how many of their tokens were found in the cache
 	Prompt         int
 }
 
+// call is a request that an engine is serving.
 type call struct {
-	events chan engine.Event
-	output int
+	events       chan engine.Event
+	outputTokens int
 }
 
-// Start starts a Site.
+// Start starts the engines and the discovery service. Each reader publishes to all ReportAddrs.
 func Start(o Options) (*Site, error) {
 	kinds, err := engine.Kinds(o.Kinds)
 	if err != nil {
 		return nil, err
 	}
-	s := &Site{opts: o, start: time.Now(), states: make(map[string]*Box), seq: 1}
-	s.ctx, s.stop = context.WithCancel(context.Background())
+	cl := &Site{options: o, startTime: time.Now(), stateHolders: make(map[string]*Box), seq: 1}
+	cl.ctx, cl.cancel = context.WithCancel(context.Background())
 	for i := range max(1, o.Readers) + max(1, o.Writers) {
 		name := "reader"
 		if i >= max(1, o.Readers) {
 			name = []string{"writer-a", "writer-b"}[i%2]
 		}
-		k, ok := kinds[name]
+		kind, ok := kinds[name]
 		if !ok {
-			return nil, fmt.Errorf("kinds of engines: no %s", name)
+			return nil, fmt.Errorf("engine kinds: no %s", name)
 		}
-		set := k.Draw(o.Seed + uint64(i))
-		if o.MemoryK > 0 && set.Reads {
-			set.Blocks = max(1, int(o.MemoryK*1000)/set.Block)
+		settings := kind.Draw(o.Seed + uint64(i))
+		if o.MemoryK > 0 && settings.Reads {
+			settings.Blocks = max(1, int(o.MemoryK*1000)/settings.Block)
 		}
-		b := &Box{ID: fmt.Sprintf("%s-%d", name, i), Kind: name, site: s, calls: make(map[string]*call), told: make(chan struct{}, 1), incarnation: wallclock.Milliseconds()}
-		b.engine = engine.New(set, b.incarnation)
+		inst := &Box{ID: fmt.Sprintf("%s-%d", name, i), Kind: name, cluster: cl, calls: make(map[string]*call), wake: make(chan struct{}, 1), incarnation: wallclock.Milliseconds()}
+		inst.engine = engine.New(settings, inst.incarnation)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			s.Close()
+			cl.Close()
 			return nil, err
 		}
-		b.Addr = l.Addr().String()
-		b.serve(l)
-		s.boxes = append(s.boxes, b)
-		if set.Reads {
-			for _, to := range o.Reports {
-				go b.publish(s.ctx, to)
+		inst.Addr = l.Addr().String()
+		inst.serve(l)
+		cl.instances = append(cl.instances, inst)
+		if settings.Reads {
+			for _, addr := range o.Reports {
+				go inst.publish(cl.ctx, addr)
 			}
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		s.Close()
+		cl.Close()
 		return nil, err
 	}
-	s.Discovery = l.Addr().String()
-	d := &http.Server{Handler: http.HandlerFunc(s.discovery)}
-	go d.Serve(l)
-	s.closers = append(s.closers, func() { d.Close() })
-	go s.report()
-	return s, nil
+	cl.Discovery = l.Addr().String()
+	discovery := &http.Server{Handler: http.HandlerFunc(cl.serveDiscovery)}
+	go discovery.Serve(l)
+	cl.closers = append(cl.closers, func() { discovery.Close() })
+	go cl.collectReports()
+	return cl, nil
 }
 
-// Close ends it.
-func (s *Site) Close() {
-	s.stop()
-	for _, c := range s.closers {
+// Close stops the publishers and all servers.
+func (cl *Site) Close() {
+	cl.cancel()
+	for _, c := range cl.closers {
 		c()
 	}
-	for _, b := range s.boxes {
-		b.server.Close()
+	for _, inst := range cl.instances {
+		inst.server.Close()
 	}
 }
 
-// Boxes are the site's engines.
-func (s *Site) Boxes() []*Box { return s.boxes }
+// Instances returns the cluster's engines, readers first.
+func (cl *Site) Boxes() []*Box { return cl.instances }
 
-func (s *Site) now() time.Duration { return time.Since(s.start) }
+func (cl *Site) now() time.Duration { return time.Since(cl.startTime) }
 
-func (b *Box) serve(l net.Listener) {
-	b.listener = l
-	b.server = &http.Server{Handler: b}
-	go b.server.Serve(l)
+func (inst *Box) serve(l net.Listener) {
+	inst.listener = l
+	inst.server = &http.Server{Handler: inst}
+	go inst.server.Serve(l)
 }
 
-// Kill ends an engine's process as a crash does: its connections break, and discovery is told nothing.
-func (b *Box) Kill() {
-	b.site.mu.Lock()
-	b.engine.Die(b.site.now())
-	b.look()
-	b.down = true
-	b.site.mu.Unlock()
-	b.server.Close()
+// Kill ends the engine's process like a crash: its connections break, and discovery isn't told.
+func (inst *Box) Kill() {
+	inst.cluster.mu.Lock()
+	inst.engine.Die(inst.cluster.now())
+	inst.processEvents()
+	inst.down = true
+	inst.cluster.mu.Unlock()
+	inst.server.Close()
 }
 
-// Return starts a killed engine again, at its old address, cold and with nothing kept.
-func (b *Box) Return() error {
-	l, err := net.Listen("tcp", b.Addr)
+// Restart starts a killed engine again at its old address, cold and with an empty cache.
+func (inst *Box) Return() error {
+	l, err := net.Listen("tcp", inst.Addr)
 	if err != nil {
 		return err
 	}
-	s := b.site
-	s.mu.Lock()
-	b.down = false
-	b.incarnation = max(b.incarnation+1, wallclock.Milliseconds())
-	b.born = int64(b.incarnation)
-	b.batches, b.base = nil, 0
-	b.engine.Start(s.now(), b.incarnation)
-	b.look()
-	s.seq++
-	for _, w := range s.watch {
+	cl := inst.cluster
+	cl.mu.Lock()
+	inst.down = false
+	inst.incarnation = max(inst.incarnation+1, wallclock.Milliseconds())
+	inst.bornMs = int64(inst.incarnation)
+	inst.batches, inst.firstSeq = nil, 0
+	inst.engine.Start(cl.now(), inst.incarnation)
+	inst.processEvents()
+	cl.seq++
+	for _, w := range cl.watchers {
 		select {
 		case w <- struct{}{}:
 		default:
 		}
 	}
-	s.mu.Unlock()
-	b.serve(l)
+	cl.mu.Unlock()
+	inst.serve(l)
 	return nil
 }
 
-// look hands out what an engine did, and sets the time when it does something again. It is called under the lock.
-func (b *Box) look() {
-	s := b.site
-	b.engine.Advance(s.now())
-	for _, x := range b.engine.Events() {
-		if x.What == engine.ReadDone {
-			s.states[x.ID] = b
-			b.Reads++
-			b.Kept += x.Kept
+// processEvents delivers the engine's events and sets a timer for its next step. The caller holds the lock.
+func (inst *Box) processEvents() {
+	cl := inst.cluster
+	inst.engine.Advance(cl.now())
+	for _, ev := range inst.engine.Events() {
+		if ev.What == engine.ReadDone {
+			cl.stateHolders[ev.ID] = inst
+			inst.Reads++
+			inst.Kept += ev.Kept
 		}
-		if c := b.calls[x.ID]; c != nil {
+		if c := inst.calls[ev.ID]; c != nil {
 			select {
-			case c.events <- x:
-			default: // nobody reads it: it is no one's any more
+			case c.events <- ev:
+			default: // the handler has stopped reading: drop the event
 			}
 		}
 	}
-	if at, ok := b.engine.Next(); ok {
-		wait := at - s.now()
-		if b.timer == nil {
-			b.timer = time.AfterFunc(wait, func() {
-				s.mu.Lock()
-				defer s.mu.Unlock()
-				b.look()
+	if at, ok := inst.engine.Next(); ok {
+		wait := at - cl.now()
+		if inst.timer == nil {
+			inst.timer = time.AfterFunc(wait, func() {
+				cl.mu.Lock()
+				defer cl.mu.Unlock()
+				inst.processEvents()
 			})
 		} else {
-			b.timer.Reset(wait)
+			inst.timer.Reset(wait)
 		}
 	}
 }
 
-// ServeHTTP is a worker's side of the platform's protocol.
-func (b *Box) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP implements the worker's side of the platform's protocol.
+func (inst *Box) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if id, ok := strings.CutPrefix(r.URL.Path, "/v1/holds/"); ok {
 		if r.Method == http.MethodDelete {
-			b.site.release(id)
+			inst.cluster.releaseState(id)
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
-		w.WriteHeader(http.StatusConflict) // no place is held ahead
+		w.WriteHeader(http.StatusConflict) // reservations aren't supported
 		return
 	}
 	if r.URL.Path == "/stats" {
-		b.site.mu.Lock()
-		b.engine.Advance(b.site.now())
-		slots, memory, waiting := b.engine.Load()
-		b.site.mu.Unlock()
+		inst.cluster.mu.Lock()
+		inst.engine.Advance(inst.cluster.now())
+		slots, memory, waiting := inst.engine.Load()
+		inst.cluster.mu.Unlock()
 		fmt.Fprintf(w, "util=%.3f,queue=%d,x0=%.3f", min(1, slots), waiting, memory)
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody+1))
-	prompt, output, ok := parse(body)
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes+1))
+	prompt, outputTokens, ok := parseRequest(body)
 	id := r.Header.Get("X-Txn")
-	if err != nil || !ok || id == "" || len(body) > maxBody {
+	if err != nil || !ok || id == "" || len(body) > maxBodyBytes {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	away := func(code int) { w.Header().Set("X-Turned-Away", "1"); w.WriteHeader(code) }
-	c := &call{events: make(chan engine.Event, output+8), output: output}
-	s := b.site
-	s.mu.Lock()
-	if b.calls[id] != nil {
-		s.mu.Unlock()
-		away(http.StatusServiceUnavailable)
+	reject := func(code int) { w.Header().Set("X-Turned-Away", "1"); w.WriteHeader(code) }
+	c := &call{events: make(chan engine.Event, outputTokens+8), outputTokens: outputTokens}
+	cl := inst.cluster
+	cl.mu.Lock()
+	if inst.calls[id] != nil {
+		cl.mu.Unlock()
+		reject(http.StatusServiceUnavailable)
 		return
 	}
-	set := b.engine.Settings()
-	from := s.states[id]
-	b.calls[id] = c
-	b.Prompt += len(prompt) / kvevents.CharsToken
-	b.engine.Submit(s.now(), engine.Work{ID: id, Chain: engine.Chain(prompt, set.Block), Tokens: len(prompt) / kvevents.CharsToken, Output: output, Holds: from != nil})
-	b.look()
-	s.mu.Unlock()
+	settings := inst.engine.Settings()
+	holder := cl.stateHolders[id]
+	inst.calls[id] = c
+	inst.Prompt += len(prompt) / kvevents.CharsToken
+	inst.engine.Submit(cl.now(), engine.Work{ID: id, Chain: engine.Chain(prompt, settings.Block), Tokens: len(prompt) / kvevents.CharsToken, Output: outputTokens, Holds: holder != nil})
+	inst.processEvents()
+	cl.mu.Unlock()
 	defer func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		delete(b.calls, id)
-		b.engine.Cancel(s.now(), id)
-		b.look()
+		cl.mu.Lock()
+		defer cl.mu.Unlock()
+		delete(inst.calls, id)
+		inst.engine.Cancel(cl.now(), id)
+		inst.processEvents()
 	}()
-	for n := 0; ; {
-		var x engine.Event
+	for generated := 0; ; {
+		var ev engine.Event
 		select {
-		case x = <-c.events:
+		case ev = <-c.events:
 		case <-r.Context().Done():
 			return
 		}
-		switch x.What {
+		switch ev.What {
 		case engine.TurnedAway:
-			if x.Why == "no state" {
-				away(http.StatusGone)
+			if ev.Why == "no state" {
+				reject(http.StatusGone)
 			} else {
-				away(http.StatusServiceUnavailable)
+				reject(http.StatusServiceUnavailable)
 			}
 			return
 		case engine.ReadDone:
 			w.WriteHeader(http.StatusAccepted)
-			fmt.Fprintf(w, `{"cached_tokens":%d}`, x.Kept)
+			fmt.Fprintf(w, `{"cached_tokens":%d}`, ev.Kept)
 			return
 		case engine.First, engine.Token:
-			if x.What == engine.First {
-				s.release(id) // fetched: the reader's memory is let go
+			if ev.What == engine.First {
+				cl.releaseState(id) // the writer has fetched the state: the reader may free its memory
 				w.Header().Set("Content-Type", "text/event-stream")
 			}
-			n++
-			fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":%s}]}\n\n", tokenText, finish(n == output))
+			generated++
+			fmt.Fprintf(w, "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":%s}]}\n\n", tokenText, finishReason(generated == outputTokens))
 			if http.NewResponseController(w).Flush() != nil {
 				return
 			}
 		case engine.Done:
 			fmt.Fprintf(w, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\ndata: [DONE]\n\n",
-				len(prompt)/kvevents.CharsToken, n)
+				len(prompt)/kvevents.CharsToken, generated)
 			return
 		case engine.Lost, engine.Dropped, engine.Stopped:
 			panic(http.ErrAbortHandler)
@@ -308,109 +309,110 @@
 	}
 }
 
-func finish(last bool) string {
+// finishReason returns the JSON value of finish_reason in an event of the answer.
+func finishReason(last bool) string {
 	if last {
 		return `"stop"`
 	}
 	return "null"
 }
 
-// parse reads a request's body: the prompt, and how long an answer is to be.
-func parse(body []byte) (prompt []byte, output int, ok bool) {
-	var b struct {
+// parseRequest returns the prompt of a request's body and the length of its answer.
+func parseRequest(body []byte) (prompt []byte, outputTokens int, ok bool) {
+	var request struct {
 		Max      int `json:"max_tokens"`
 		Messages []struct {
 			Content string `json:"content"`
 		} `json:"messages"`
 	}
-	if json.Unmarshal(body, &b) != nil || len(b.Messages) == 0 || b.Max < 0 || b.Max > 4096 {
+	if json.Unmarshal(body, &request) != nil || len(request.Messages) == 0 || request.Max < 0 || request.Max > 4096 {
 		return nil, 0, false
 	}
 	var text bytes.Buffer
-	for _, m := range b.Messages {
+	for _, m := range request.Messages {
 		text.WriteString(m.Content)
 	}
-	return text.Bytes(), min(max(1, b.Max), 400), true
+	return text.Bytes(), min(max(1, request.Max), 400), true
 }
 
-// release lets go of a request's state, at whichever reader it waits.
-func (s *Site) release(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if b := s.states[id]; b != nil {
-		delete(s.states, id)
-		b.engine.Release(s.now(), id)
-		b.look()
+// releaseState discards a request's state at the reader that holds it, if there is one.
+func (cl *Site) releaseState(id string) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	if holder := cl.stateHolders[id]; holder != nil {
+		delete(cl.stateHolders, id)
+		holder.engine.Release(cl.now(), id)
+		holder.processEvents()
 	}
 }
 
-// Held is how many states wait.
-func (s *Site) Held() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.states)
+// HeldStates returns the number of states that wait at readers.
+func (cl *Site) Held() int {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return len(cl.stateHolders)
 }
 
-// Hosts is the list in discovery's form.
-func (s *Site) Hosts() []map[string]any {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var all []map[string]any
-	for i, b := range s.boxes {
-		all = append(all, map[string]any{"host": b.ID, "dial": b.Addr, "site": "here", "class": b.Kind, "block": i % 2, "health": "up", "share": 1.0, "born_ms": b.born})
+// Hosts returns the list of engines in discovery's JSON form.
+func (cl *Site) Hosts() []map[string]any {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	var hosts []map[string]any
+	for i, inst := range cl.instances {
+		hosts = append(hosts, map[string]any{"host": inst.ID, "dial": inst.Addr, "site": "here", "class": inst.Kind, "block": i % 2, "health": "up", "share": 1.0, "born_ms": inst.bornMs})
 	}
-	return all
+	return hosts
 }
 
-// discovery serves the list and its changes.
-func (s *Site) discovery(w http.ResponseWriter, r *http.Request) {
+// serveDiscovery serves the list of engines and, to a watch, each change of it.
+func (cl *Site) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	wake := make(chan struct{}, 1)
-	s.mu.Lock()
-	s.watch = append(s.watch, wake)
-	s.mu.Unlock()
+	cl.mu.Lock()
+	cl.watchers = append(cl.watchers, wake)
+	cl.mu.Unlock()
 	defer func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.watch = slices.DeleteFunc(s.watch, func(c chan struct{}) bool { return c == wake })
+		cl.mu.Lock()
+		defer cl.mu.Unlock()
+		cl.watchers = slices.DeleteFunc(cl.watchers, func(c chan struct{}) bool { return c == wake })
 	}()
 	for {
-		hosts := s.Hosts()
-		s.mu.Lock()
-		seq := s.seq
-		s.mu.Unlock()
+		hosts := cl.Hosts()
+		cl.mu.Lock()
+		seq := cl.seq
+		cl.mu.Unlock()
 		line, _ := json.Marshal(map[string]any{"seq": seq, "whole": true, "hosts": hosts})
 		w.Write(append(line, '\n'))
 		http.NewResponseController(w).Flush()
 		if r.URL.Query().Get("watch") == "" {
 			return
 		}
-		quiet := time.NewTicker(2 * time.Second)
+		keepAlive := time.NewTicker(2 * time.Second)
 	wait:
 		for {
 			select {
 			case <-wake:
 				break wait
-			case <-quiet.C:
+			case <-keepAlive.C:
 				w.Write([]byte("\n"))
 				http.NewResponseController(w).Flush()
 			case <-r.Context().Done():
-				quiet.Stop()
+				keepAlive.Stop()
 				return
 			}
 		}
-		quiet.Stop()
+		keepAlive.Stop()
 	}
 }
 
-// Config is a whole configuration file for a router at this site.
-func (s *Site) Config(listen string, settings json.RawMessage) []byte {
-	text, _ := json.MarshalIndent(map[string]any{"name": "toy", "listen": listen, "discovery": s.Discovery, "seed": strconv.FormatUint(s.opts.Seed+1, 16),
+// Config returns a complete configuration file for a router in front of this cluster.
+func (cl *Site) Config(listen string, settings json.RawMessage) []byte {
+	text, _ := json.MarshalIndent(map[string]any{"name": "toy", "listen": listen, "discovery": cl.Discovery, "seed": strconv.FormatUint(cl.options.Seed+1, 16),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":  map[string]any{"seq": 1, "whole": true, "hosts": s.Hosts()}, "settings": settings}, "", "  ")
+		"known":  map[string]any{"seq": 1, "whole": true, "hosts": cl.Hosts()}, "settings": settings}, "", "  ")
 	return text
 }
 
-// Settings is the settings object of such a site.
+// Settings returns the "settings" object of that file.
 func Settings() json.RawMessage {
 	return json.RawMessage(`{"me":0,"n_instances":1,"granularity":2000,"zone":0,"zones":["here"],
 "host_types":["reader","writer-a","writer-b"],"discovery":"pushed","report":{"names":["util","queue","x0"],"source":"on_probe"},
--- a/internal/enginehost/publish.go
+++ b/internal/enginehost/publish.go
@@ -1,7 +1,7 @@
 package enginehost
 
-// This file owns the publishing of reports: batches of what each engine keeps, to every router that listens, again from
-// where a router asks. It must never hold an engine up for a router that is slow.
+// Publishing of cache events to the routers, including replays. Each router has a stream of its own, which sends the kept
+// batches at the router's pace, so that a slow router never delays an engine.
 
 import (
 	"context"
@@ -16,66 +16,67 @@
 	"rowanyard/internal/reports/pb"
 )
 
-// report takes batches from the engines from time to time.
-func (s *Site) report() {
-	for t := time.NewTicker(reportEvery); ; {
+// collectReports takes the batches of all engines at each reportInterval.
+func (cl *Site) collectReports() {
+	for ticker := time.NewTicker(reportInterval); ; {
 		select {
-		case <-s.ctx.Done():
-			t.Stop()
+		case <-cl.ctx.Done():
+			ticker.Stop()
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		s.mu.Lock()
-		for _, b := range s.boxes {
-			if b.down {
+		cl.mu.Lock()
+		for _, inst := range cl.instances {
+			if inst.down {
 				continue
 			}
-			b.engine.Advance(s.now())
-			if r, ok := b.engine.Report(); ok {
-				b.add(wire(r, b.engine.Settings().Block))
+			inst.engine.Advance(cl.now())
+			if r, ok := inst.engine.Report(); ok {
+				inst.appendBatch(encodeReport(r, inst.engine.Settings().Block))
 			}
 		}
-		s.mu.Unlock()
+		cl.mu.Unlock()
 	}
 }
 
-// add appends a batch. It is called under the lock.
-func (b *Box) add(batch []byte) {
-	b.batches = append(b.batches, batch)
-	if n := len(b.batches) - keepBatches; n > 0 {
-		b.batches = b.batches[n:]
-		b.base += uint64(n)
+// appendBatch appends a batch to those to publish. The caller holds the lock.
+func (inst *Box) appendBatch(batch []byte) {
+	inst.batches = append(inst.batches, batch)
+	if n := len(inst.batches) - maxKeptBatches; n > 0 {
+		inst.batches = inst.batches[n:]
+		inst.firstSeq += uint64(n)
 	}
 	select {
-	case b.told <- struct{}{}:
+	case inst.wake <- struct{}{}:
 	default:
 	}
 }
 
-func wire(r engine.Report, block int) []byte {
-	out := kvevents.Batch{At: r.At.Seconds()}
+// encodeReport returns a report in the format that engines publish.
+func encodeReport(r engine.Report, blockTokens int) []byte {
+	batch := kvevents.Batch{At: r.At.Seconds()}
 	for _, c := range r.Changes {
-		e := kvevents.Event{Parent: uint64(c.Parent), Block: block, Cleared: c.Cleared}
+		event := kvevents.Event{Parent: uint64(c.Parent), Block: blockTokens, Cleared: c.Cleared}
 		for _, h := range c.Stored {
-			e.Stored = append(e.Stored, uint64(h))
+			event.Stored = append(event.Stored, uint64(h))
 		}
 		for _, h := range c.Removed {
-			e.Removed = append(e.Removed, uint64(h))
+			event.Removed = append(event.Removed, uint64(h))
 		}
-		out.Events = append(out.Events, e)
+		batch.Events = append(batch.Events, event)
 	}
-	return kvevents.Encode(out)
+	return kvevents.Encode(batch)
 }
 
 // publish keeps a stream to one router open until ctx ends.
-func (b *Box) publish(ctx context.Context, to string) {
-	conn, err := grpc.NewClient("passthrough:///"+to, grpc.WithTransportCredentials(insecure.NewCredentials()))
+func (inst *Box) publish(ctx context.Context, addr string) {
+	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	for ctx.Err() == nil {
-		b.stream(ctx, pb.NewKVEventsClient(conn))
+		inst.publishStream(ctx, pb.NewKVEventsClient(conn))
 		select {
 		case <-ctx.Done():
 		case <-time.After(100*time.Millisecond + rand.N(200*time.Millisecond)):
@@ -83,90 +84,90 @@
 	}
 }
 
-// next is what the box would publish next, and as which process.
-func (b *Box) next() (incarnation, seq uint64, down bool) {
-	b.site.mu.Lock()
-	defer b.site.mu.Unlock()
-	return b.incarnation, b.base + uint64(len(b.batches)), b.down
+// position returns the engine's incarnation and the number of its next batch, and whether it is down.
+func (inst *Box) position() (incarnation, seq uint64, down bool) {
+	inst.cluster.mu.Lock()
+	defer inst.cluster.mu.Unlock()
+	return inst.incarnation, inst.firstSeq + uint64(len(inst.batches)), inst.down
 }
 
-// stream publishes as one process, until that or the router ends.
-func (b *Box) stream(ctx context.Context, client pb.KVEventsClient) {
-	incarnation, seq, down := b.next()
+// publishStream publishes the batches of the current incarnation until that incarnation or the stream ends.
+func (inst *Box) publishStream(ctx context.Context, client pb.KVEventsClient) {
+	incarnation, seq, down := inst.position()
 	if down {
 		return
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	out, err := client.Publish(ctx)
-	if err != nil || out.Send(&pb.Published{Worker: b.ID, Incarnation: incarnation, Next: seq}) != nil {
+	stream, err := client.Publish(ctx)
+	if err != nil || stream.Send(&pb.Published{Worker: inst.ID, Incarnation: incarnation, Next: seq}) != nil {
 		return
 	}
-	wanted := make(chan uint64, 1)
+	replayFrom := make(chan uint64, 1)
 	go func() {
 		defer stop()
 		for {
-			m, err := out.Recv()
+			m, err := stream.Recv()
 			if err != nil {
 				return
 			}
 			select {
-			case wanted <- m.ReplayFrom:
+			case replayFrom <- m.ReplayFrom:
 			default:
 			}
 		}
 	}()
-	look := time.NewTicker(reportEvery)
-	defer look.Stop()
-	beat := time.Now()
-	if seq > 0 { // a router that has just come up knows nothing: all that is there
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
+	lastSent := time.Now()
+	if seq > 0 { // the router may have just started and know nothing: send all batches
 		seq = 0
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case from := <-wanted:
+		case from := <-replayFrom:
 			seq = min(seq, from)
-		case <-look.C:
+		case <-ticker.C:
 		}
 		for {
-			b.site.mu.Lock()
-			if b.incarnation != incarnation || b.down {
-				b.site.mu.Unlock()
+			inst.cluster.mu.Lock()
+			if inst.incarnation != incarnation || inst.down {
+				inst.cluster.mu.Unlock()
 				return
 			}
-			if seq < b.base { // older than what is kept: all that is kept now, as the latest batch
-				b.add(b.snapshot())
-				seq = b.base + uint64(len(b.batches)) - 1
+			if seq < inst.firstSeq { // no longer kept: append a snapshot and send that as the latest batch
+				inst.appendBatch(inst.snapshot())
+				seq = inst.firstSeq + uint64(len(inst.batches)) - 1
 			}
-			at, batch := seq, []byte(nil)
-			if i := seq - b.base; i < uint64(len(b.batches)) {
-				batch = b.batches[i]
+			sendSeq, batch := seq, []byte(nil)
+			if i := seq - inst.firstSeq; i < uint64(len(inst.batches)) {
+				batch = inst.batches[i]
 			}
-			b.site.mu.Unlock()
+			inst.cluster.mu.Unlock()
 			if batch == nil {
 				break
 			}
 			seq++
-			if b.site.opts.Lose > 0 && rand.Float64() < b.site.opts.Lose {
+			if inst.cluster.options.Lose > 0 && rand.Float64() < inst.cluster.options.Lose {
 				continue
 			}
-			if out.Send(&pb.Published{Seq: at, Batch: batch}) != nil {
+			if stream.Send(&pb.Published{Seq: sendSeq, Batch: batch}) != nil {
 				return
 			}
-			beat = time.Now()
+			lastSent = time.Now()
 		}
-		if time.Since(beat) > beatEvery {
-			beat = time.Now()
-			if out.Send(&pb.Published{Next: seq}) != nil {
+		if time.Since(lastSent) > heartbeatInterval {
+			lastSent = time.Now()
+			if stream.Send(&pb.Published{Next: seq}) != nil {
 				return
 			}
 		}
 	}
 }
 
-// snapshot is all that the engine keeps, as one batch; its number is the engine's next.
-func (b *Box) snapshot() []byte {
-	return wire(b.engine.Snapshot(), b.engine.Settings().Block)
+// snapshot encodes a snapshot of the engine's cache. Its number is that of the engine's next batch.
+func (inst *Box) snapshot() []byte {
+	return encodeReport(inst.engine.Snapshot(), inst.engine.Settings().Block)
 }
