--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -1,5 +1,6 @@
-// Package kvindex indexes which prompt blocks each worker has cached, as reported by the engines: it maps chains of block
-// hashes to the workers that hold them. The caller supplies the time; the package does no I/O and starts no goroutine.
+// Package kvindex indexes which prompt blocks each worker has cached, as reported by the engines: it maps chains of
+// block hashes to the workers that hold them. The caller supplies the time; the package does no I/O and starts no
+// goroutine.
 //
 // The index assumes that reports may be lost, late or wrong. A report only affects what is known about its own worker,
 // memory is bounded, and a worker's blocks are forgotten when a gap in its reports has been open for longer than
@@ -376,8 +377,8 @@
 
 const sweepEntriesPerBatch = 256 // table entries visited for each batch
 
-// sweepStale clears stale slots from some table entries. A pass over the whole table frees the slots that were stale when
-// the pass began.
+// sweepStale clears stale slots from some table entries. A pass over the whole table frees the slots that were stale
+// when the pass began.
 func (x *Index) sweepStale() {
 	if x.stale.empty() {
 		return
@@ -404,8 +405,8 @@
 	}
 }
 
-// Heartbeat records that a worker's publisher is alive and which batch it sends next. If that is the next batch to apply,
-// nothing is missing.
+// Heartbeat records that a worker's publisher is alive and which batch it sends next. If that is the next batch to
+// apply, nothing is missing.
 func (x *Index) Heard(now time.Duration, id string, incarnation, nextSeq uint64) *Replay {
 	w := x.workers[id]
 	if w == nil {
@@ -438,8 +439,9 @@
 	}
 }
 
-// expireGap forgets a worker's blocks once a batch has been missing for longer than MaxStaleness. Of the buffered batches,
-// only the unbroken run up to the latest is applied: blocks stored by older ones may have been removed by a missing one.
+// expireGap forgets a worker's blocks once a batch has been missing for longer than MaxStaleness. Of the buffered
+// batches, only the unbroken run up to the latest is applied: blocks stored by older ones may have been removed by a
+// missing one.
 func (x *Index) expireGap(now time.Duration, w *worker) {
 	if w.gapSince == 0 || now-w.gapSince <= x.settings.Bound {
 		return
--- a/internal/kvindex/index_test.go
+++ b/internal/kvindex/index_test.go
@@ -16,7 +16,7 @@
 	return Settings{Blocks: 1 << 14, Workers: 16, Bound: 2 * time.Second, Buffered: 32, Rate: 1e9, Burst: 1e9}
 }
 
-func index(t testing.TB, change func(*Settings)) *Index {
+func newIndex(t testing.TB, change func(*Settings)) *Index {
 	t.Helper()
 	s := settings()
 	if change != nil {
@@ -29,8 +29,8 @@
 	return x
 }
 
-// chain is the hashes of a text's first n blocks.
-func chain(text uint64, n int) []uint64 {
+// blockHashes returns distinct hashes for the first n blocks of a prompt.
+func blockHashes(text uint64, n int) []uint64 {
 	var out []uint64
 	for i := range uint64(n) {
 		h := (text*1000003 + i) * 0x9e3779b97f4a7c15
@@ -39,181 +39,183 @@
 	return out
 }
 
-func stored(inc, seq uint64, parent uint64, blocks ...uint64) Batch {
-	return Batch{Incarnation: inc, Seq: seq, Changes: []Change{{Stored: blocks, Parent: parent, Block: 16}}}
+func stored(incarnation, seq uint64, parent uint64, blocks ...uint64) Batch {
+	return Batch{Incarnation: incarnation, Seq: seq, Changes: []Change{{Stored: blocks, Parent: parent, Block: 16}}}
 }
 
-func (x *Index) depth(now time.Duration, id string, c []uint64) (int, bool) {
-	kept, reports := x.Lookup(now, func(int) []uint64 { return c })
-	whole := slices.Contains(reports, id)
+func (x *Index) cachedBlocks(now time.Duration, id string, hashes []uint64) (int, bool) {
+	kept, completeWorkers := x.Lookup(now, func(int) []uint64 { return hashes })
+	complete := slices.Contains(completeWorkers, id)
 	for _, k := range kept {
 		if k.Worker == id {
-			return k.Tokens / 16, whole
+			return k.Tokens / 16, complete
 		}
 	}
-	return 0, whole
+	return 0, complete
 }
 
-func TestLongestKeptPrefixInOneWalk(t *testing.T) {
-	x := index(t, nil)
-	c := chain(1, 10)
-	x.Apply(0, "a", stored(1, 0, 0, c[:4]...))
-	x.Apply(0, "b", stored(1, 0, 0, c[:7]...))
-	x.Apply(0, "c", stored(1, 0, c[1], c[2:]...)) // without a beginning it is worth nothing
+func TestLongestCachedPrefix(t *testing.T) {
+	x := newIndex(t, nil)
+	hashes := blockHashes(1, 10)
+	x.Apply(0, "a", stored(1, 0, 0, hashes[:4]...))
+	x.Apply(0, "b", stored(1, 0, 0, hashes[:7]...))
+	x.Apply(0, "c", stored(1, 0, hashes[1], hashes[2:]...)) // not from the start of the prompt, so it doesn't count
 	calls := 0
-	kept, reports := x.Lookup(0, func(block int) []uint64 { calls++; return c })
-	if fmt.Sprint(kept) != "[{b 112} {a 64}]" || fmt.Sprint(reports) != "[a b c]" || calls != 1 {
-		t.Errorf("%v of %v in %d calls", kept, reports, calls)
+	kept, complete := x.Lookup(0, func(block int) []uint64 { calls++; return hashes })
+	if fmt.Sprint(kept) != "[{b 112} {a 64}]" || fmt.Sprint(complete) != "[a b c]" || calls != 1 {
+		t.Errorf("cached %v, complete %v, in %d calls", kept, complete, calls)
 	}
 	if n := x.Stats().Refused[UnknownParent]; n != 1 {
-		t.Errorf("%d without a parent", n)
+		t.Errorf("%d batches without a known parent", n)
 	}
-	x.Apply(0, "b", Batch{Incarnation: 1, Seq: 1, Changes: []Change{{Removed: c[5:7]}}})
-	if d, _ := x.depth(0, "b", c); d != 5 {
-		t.Errorf("%d blocks after two were removed", d)
+	x.Apply(0, "b", Batch{Incarnation: 1, Seq: 1, Changes: []Change{{Removed: hashes[5:7]}}})
+	if d, _ := x.cachedBlocks(0, "b", hashes); d != 5 {
+		t.Errorf("%d blocks cached after two were removed", d)
 	}
 }
 
-// A worker that returns having forgotten everything draws nothing for old texts from its first report on; a lost one
-// costs no walk, and its slot comes back.
-func TestReturnsAndLosses(t *testing.T) {
-	x := index(t, nil)
-	c := chain(1, 50)
-	x.Apply(0, "a", stored(1, 0, 0, c...))
+// A restarted worker must not be credited with the cache of its earlier process, from its first report on. Restarts in
+// quick succession must not run out of slots, and a removed worker must be forgotten.
+func TestWorkerRestartAndRemoval(t *testing.T) {
+	x := newIndex(t, nil)
+	hashes := blockHashes(1, 50)
+	x.Apply(0, "a", stored(1, 0, 0, hashes...))
 	x.Apply(0, "a", Batch{Incarnation: 2, Seq: 0, Changes: []Change{{Cleared: true}}})
-	if d, reports := x.depth(0, "a", c); d != 0 || !reports {
-		t.Errorf("%d blocks believed after its return, reports %v", d, reports)
+	if d, complete := x.cachedBlocks(0, "a", hashes); d != 0 || !complete {
+		t.Errorf("%d blocks cached after a restart, complete %v", d, complete)
 	}
-	x.Apply(0, "a", stored(1, 1, 0, c...)) // late news of the process that is gone
-	if d, _ := x.depth(0, "a", c); d != 0 || x.Stats().Refused[OldIncarnation] != 1 {
-		t.Errorf("%d blocks by late news", d)
+	x.Apply(0, "a", stored(1, 1, 0, hashes...)) // a late batch of the earlier process
+	if d, _ := x.cachedBlocks(0, "a", hashes); d != 0 || x.Stats().Refused[OldIncarnation] != 1 {
+		t.Errorf("%d blocks cached after a late batch of the earlier process", d)
 	}
-	for i := range uint64(3 * len(x.workerBySlot)) { // many returns: slots are cleaned and used again
-		x.Apply(0, "a", stored(3+i, 0, 0, c...))
-		if d, _ := x.depth(0, "a", c); d != 50 {
-			t.Fatalf("return %d: %d blocks", i, d)
+	for i := range uint64(3 * len(x.workerBySlot)) { // enough restarts to reuse each slot
+		x.Apply(0, "a", stored(3+i, 0, 0, hashes...))
+		if d, _ := x.cachedBlocks(0, "a", hashes); d != 50 {
+			t.Fatalf("restart %d: %d blocks", i, d)
 		}
 	}
 	x.Gone("a")
-	if _, reports := x.depth(0, "a", c); reports || x.Stats().Workers != 0 {
-		t.Error("it is still known")
+	if _, complete := x.cachedBlocks(0, "a", hashes); complete || x.Stats().Workers != 0 {
+		t.Error("the removed worker is still known")
 	}
 }
 
-// What is missing is asked for, and believed for the bound at most; filled in time, all is as it was told.
+// A missing batch is requested again, and the worker's blocks are believed for MaxStaleness at most. Once the gap is
+// filled, all batches count.
 func TestGaps(t *testing.T) {
-	x := index(t, nil)
-	c := chain(1, 12)
-	x.Apply(0, "a", stored(1, 0, 0, c[:4]...))
-	ask := x.Apply(ms, "a", stored(1, 2, c[7], c[8:]...)) // 1 is missing
-	if ask == nil || ask.From != 1 || ask.Worker != "a" {
-		t.Fatalf("%+v", ask)
+	x := newIndex(t, nil)
+	hashes := blockHashes(1, 12)
+	x.Apply(0, "a", stored(1, 0, 0, hashes[:4]...))
+	replay := x.Apply(ms, "a", stored(1, 2, hashes[7], hashes[8:]...)) // batch 1 is missing
+	if replay == nil || replay.From != 1 || replay.Worker != "a" {
+		t.Fatalf("replay request %+v, want batch 1 of a", replay)
 	}
-	if d, ok := x.depth(time.Second, "a", c); d != 4 || !ok {
-		t.Errorf("%d blocks in the gap", d)
+	if d, ok := x.cachedBlocks(time.Second, "a", hashes); d != 4 || !ok {
+		t.Errorf("%d blocks cached during the gap", d)
 	}
-	if ask := x.Apply(time.Second, "a", stored(1, 1, c[3], c[4:8]...)); ask != nil {
-		t.Errorf("filled, and asked for %+v", ask)
+	if replay := x.Apply(time.Second, "a", stored(1, 1, hashes[3], hashes[4:8]...)); replay != nil {
+		t.Errorf("the gap is filled, but %+v was requested", replay)
 	}
-	if d, _ := x.depth(time.Second, "a", c); d != 12 || x.Stats().Replays != 1 {
-		t.Errorf("%d blocks once it was filled", d)
+	if d, _ := x.cachedBlocks(time.Second, "a", hashes); d != 12 || x.Stats().Replays != 1 {
+		t.Errorf("%d blocks cached after the gap was filled", d)
 	}
-	x.Apply(time.Second, "a", stored(1, 3, 0, 5)) // goes on
+	x.Apply(time.Second, "a", stored(1, 3, 0, 5)) // a batch in order, then a duplicate
 	x.Apply(time.Second, "a", stored(1, 3, 0, 5))
 	if x.Stats().Refused[Duplicate] != 1 {
-		t.Error("the same twice")
+		t.Error("a duplicate was not refused")
 	}
 	x.Apply(2*time.Second, "a", stored(1, 9, 0, 6))
-	if d, _ := x.depth(5*time.Second, "a", c); d != 0 || x.Stats().Aged != 1 {
-		t.Errorf("%d blocks believed past the bound", d)
+	if d, _ := x.cachedBlocks(5*time.Second, "a", hashes); d != 0 || x.Stats().Aged != 1 {
+		t.Errorf("%d blocks cached past the staleness bound", d)
 	}
-	x.Apply(5*time.Second, "a", stored(1, 10, 0, c...))
-	if d, whole := x.depth(5*time.Second, "a", c); d != 12 || whole {
-		t.Errorf("%d blocks, %v: it does not go on after the gap, or is taken to know all", d, whole)
+	x.Apply(5*time.Second, "a", stored(1, 10, 0, hashes...))
+	if d, complete := x.cachedBlocks(5*time.Second, "a", hashes); d != 12 || complete {
+		t.Errorf("%d blocks, complete %v: nothing is stored after the gap, or the cache counts as completely known", d, complete)
 	}
-	x.Apply(5*time.Second, "a", Batch{Incarnation: 1, Seq: 11, Changes: []Change{{Cleared: true}, {Stored: c, Block: 16}}})
+	x.Apply(5*time.Second, "a", Batch{Incarnation: 1, Seq: 11, Changes: []Change{{Cleared: true}, {Stored: hashes, Block: 16}}})
 	x.Lost(6*time.Second, "a")
-	if d, ok := x.depth(6*time.Second+ms, "a", c); d != 12 || !ok {
-		t.Error("dropped at once")
+	if d, ok := x.cachedBlocks(6*time.Second+ms, "a", hashes); d != 12 || !ok {
+		t.Error("blocks forgotten as soon as the publisher was lost")
 	}
-	if ask := x.Heard(7*time.Second, "a", 1, 12); ask != nil {
-		t.Errorf("nothing is missing, and asked for %+v", ask)
+	if replay := x.Heard(7*time.Second, "a", 1, 12); replay != nil {
+		t.Errorf("nothing is missing, but %+v was requested", replay)
 	}
 	x.Lost(8*time.Second, "a")
-	if _, ok := x.depth(11*time.Second, "a", c); ok {
-		t.Error("a worker that is silent for longer than the bound still counts as one that reports")
+	if _, ok := x.cachedBlocks(11*time.Second, "a", hashes); ok {
+		t.Error("a worker that is silent for longer than the staleness bound still counts as completely known")
 	}
 }
 
-func TestBadReportsCostAWorkerItsOwn(t *testing.T) {
-	x := index(t, func(s *Settings) { s.Workers, s.Buffered, s.Rate, s.Burst = 2, 2, 1000, 100 })
-	c, other := chain(1, 8), chain(2, 8)
-	x.Apply(0, "a", stored(1, 0, 0, c...))
+func TestBadReportsAffectOnlyTheirWorker(t *testing.T) {
+	x := newIndex(t, func(s *Settings) { s.Workers, s.Buffered, s.Rate, s.Burst = 2, 2, 1000, 100 })
+	hashes, other := blockHashes(1, 8), blockHashes(2, 8)
+	x.Apply(0, "a", stored(1, 0, 0, hashes...))
 	x.Apply(0, "b", stored(1, 0, 0, other...))
-	x.Apply(0, "b", Batch{Incarnation: 1, Seq: 1, Changes: []Change{{Removed: []uint64{c[0], 99, 0}}, {Stored: []uint64{0, 7}, Block: 16}, {Stored: []uint64{8}}}})
-	x.Apply(0, "b", Batch{Incarnation: 1, Seq: 2, Changes: []Change{{Stored: chain(3, 2), Block: 32}}})
+	x.Apply(0, "b", Batch{Incarnation: 1, Seq: 1, Changes: []Change{{Removed: []uint64{hashes[0], 99, 0}}, {Stored: []uint64{0, 7}, Block: 16}, {Stored: []uint64{8}}}})
+	x.Apply(0, "b", Batch{Incarnation: 1, Seq: 2, Changes: []Change{{Stored: blockHashes(3, 2), Block: 32}}})
 	for i := range uint64(4) {
 		x.Apply(0, "b", stored(1, 9+i, 0, 5))
 	}
-	x.Apply(0, "b", stored(1, 3, 0, chain(4, 200)...))
-	x.Apply(0, "c", stored(1, 0, 0, c...))
+	x.Apply(0, "b", stored(1, 3, 0, blockHashes(4, 200)...))
+	x.Apply(0, "c", stored(1, 0, 0, hashes...))
 	for reason, n := range map[string]int64{NeverStored: 3, NoBlock: 2, BlockSize: 1, Early: 2, Flood: 1, NoRoom: 1} {
 		if got := x.Stats().Refused[reason]; got != n {
 			t.Errorf("%s: %d, want %d", reason, got, n)
 		}
 	}
-	if d, _ := x.depth(0, "a", c); d != 8 {
-		t.Errorf("another's reports cost a %d of its blocks", 8-d)
+	if d, _ := x.cachedBlocks(0, "a", hashes); d != 8 {
+		t.Errorf("another worker's reports removed %d blocks of a", 8-d)
 	}
-	if d, _ := x.depth(0, "b", other); d != 0 {
-		t.Error("blocks of the old size still count")
+	if d, _ := x.cachedBlocks(0, "b", other); d != 0 {
+		t.Error("blocks of the earlier size are still cached")
 	}
 }
 
-// At its bound the index forgets what was neither told nor asked for in the longest time.
+// At its limit the index evicts the blocks that were neither stored nor looked up for the longest time.
 func TestBoundedMemory(t *testing.T) {
-	x := index(t, func(s *Settings) { s.Blocks = 1000 })
-	popular := chain(1, 20)
+	x := newIndex(t, func(s *Settings) { s.Blocks = 1000 })
+	popular := blockHashes(1, 20)
 	x.Apply(0, "a", stored(1, 0, 0, popular...))
 	for i := range uint64(500) {
-		x.Apply(0, "b", stored(1, i, 0, chain(100+i, 10)...))
-		if d, _ := x.depth(0, "a", popular); d != 20 {
-			t.Fatalf("what is asked for all the time went after %d texts", i)
+		x.Apply(0, "b", stored(1, i, 0, blockHashes(100+i, 10)...))
+		if d, _ := x.cachedBlocks(0, "a", popular); d != 20 {
+			t.Fatalf("a prompt in constant use was evicted after %d others", i)
 		}
 	}
 	if n := x.Stats().Blocks; n != 1000 {
-		t.Errorf("%d blocks known, 1000 may be", n)
+		t.Errorf("%d blocks in the index, want 1000", n)
 	}
-	if d, _ := x.depth(0, "b", chain(100+499, 10)); d != 10 {
-		t.Errorf("%d blocks of the latest text are known", d)
+	if d, _ := x.cachedBlocks(0, "b", blockHashes(100+499, 10)); d != 10 {
+		t.Errorf("%d blocks of the latest prompt are in the index", d)
 	}
 }
 
-// truth is what a worker keeps, with what it has published.
-type truth struct {
+// workerModel is a worker's actual cache and what it has published.
+type workerModel struct {
 	id          string
 	incarnation uint64
-	kept        map[uint64]bool
-	left        map[uint64]time.Duration // when it was kept last
-	sent        []Batch
+	cached      map[uint64]bool
+	removedAt   map[uint64]time.Duration // when a block was last cached
+	published   []Batch
 }
 
-func (w *truth) lose(now time.Duration, blocks ...uint64) {
+func (w *workerModel) remove(now time.Duration, blocks ...uint64) {
 	for _, h := range blocks {
-		delete(w.kept, h)
-		w.left[h] = now
+		delete(w.cached, h)
+		w.removedAt[h] = now
 	}
 }
 
-// Against a naive model, under loss, reordering, duplicates and restarts: more than a worker keeps is never believed for
-// longer than the bound and the time that messages take; without loss it is exactly what is kept.
+// A comparison with a simple model, under loss, reordering, duplicates and restarts. Without loss the index may lag
+// behind a worker only by the delay of messages; with loss no block may be believed for longer than the staleness bound
+// and the time that it takes to notice and replay what was lost.
 func TestAgainstANaiveModel(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		loss, delay := []float64{0, 0.1, 0.3}[seed%3], time.Duration(rng.Int64N(int64(200*ms))+1)
-		x := index(t, func(s *Settings) {
+		x := newIndex(t, func(s *Settings) {
 			if s.Buffered = 4 + rng.IntN(40); loss == 0 {
-				s.Buffered = 1000 // nothing is lost for want of room either
+				s.Buffered = 1000 // no batch is dropped for want of buffer space either
 			}
 		})
 		type message struct {
@@ -221,38 +223,38 @@
 			id string
 			Batch
 		}
-		var wire []message
-		workers := []*truth{{id: "a"}, {id: "b"}, {id: "c"}}
+		var inFlight []message
+		workers := []*workerModel{{id: "a"}, {id: "b"}, {id: "c"}}
 		for _, w := range workers {
-			w.incarnation, w.kept, w.left = 1, map[uint64]bool{}, map[uint64]time.Duration{}
+			w.incarnation, w.cached, w.removedAt = 1, map[uint64]bool{}, map[uint64]time.Duration{}
 		}
 		send := func(now time.Duration, id string, b Batch) {
 			if rng.Float64() < loss {
 				return
 			}
-			wire = append(wire, message{now + time.Duration(rng.Int64N(int64(delay))), id, b})
+			inFlight = append(inFlight, message{now + time.Duration(rng.Int64N(int64(delay))), id, b})
 			if loss > 0 && rng.IntN(10) == 0 {
-				wire = append(wire, message{now + time.Duration(rng.Int64N(int64(delay))), id, b})
+				inFlight = append(inFlight, message{now + time.Duration(rng.Int64N(int64(delay))), id, b})
 			}
 		}
-		publish := func(now time.Duration, w *truth, changes ...Change) {
-			b := Batch{Incarnation: w.incarnation, Seq: uint64(len(w.sent)), Changes: changes}
-			w.sent = append(w.sent, b)
+		publish := func(now time.Duration, w *workerModel, changes ...Change) {
+			b := Batch{Incarnation: w.incarnation, Seq: uint64(len(w.published)), Changes: changes}
+			w.published = append(w.published, b)
 			send(now, w.id, b)
 		}
-		texts := make([][]uint64, 6)
-		for i := range texts {
-			texts[i] = chain(uint64(i)*77+seed, 6)
+		prompts := make([][]uint64, 6)
+		for i := range prompts {
+			prompts[i] = blockHashes(uint64(i)*77+seed, 6)
 		}
-		asked := map[string]time.Duration{}
+		replayAskedAt := map[string]time.Duration{}
 		step := 10 * ms
 		for now := step; now < 20*time.Second; now += step {
 			w := workers[rng.IntN(len(workers))]
 			switch op := rng.IntN(40); {
 			case op < 10:
-				c := texts[rng.IntN(len(texts))]
+				c := prompts[rng.IntN(len(prompts))]
 				n := 0
-				for n < len(c) && w.kept[c[n]] {
+				for n < len(c) && w.cached[c[n]] {
 					n++
 				}
 				if to := n + rng.IntN(len(c)-n+1); to > n {
@@ -261,68 +263,68 @@
 						parent = c[n-1]
 					}
 					for _, h := range c[n:to] {
-						w.kept[h] = true
+						w.cached[h] = true
 					}
 					publish(now, w, Change{Stored: c[n:to], Parent: parent, Block: 16})
 				}
-			case op < 16: // the end of a text goes
-				c := texts[rng.IntN(len(texts))]
+			case op < 16: // evict the end of a prompt
+				c := prompts[rng.IntN(len(prompts))]
 				n := 0
-				for n < len(c) && w.kept[c[n]] {
+				for n < len(c) && w.cached[c[n]] {
 					n++
 				}
 				if n > 0 {
 					from := rng.IntN(n)
-					w.lose(now, c[from:n]...)
+					w.remove(now, c[from:n]...)
 					publish(now, w, Change{Removed: c[from:n]})
 				}
 			case op == 16:
-				w.lose(now, slices.Collect(maps.Keys(w.kept))...)
+				w.remove(now, slices.Collect(maps.Keys(w.cached))...)
 				publish(now, w, Change{Cleared: true})
-			case op == 17 && rng.IntN(5) == 0: // dies and returns with nothing
+			case op == 17 && rng.IntN(5) == 0: // crash and restart with an empty cache
 				w.incarnation++
-				w.lose(now, slices.Collect(maps.Keys(w.kept))...)
-				w.sent = nil
+				w.remove(now, slices.Collect(maps.Keys(w.cached))...)
+				w.published = nil
 				publish(now, w, Change{Cleared: true})
 			}
-			later := wire[:0:0]
-			for _, m := range wire {
+			later := inFlight[:0:0]
+			for _, m := range inFlight {
 				if m.at > now {
 					later = append(later, m)
 					continue
 				}
-				if r := x.Apply(now, m.id, m.Batch); r != nil && now-asked[m.id] > 300*ms {
-					asked[m.id] = now
+				if r := x.Apply(now, m.id, m.Batch); r != nil && now-replayAskedAt[m.id] > 300*ms {
+					replayAskedAt[m.id] = now
 					for _, y := range workers {
 						if y.id == r.Worker {
-							for i := r.From; i < uint64(len(y.sent)); i++ {
-								send(now, y.id, y.sent[i])
+							for i := r.From; i < uint64(len(y.published)); i++ {
+								send(now, y.id, y.published[i])
 							}
 						}
 					}
 				}
 			}
-			wire = append(later, wire[len(wire):]...)
+			inFlight = append(later, inFlight[len(inFlight):]...)
 			if now%(500*ms) == 0 { // the publisher's heartbeat
 				for _, y := range workers {
 					if rng.Float64() >= loss {
-						x.Heard(now, y.id, y.incarnation, uint64(len(y.sent)))
+						x.Heard(now, y.id, y.incarnation, uint64(len(y.published)))
 					}
 				}
 			}
 			for _, y := range workers {
-				for i, c := range texts {
-					d, _ := x.depth(now, y.id, c)
-					if d == 0 || y.kept[c[d-1]] {
+				for i, c := range prompts {
+					d, _ := x.cachedBlocks(now, y.id, c)
+					if d == 0 || y.cached[c[d-1]] {
 						continue
 					}
-					// A lost last batch is noticed by the next heartbeat that comes through.
-					most := settings().Bound + delay + 4*time.Second
+					// A lost last batch is only noticed with the next heartbeat that arrives.
+					limit := settings().Bound + delay + 4*time.Second
 					if loss == 0 {
-						most = delay + step
+						limit = delay + step
 					}
-					if ago := now - y.left[c[d-1]]; ago > most {
-						t.Fatalf("seed %d, loss %v: %s is believed to keep %d blocks of text %d, %v after it lost the last", seed, loss, y.id, d, i, ago)
+					if ago := now - y.removedAt[c[d-1]]; ago > limit {
+						t.Fatalf("seed %d, loss %v: %s counts as caching %d blocks of prompt %d, %v after it removed the last of them", seed, loss, y.id, d, i, ago)
 					}
 				}
 			}
@@ -330,7 +332,7 @@
 	}
 }
 
-// Whatever is reported in whatever order, the index holds together and within its bounds.
+// Whatever is reported, in whatever order, the hash table stays consistent and within its bounds.
 func FuzzReports(f *testing.F) {
 	rng := rand.New(rand.NewPCG(8, 8))
 	for range 30 {
@@ -341,17 +343,17 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		x := index(t, func(s *Settings) { s.Blocks, s.Workers, s.Buffered = 50, 3, 3 })
+		x := newIndex(t, func(s *Settings) { s.Blocks, s.Workers, s.Buffered = 50, 3, 3 })
 		now := time.Duration(0)
 		for ; len(text) >= 4; text = text[4:] {
-			id, c := fmt.Sprint("w", text[0]%4), chain(uint64(text[1]%5), 8)
+			id, hashes := fmt.Sprint("w", text[0]%4), blockHashes(uint64(text[1]%5), 8)
 			from := int(text[2] % 8)
 			b := Batch{Incarnation: uint64(text[3] % 3), Seq: uint64(text[3] >> 4)}
 			switch text[0] >> 4 % 8 {
 			case 0, 1, 2:
-				b.Changes = []Change{{Stored: c[from:], Parent: uint64(text[2] >> 4), Block: 1 + int(text[1]>>7)}}
+				b.Changes = []Change{{Stored: hashes[from:], Parent: uint64(text[2] >> 4), Block: 1 + int(text[1]>>7)}}
 			case 3:
-				b.Changes = []Change{{Removed: c[:from]}}
+				b.Changes = []Change{{Removed: hashes[:from]}}
 			case 4:
 				b.Changes = []Change{{Cleared: true}}
 			case 5:
@@ -366,9 +368,9 @@
 				continue
 			}
 			x.Apply(now, id, b)
-			kept, reports := x.Lookup(now, func(int) []uint64 { return c })
-			if len(kept) > 3 || len(reports) > 3 || x.table.count > 50 {
-				t.Fatalf("%v of %v, %d blocks", kept, reports, x.table.count)
+			kept, complete := x.Lookup(now, func(int) []uint64 { return hashes })
+			if len(kept) > 3 || len(complete) > 3 || x.table.count > 50 {
+				t.Fatalf("cached %v, complete %v, %d blocks", kept, complete, x.table.count)
 			}
 			n := 0
 			for i, e := range x.table.entries {
@@ -376,21 +378,22 @@
 					continue
 				}
 				if n++; x.table.find(e.hash) != i {
-					t.Fatalf("%x is not found where it stands", e.hash)
+					t.Fatalf("%x is not found at its own index", e.hash)
 				}
 			}
 			if n != x.table.count || len(x.freeSlots) > len(x.workerBySlot) {
-				t.Fatalf("%d entries, %d counted", n, x.table.count)
+				t.Fatalf("%d entries, but the count is %d", n, x.table.count)
 			}
 		}
 	})
 }
 
-// More workers than a set has room for: sets grow, what was told before still holds, and the memory stays what it was.
+// With more workers than a slot set has room for, the sets grow: what was stored before stays valid, and the memory
+// doesn't grow.
 func TestAThousandWorkers(t *testing.T) {
-	const most = 1100
+	const maxWorkers = 1100
 	s := settings()
-	s.Blocks, s.Workers = 1<<13, most
+	s.Blocks, s.Workers = 1<<13, maxWorkers
 	x, err := New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -399,17 +402,17 @@
 	before := bytes()
 	shared := []uint64{1001, 1002, 1003}
 	name := func(i int) string { return fmt.Sprintf("w%04d", i) }
-	for i := range most {
-		own := append(slices.Clone(shared[:1+i%3]), uint64(5000+i)) // some of the shared text, then its own
-		x.Apply(0, name(i), Batch{Incarnation: 1, Changes: []Change{{Stored: own, Block: 16}}})
-		if i%7 == 0 { // some start again: their old slots are void, while sets grow
-			x.Apply(0, name(i), Batch{Incarnation: 2, Changes: []Change{{Stored: own[:1], Block: 16}}})
+	for i := range maxWorkers {
+		hashes := append(slices.Clone(shared[:1+i%3]), uint64(5000+i)) // a part of the shared prefix, then a block of its own
+		x.Apply(0, name(i), Batch{Incarnation: 1, Changes: []Change{{Stored: hashes, Block: 16}}})
+		if i%7 == 0 { // some restart, so that stale slots exist while the sets grow
+			x.Apply(0, name(i), Batch{Incarnation: 2, Changes: []Change{{Stored: hashes[:1], Block: 16}}})
 		}
 	}
 	x.Apply(0, "one too many", Batch{Incarnation: 1})
-	kept, reports := x.Lookup(0, func(int) []uint64 { return shared })
-	if len(kept) != most || len(reports) != most || x.Stats().Refused[NoRoom] != 1 {
-		t.Fatalf("%d keep some of it, %d report, %v", len(kept), len(reports), x.Stats().Refused)
+	kept, complete := x.Lookup(0, func(int) []uint64 { return shared })
+	if len(kept) != maxWorkers || len(complete) != maxWorkers || x.Stats().Refused[NoRoom] != 1 {
+		t.Fatalf("%d workers cache some of the prefix, %d are completely known, refused %v", len(kept), len(complete), x.Stats().Refused)
 	}
 	for _, k := range kept {
 		var i int
@@ -419,24 +422,24 @@
 			want = 16
 		}
 		if k.Tokens != want {
-			t.Errorf("%s keeps %d tokens, told to keep %d", k.Worker, k.Tokens, want)
+			t.Errorf("%s caches %d tokens, want %d", k.Worker, k.Tokens, want)
 		}
 	}
-	for i := range most { // a change after it all: the last worker's own block goes
+	for i := range maxWorkers { // after the growth: remove the first block of the shared prefix everywhere
 		x.Apply(0, name(i), Batch{Incarnation: 1 + uint64((7-i%7)/7), Seq: 1, Changes: []Change{{Removed: shared[:1]}}})
 	}
 	if kept, _ := x.Lookup(0, func(int) []uint64 { return shared }); len(kept) != 0 {
-		t.Errorf("%d workers still keep a text whose beginning has gone", len(kept))
+		t.Errorf("%d workers still cache a prompt whose first block was removed", len(kept))
 	}
 	if after := bytes(); after > 2*before {
-		t.Errorf("%d bytes, %d before", after, before)
+		t.Errorf("%d bytes after growing, %d before", after, before)
 	}
 }
 
-// plain is what the index is measured against: a map from hashes to sets of workers.
-type plain map[uint64]map[string]bool
+// mapIndex is the baseline for the benchmarks: a map from hashes to sets of workers.
+type mapIndex map[uint64]map[string]bool
 
-func (p plain) store(id string, blocks []uint64) {
+func (p mapIndex) store(id string, blocks []uint64) {
 	for _, h := range blocks {
 		if p[h] == nil {
 			p[h] = make(map[string]bool)
@@ -445,7 +448,7 @@
 	}
 }
 
-func (p plain) lookup(c []uint64) map[string]int {
+func (p mapIndex) lookup(c []uint64) map[string]int {
 	out := make(map[string]int)
 	for i, h := range c {
 		any := false
@@ -462,16 +465,16 @@
 	return out
 }
 
-// million is texts of 64 blocks, each kept by three of the workers, of a million blocks in all.
-func million(workers int, store func(id string, seq uint64, blocks []uint64)) [][]uint64 {
+// storeMillionBlocks stores prompts of 64 blocks, a million blocks in all, with each prompt cached by three workers.
+func storeMillionBlocks(workers int, store func(id string, seq uint64, blocks []uint64)) [][]uint64 {
 	var texts [][]uint64
 	seqs := make([]uint64, workers)
 	for i := range 1_000_000 / 64 {
-		c := chain(uint64(i), 64)
-		texts = append(texts, c)
+		hashes := blockHashes(uint64(i), 64)
+		texts = append(texts, hashes)
 		for k := range 3 {
 			w := (i*7 + k*13) % workers
-			store(fmt.Sprint("w", w), seqs[w], c)
+			store(fmt.Sprint("w", w), seqs[w], hashes)
 			seqs[w]++
 		}
 	}
@@ -488,8 +491,8 @@
 	for _, workers := range []int{10, 100} {
 		b.Run(fmt.Sprintf("index/%d", workers), func(b *testing.B) {
 			before := heap()
-			x := index(b, func(s *Settings) { s.Blocks, s.Workers = 1<<20, 128 })
-			texts := million(workers, func(id string, seq uint64, blocks []uint64) { x.Apply(0, id, stored(1, seq, 0, blocks...)) })
+			x := newIndex(b, func(s *Settings) { s.Blocks, s.Workers = 1<<20, 128 })
+			texts := storeMillionBlocks(workers, func(id string, seq uint64, blocks []uint64) { x.Apply(0, id, stored(1, seq, 0, blocks...)) })
 			each := float64(heap()-before) / 1e6
 			b.ReportAllocs()
 			i := 0
@@ -503,8 +506,8 @@
 		})
 		b.Run(fmt.Sprintf("map/%d", workers), func(b *testing.B) {
 			before := heap()
-			p := plain{}
-			texts := million(workers, func(id string, _ uint64, blocks []uint64) { p.store(id, blocks) })
+			p := mapIndex{}
+			texts := storeMillionBlocks(workers, func(id string, _ uint64, blocks []uint64) { p.store(id, blocks) })
 			each := float64(heap()-before) / 1e6
 			b.ReportAllocs()
 			i := 0
@@ -518,27 +521,27 @@
 	}
 }
 
-// One operation is a batch of one text of 64 blocks, stored, and one removed.
+// One operation is a batch that stores one prompt of 64 blocks and removes another.
 func BenchmarkEvents(b *testing.B) {
 	b.Run("index", func(b *testing.B) {
-		x := index(b, func(s *Settings) { s.Blocks, s.Workers = 1<<20, 128 })
-		million(100, func(id string, seq uint64, blocks []uint64) { x.Apply(0, id, stored(1, seq, 0, blocks...)) })
+		x := newIndex(b, func(s *Settings) { s.Blocks, s.Workers = 1<<20, 128 })
+		storeMillionBlocks(100, func(id string, seq uint64, blocks []uint64) { x.Apply(0, id, stored(1, seq, 0, blocks...)) })
 		b.ReportAllocs()
 		seq, i := uint64(0), uint64(0)
 		for b.Loop() {
-			x.Apply(0, "new", Batch{Incarnation: 1, Seq: seq, Changes: []Change{{Stored: chain(1<<40+i%1000, 64), Block: 16}, {Removed: chain(1<<40+(i+500)%1000, 64)}}})
+			x.Apply(0, "new", Batch{Incarnation: 1, Seq: seq, Changes: []Change{{Stored: blockHashes(1<<40+i%1000, 64), Block: 16}, {Removed: blockHashes(1<<40+(i+500)%1000, 64)}}})
 			seq, i = seq+1, i+1
 		}
 		b.ReportMetric(128*float64(b.N)/b.Elapsed().Seconds(), "changes/s")
 	})
 	b.Run("map", func(b *testing.B) {
-		p := plain{}
-		million(100, func(id string, _ uint64, blocks []uint64) { p.store(id, blocks) })
+		p := mapIndex{}
+		storeMillionBlocks(100, func(id string, _ uint64, blocks []uint64) { p.store(id, blocks) })
 		b.ReportAllocs()
 		i := uint64(0)
 		for b.Loop() {
-			p.store("new", chain(1<<40+i%1000, 64))
-			for _, h := range chain(1<<40+(i+500)%1000, 64) {
+			p.store("new", blockHashes(1<<40+i%1000, 64))
+			for _, h := range blockHashes(1<<40+(i+500)%1000, 64) {
 				if delete(p[h], "new"); len(p[h]) == 0 {
 					delete(p, h)
 				}
--- a/internal/kvindex/table.go
+++ b/internal/kvindex/table.go
@@ -1,8 +1,8 @@
 package kvindex
 
 // The table maps a block's hash to the slots of the workers that hold it. It is one flat array with open addressing and
-// linear probing. Its size is fixed: when it is full, a hand that moves round the array evicts the least recently used of
-// a sample of entries.
+// linear probing. Its size is fixed: when it is full, a hand that moves round the array evicts the least recently used
+// of a sample of entries.
 
 import (
 	"cmp"
@@ -157,8 +157,8 @@
 	}
 }
 
-// findOrInsert returns the index of a hash's entry, inserting it if needed. A full table first evicts an entry; one that no
-// active slot holds is preferred.
+// findOrInsert returns the index of a hash's entry, inserting it if needed. A full table first evicts an entry; one
+// that no active slot holds is preferred.
 func (t *table) findOrInsert(hash uint64, active slotSet) int {
 	if i := t.find(hash); i >= 0 {
 		return i
@@ -175,8 +175,8 @@
 	return int(i)
 }
 
-// evict removes one entry: of the next evictionSamples entries, the least recently used one, or the first that no active
-// slot holds.
+// evict removes one entry: of the next evictionSamples entries, the least recently used one, or the first that no
+// active slot holds.
 func (t *table) evict(active slotSet) {
 	victim, seen, victimAge := uint64(0), 0, uint32(0)
 	for i := t.evictAt; seen < evictionSamples; i = (i + 1) & t.mask {
