--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -147,8 +147,8 @@
 // Settings returns the engine's settings.
 func (e *Engine) Settings() Settings { return e.settings }
 
-// Submit gives the engine a request, at a time not before that of earlier calls. A request that the engine can't take is
-// rejected at once.
+// Submit gives the engine a request, at a time not before that of earlier calls. A request that the engine can't take
+// is rejected at once.
 func (e *Engine) Submit(now time.Duration, w Work) {
 	e.Advance(now)
 	reason := ""
@@ -410,8 +410,8 @@
 	e.beginStep()
 }
 
-// Fetch hands a state over to a writer: the reader releases its memory, while the prompt's blocks stay cached. It reports
-// whether there was a state.
+// Fetch hands a state over to a writer: the reader releases its memory, while the prompt's blocks stay cached. It
+// reports whether there was a state.
 func (e *Engine) Fetch(now time.Duration, id string) bool {
 	e.Advance(now)
 	j := e.states[id]
@@ -517,8 +517,8 @@
 	return r, true
 }
 
-// Snapshot returns a batch that clears the cache and then stores everything in it, parents first. It replaces the changes
-// since the last report.
+// Snapshot returns a batch that clears the cache and then stores everything in it, parents first. It replaces the
+// changes since the last report.
 func (e *Engine) Snapshot() Report {
 	children := make(map[Hash][]Hash)
 	var roots []Hash
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -1,7 +1,7 @@
 package engine
 
-// The engine's memory is a KV cache of fixed-size blocks, as in vLLM. Each block is free, in use by one or more requests,
-// or idle: cached and unused, so that it can be found again or evicted. Idle blocks are evicted in LRU order.
+// The engine's memory is a KV cache of fixed-size blocks, as in vLLM. Each block is free, in use by one or more
+// requests, or idle: cached and unused, so that it can be found again or evicted. Idle blocks are evicted in LRU order.
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"rowanyard/internal/kvevents"
 )
 
-// Hash identifies a block together with all blocks before it: two prompts share the hashes of the blocks of their common
-// prefix.
+// Hash identifies a block together with all blocks before it: two prompts share the hashes of the blocks of their
+// common prefix.
 type Hash uint64
 
 // BlockHashes returns the hashes of a prompt's complete blocks.
@@ -98,8 +98,8 @@
 	}
 }
 
-// allocate returns n empty blocks with one reference each, evicting idle blocks if needed. If there isn't enough room it
-// returns false and changes nothing.
+// allocate returns n empty blocks with one reference each, evicting idle blocks if needed. If there isn't enough room
+// it returns false and changes nothing.
 func (m *memory) allocate(n int) ([]*block, bool) {
 	if n > m.freeBlocks+m.idleBlocks {
 		return nil, false
@@ -142,8 +142,8 @@
 }
 
 // cacheBlocks adds blocks in use to the cache index as the blocks of a prompt, beginning with block number from. If one
-// of them is cached already, the cached block replaces the duplicate in blocks, so that whoever holds a block also holds
-// those before it.
+// of them is cached already, the cached block replaces the duplicate in blocks, so that whoever holds a block also
+// holds those before it.
 func (m *memory) cacheBlocks(chain []Hash, from int, blocks []*block) {
 	var stored []Hash
 	flush := func(end int) {
--- a/internal/engine/settings.go
+++ b/internal/engine/settings.go
@@ -1,9 +1,9 @@
-// Package engine emulates one engine of a model server: batching, memory in blocks, a prefix cache with eviction, and the
-// cache events that it publishes. The caller moves its clock: the package does no I/O, reads no clock and starts no
+// Package engine emulates one engine of a model server: batching, memory in blocks, a prefix cache with eviction, and
+// the cache events that it publishes. The caller moves its clock: the package does no I/O, reads no clock and starts no
 // goroutine, and the same settings, seed and calls give the same run, byte for byte.
 //
-// It behaves like a real engine only roughly, with figures from the platform's documentation. Don't take its speed for a
-// measurement of one.
+// It behaves like a real engine only roughly, with figures from the platform's documentation. Don't take its speed for
+// a measurement of one.
 package engine
 
 // The settings of an engine, drawn at random from the ranges that its kind allows.
@@ -48,8 +48,8 @@
 var validRanges = map[string]Range{"slots": {1, 4096}, "queue": {0, 65536}, "memory_k": {1, 100000}, "read_per_s": {1, 1e7},
 	"step_ms": {0.1, 1000}, "per_seq_ms": {0, 100}, "context_ms_per_k": {0, 100}, "cold_from": {0.01, 1}, "warm_s": {0, 3600}}
 
-// ParseKinds parses kinds of engines in JSON; nil stands for the built-in ones. An error names the kind, the key and the
-// reason.
+// ParseKinds parses kinds of engines in JSON; nil stands for the built-in ones. An error names the kind, the key and
+// the reason.
 func Kinds(data []byte) (map[string]Kind, error) {
 	if data == nil {
 		data = defaultKinds
--- a/internal/enginehost/host.go
+++ b/internal/enginehost/host.go
@@ -1,6 +1,6 @@
 // Package enginehost serves emulated engines on loopback sockets: it speaks the platform's worker protocol to routers,
-// publishes each reader's cache events to them, and serves the list of engines as discovery does. Tests, the example and
-// cmd/engine use it; the router doesn't.
+// publishes each reader's cache events to them, and serves the list of engines as discovery does. Tests, the example
+// and cmd/engine use it; the router doesn't.
 //
 // It only moves the engines' clocks and translates between them and the protocols. All decisions are package engine's.
 package enginehost
--- a/internal/enginehost/publish.go
+++ b/internal/enginehost/publish.go
@@ -1,7 +1,7 @@
 package enginehost
 
-// Publishing of cache events to the routers, including replays. Each router has a stream of its own, which sends the kept
-// batches at the router's pace, so that a slow router never delays an engine.
+// Publishing of cache events to the routers, including replays. Each router has a stream of its own, which sends the
+// kept batches at the router's pace, so that a slow router never delays an engine.
 
 import (
 	"context"
--- a/internal/kvevents/events.go
+++ b/internal/kvevents/events.go
@@ -1,5 +1,6 @@
 // Package kvevents encodes and decodes the batches of KV cache events that engines publish, in the msgpack layout of
-// vLLM. The decoder takes hostile input: it checks nesting, lengths and event types before it allocates anything for them.
+// vLLM. The decoder takes hostile input: it checks nesting, lengths and event types before it allocates anything for
+// them.
 //
 // A batch is [ts, [event, ...]], optionally followed by further fields, which are skipped; an event is
 //
@@ -126,7 +127,8 @@
 	return 0
 }
 
-// hash reads a block hash. Engines publish it as a signed or unsigned integer, or as bytes of which the last eight count.
+// hash reads a block hash. Engines publish it as a signed or unsigned integer, or as bytes of which the last eight
+// count.
 func (d *decoder) hash() uint64 {
 	if d.err != nil {
 		return 0
@@ -341,8 +343,8 @@
 // BytesPerToken is the prompt length in bytes that counts as one token.
 const CharsToken = 4
 
-// BlockHashes returns the hashes of a prompt's complete blocks of blockTokens tokens each. A hash covers its block and all
-// blocks before it.
+// BlockHashes returns the hashes of a prompt's complete blocks of blockTokens tokens each. A hash covers its block and
+// all blocks before it.
 func Chain(text []byte, blockTokens int) []uint64 {
 	blockBytes := blockTokens * CharsToken
 	if blockBytes <= 0 {
--- a/internal/kvevents/events_test.go
+++ b/internal/kvevents/events_test.go
@@ -10,20 +10,20 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-func sample() Batch {
+func sampleBatch() Batch {
 	return Batch{At: 12.5, Events: []Event{{Stored: []uint64{1, 1 << 63, 77}, Parent: 9, Block: 16}, {Removed: []uint64{5}}, {Cleared: true},
 		{Stored: []uint64{4}, Block: 64}, {Removed: []uint64{}}}}
 }
 
 func TestRoundTrip(t *testing.T) {
-	got, err := Decode(Encode(sample()))
-	if err != nil || !reflect.DeepEqual(got, sample()) {
+	got, err := Decode(Encode(sampleBatch()))
+	if err != nil || !reflect.DeepEqual(got, sampleBatch()) {
 		t.Errorf("%+v %v", got, err)
 	}
 }
 
-// As engines write it: signed hashes, hashes as bytes, token ids, further fields.
-func TestWhatEnginesWrite(t *testing.T) {
+// Formats that engines use and Encode doesn't: signed hashes, hashes as bytes, token ids, further fields.
+func TestDecodeFormatsOfEngines(t *testing.T) {
 	b := msgp.AppendArrayHeader(nil, 3)
 	b = msgp.AppendFloat64(b, 1)
 	b = msgp.AppendArrayHeader(b, 1)
@@ -51,28 +51,28 @@
 }
 
 func TestHostileBatches(t *testing.T) {
-	good := Encode(sample())
-	deep := msgp.AppendArrayHeader(nil, 3)
-	deep = msgp.AppendFloat64(deep, 1)
-	deep = msgp.AppendArrayHeader(deep, 0)
+	good := Encode(sampleBatch())
+	deepArray := msgp.AppendArrayHeader(nil, 3)
+	deepArray = msgp.AppendFloat64(deepArray, 1)
+	deepArray = msgp.AppendArrayHeader(deepArray, 0)
 	for range 100 {
-		deep = msgp.AppendArrayHeader(deep, 1)
+		deepArray = msgp.AppendArrayHeader(deepArray, 1)
 	}
-	deep = msgp.AppendNil(deep)
-	long := msgp.AppendArrayHeader(nil, 2)
-	long = msgp.AppendFloat64(long, 1)
-	long = append(long, 0xdd, 0xff, 0xff, 0xff, 0xff)
-	tag := msgp.AppendArrayHeader(nil, 2)
-	tag = msgp.AppendFloat64(tag, 1)
-	tag = msgp.AppendArrayHeader(tag, 1)
-	tag = msgp.AppendArrayHeader(tag, 1)
-	tag = msgp.AppendString(tag, "BlockMoved")
+	deepArray = msgp.AppendNil(deepArray)
+	longArray := msgp.AppendArrayHeader(nil, 2)
+	longArray = msgp.AppendFloat64(longArray, 1)
+	longArray = append(longArray, 0xdd, 0xff, 0xff, 0xff, 0xff)
+	unknownKind := msgp.AppendArrayHeader(nil, 2)
+	unknownKind = msgp.AppendFloat64(unknownKind, 1)
+	unknownKind = msgp.AppendArrayHeader(unknownKind, 1)
+	unknownKind = msgp.AppendArrayHeader(unknownKind, 1)
+	unknownKind = msgp.AppendString(unknownKind, "BlockMoved")
 	for name, c := range map[string]struct {
 		text []byte
 		want error
 	}{
-		"nothing": {nil, ErrShape}, "cut": {good[:len(good)-3], ErrShape}, "more": {append(bytes.Clone(good), 1), ErrShape}, "deep": {deep, ErrDepth},
-		"long": {long, ErrLong}, "tag": {tag, ErrTag}, "bytes": {make([]byte, MaxBytes+1), ErrLong},
+		"nothing": {nil, ErrShape}, "cut": {good[:len(good)-3], ErrShape}, "more": {append(bytes.Clone(good), 1), ErrShape}, "deep": {deepArray, ErrDepth},
+		"long": {longArray, ErrLong}, "tag": {unknownKind, ErrTag}, "bytes": {make([]byte, MaxBytes+1), ErrLong},
 		"block size": {Encode(Batch{Events: []Event{{Stored: []uint64{1}, Block: 0}}}), ErrShape},
 		"hashes":     {Encode(Batch{Events: []Event{{Removed: make([]uint64, MaxHashes+1)}}}), ErrLong},
 	} {
@@ -83,17 +83,17 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	good := Encode(sample())
+	good := Encode(sampleBatch())
 	rng := rand.New(rand.NewPCG(3, 3))
 	f.Add(good)
 	for range 60 {
-		spoilt := bytes.Clone(good[:rng.IntN(len(good)+1)])
+		mutated := bytes.Clone(good[:rng.IntN(len(good)+1)])
 		for range rng.IntN(4) {
-			if len(spoilt) > 0 {
-				spoilt[rng.IntN(len(spoilt))] = byte(rng.Uint32())
+			if len(mutated) > 0 {
+				mutated[rng.IntN(len(mutated))] = byte(rng.Uint32())
 			}
 		}
-		f.Add(spoilt)
+		f.Add(mutated)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		b, err := Decode(text)
--- a/internal/reports/reports.go
+++ b/internal/reports/reports.go
@@ -1,9 +1,9 @@
-// Package reports serves the gRPC service to which engines publish their KV cache events, and tells the core how much of a
-// prompt each worker has cached. Package kvindex holds what is known and decides how long it is believed; package kvevents
-// decodes the batches.
+// Package reports serves the gRPC service to which engines publish their KV cache events, and tells the core how much
+// of a prompt each worker has cached. Package kvindex holds what is known and decides how long it is believed; package
+// kvevents decodes the batches.
 //
-// A publisher may only report for a worker that is listed at the publisher's own IP address, and a bad batch costs at most
-// what is known about its worker. The service runs only if the operator's file configures it.
+// A publisher may only report for a worker that is listed at the publisher's own IP address, and a bad batch costs at
+// most what is known about its worker. The service runs only if the operator's file configures it.
 package reports
 
 import (
@@ -77,8 +77,8 @@
 	return g
 }
 
-// Moved is told which workers have started or stopped taking new work. It forgets those that are no longer listed and ends
-// their streams.
+// Moved is told which workers have started or stopped taking new work. It forgets those that are no longer listed and
+// ends their streams.
 func (l *Listener) Moved(ids []string) {
 	for _, id := range ids {
 		if l.core.Known(id) {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Kept implements core.Texts: it returns the cached prompt tokens of each worker whose cache is completely known or that is
-// known to have cached some of the prompt, or nil if there is none.
+// Kept implements core.Texts: it returns the cached prompt tokens of each worker whose cache is completely known or
+// that is known to have cached some of the prompt, or nil if there is none.
 func (l *Listener) Kept(prompt []byte) map[string]int {
 	hashes := make(map[int][]uint64)
 	l.mu.Lock()
--- a/internal/reports/reports_test.go
+++ b/internal/reports/reports_test.go
@@ -29,18 +29,18 @@
 	"rowanyard/internal/wire"
 )
 
-// bed is a router in front of emulated engines that report to it.
-type bed struct {
-	t     *testing.T
-	core  *core.Core
-	texts *reports.Listener
-	site  *enginehost.Site
-	addr  string // of the listener
-	url   string
-	names httpfront.Names
+// testRouter is a router in front of emulated engines that report to it.
+type testRouter struct {
+	t        *testing.T
+	core     *core.Core
+	listener *reports.Listener
+	engines  *enginehost.Site
+	addr     string // of the reports listener
+	url      string
+	names    httpfront.Names
 }
 
-func start(t *testing.T, o enginehost.Options) *bed {
+func startRouter(t *testing.T, o enginehost.Options) *testRouter {
 	t.Helper()
 	must := func(err error) {
 		t.Helper()
@@ -54,20 +54,20 @@
 	hw := httpfront.NewWorkers(settings.ConnectTimeout, settings.ConnIdle, 400, log)
 	c, err := core.New(settings.Settings, 1, hw, log)
 	must(err)
-	texts, err := reports.New(c, kvindex.Settings{Blocks: 1 << 16, Workers: 16, Bound: 2 * time.Second, Buffered: 64, Rate: 1e5, Burst: 1e5}, log)
+	listener, err := reports.New(c, kvindex.Settings{Blocks: 1 << 16, Workers: 16, Bound: 2 * time.Second, Buffered: 64, Rate: 1e5, Burst: 1e5}, log)
 	must(err)
-	c.Texts, c.Moved = texts, texts.Moved
+	c.Texts, c.Moved = listener, listener.Moved
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
-	g := texts.GRPC()
+	g := listener.GRPC()
 	go g.Serve(l)
 	t.Cleanup(g.Stop)
 	o.Reports = append(o.Reports, l.Addr().String())
-	site, err := enginehost.Start(o)
+	engines, err := enginehost.Start(o)
 	must(err)
-	t.Cleanup(site.Close)
-	b := &bed{t: t, core: c, texts: texts, site: site, addr: l.Addr().String(), names: httpfront.Names{Kinds: settings.KindNames, Zones: settings.ZoneNames}}
-	b.list()
+	t.Cleanup(engines.Close)
+	b := &testRouter{t: t, core: c, listener: listener, engines: engines, addr: l.Addr().String(), names: httpfront.Names{Kinds: settings.KindNames, Zones: settings.ZoneNames}}
+	b.updateWorkers()
 	front := httpfront.New(c, hw, settings.ClassNames, nil, log)
 	fl, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
@@ -81,18 +81,18 @@
 	return b
 }
 
-func (b *bed) list() {
+func (b *testRouter) updateWorkers() {
 	var l httpfront.List
-	text, _ := json.Marshal(map[string]any{"hosts": b.site.Hosts()})
+	text, _ := json.Marshal(map[string]any{"hosts": b.engines.Hosts()})
 	if err := json.Unmarshal(text, &l); err != nil {
 		b.t.Fatal(err)
 	}
 	b.core.SetWorkers(true, b.names.Workers(l, slog.New(slog.DiscardHandler)))
 }
 
-var ids atomic.Int64
+var lastID atomic.Int64
 
-func text(name string, tokens int) string {
+func promptText(name string, tokens int) string {
 	var s strings.Builder
 	for i := 0; s.Len() < tokens*4; i++ {
 		fmt.Fprintf(&s, "%s.%d ", name, i)
@@ -100,11 +100,11 @@
 	return s.String()[:tokens*4]
 }
 
-// post sends a prompt and returns the status.
-func (b *bed) post(prompt string) int {
+// post sends a prompt and returns the response's status code, or 0 if there was no response.
+func (b *testRouter) post(prompt string) int {
 	body, _ := json.Marshal(map[string]any{"model": "chat", "stream": true, "max_tokens": 3, "messages": []any{map[string]any{"role": "user", "content": prompt}}})
 	req, _ := http.NewRequest(http.MethodPost, b.url, strings.NewReader(string(body)))
-	for k, v := range map[string]string{"X-Txn": fmt.Sprint("t", ids.Add(1)), "X-Lane": "draft-reply", "X-Remaining-Ms": "5000",
+	for k, v := range map[string]string{"X-Txn": fmt.Sprint("t", lastID.Add(1)), "X-Lane": "draft-reply", "X-Remaining-Ms": "5000",
 		"X-Labels": fmt.Sprintf("prompt_len=%d,max_out=6", len(prompt)/4)} {
 		req.Header.Set(k, v)
 	}
@@ -117,70 +117,70 @@
 	return res.StatusCode
 }
 
-// until asks again and again, with traffic in between, until something holds.
-func (b *bed) until(what string, holds func() bool, between func()) {
+// waitFor runs between until condition holds, and fails the test after a minute.
+func (b *testRouter) waitFor(what string, condition func() bool, between func()) {
 	b.t.Helper()
-	for end := time.Now().Add(time.Minute); !holds(); between() {
+	for end := time.Now().Add(time.Minute); !condition(); between() {
 		if time.Now().After(end) {
-			b.t.Fatalf("never: %s", what)
+			b.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// In the midst of traffic a reader dies and returns with nothing: from its first report on nothing is expected of it for
-// old texts, and all the while requests are served.
-func TestAReaderDiesAndReturnsWithNothing(t *testing.T) {
-	b := start(t, enginehost.Options{Readers: 2, Writers: 2, Seed: 3, MemoryK: 30})
+// A reader crashes under load and restarts with an empty cache. From its first report on the router must not expect it
+// to have its earlier cache, and most requests must be served throughout.
+func TestReaderCrashesAndRestarts(t *testing.T) {
+	b := startRouter(t, enginehost.Options{Readers: 2, Writers: 2, Seed: 3, MemoryK: 30})
 	shared := make([]string, 4)
 	for i := range shared {
-		shared[i] = text(fmt.Sprint("shared", i), 600)
+		shared[i] = promptText(fmt.Sprint("shared", i), 600)
 	}
 	var served, sent atomic.Int64
-	some := func() {
+	sendAll := func() {
 		var all sync.WaitGroup
 		for i := range shared {
 			all.Go(func() {
 				sent.Add(1)
-				if b.post(shared[i]+text(fmt.Sprint("q", ids.Load()), 60)) == 200 {
+				if b.post(shared[i]+promptText(fmt.Sprint("q", lastID.Load()), 60)) == 200 {
 					served.Add(1)
 				}
 			})
 		}
 		all.Wait()
 	}
-	boxes := b.site.Boxes()
-	one, other := boxes[0], boxes[1]
-	kept := func(box *enginehost.Box) (most int, told bool) {
+	instances := b.engines.Boxes()
+	crashed, other := instances[0], instances[1]
+	cachedTokens := func(inst *enginehost.Box) (longest int, known bool) {
 		for _, s := range shared {
-			n, ok := b.texts.Kept([]byte(s))[box.ID]
-			most, told = max(most, n), told || ok
+			n, ok := b.listener.Kept([]byte(s))[inst.ID]
+			longest, known = max(longest, n), known || ok
 		}
-		return most, told
+		return longest, known
 	}
-	b.until("a reader is known to keep a shared text", func() bool {
-		if n, _ := kept(one); n > 0 {
+	b.waitFor("a reader is known to cache a shared prompt", func() bool {
+		if n, _ := cachedTokens(crashed); n > 0 {
 			return true
 		}
-		if n, _ := kept(other); n > 0 { // all homes are at the other one: that dies
-			one, other = other, one
+		if n, _ := cachedTokens(other); n > 0 { // the other reader has all of them: crash that one
+			crashed, other = other, crashed
 			return true
 		}
 		return false
-	}, some)
-	one.Kill()
-	some()
-	if err := one.Return(); err != nil {
+	}, sendAll)
+	crashed.Kill()
+	sendAll()
+	if err := crashed.Return(); err != nil {
 		t.Fatal(err)
 	}
-	b.list()
-	b.until("its new process has reported", func() bool { n, told := kept(one); return n == 0 && told || n > 0 && one.Reads > 0 }, some)
-	before := b.texts.Stats()
+	b.updateWorkers()
+	b.waitFor("the restarted reader has reported", func() bool { n, known := cachedTokens(crashed); return n == 0 && known || n > 0 && crashed.Reads > 0 }, sendAll)
+	before := b.listener.Stats()
 	for range 10 {
-		some()
+		sendAll()
 	}
-	after := b.texts.Stats()
+	after := b.listener.Stats()
 	if n := after.Predicted - before.Predicted; n < 5 || after.Wrong-before.Wrong > n/5 {
-		t.Errorf("%d predictions, %d wrong", n, after.Wrong-before.Wrong)
+		t.Errorf("%d predictions after the restart, %d of them wrong", n, after.Wrong-before.Wrong)
 	}
 	if served.Load() < sent.Load()*3/4 {
 		t.Errorf("%d of %d served", served.Load(), sent.Load())
@@ -188,30 +188,30 @@
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	b.core.Wait(ctx)
-	if ctx.Err() != nil || b.site.Held() > 0 {
-		t.Errorf("%d states stay held", b.site.Held())
+	if ctx.Err() != nil || b.engines.Held() > 0 {
+		t.Errorf("%d states were not released", b.engines.Held())
 	}
 	t.Logf("%d of %d served, %+v", served.Load(), sent.Load(), after)
 }
 
-// A tenth of the batches never sent: they are asked for again, and what is known stays right.
+// With 30% of the batches never sent, gaps must be noticed and filled by replays.
 func TestLostBatchesAreReplayed(t *testing.T) {
-	b := start(t, enginehost.Options{Readers: 1, Writers: 1, Seed: 5, Lose: 0.3})
+	b := startRouter(t, enginehost.Options{Readers: 1, Writers: 1, Seed: 5, Lose: 0.3})
 	n := 0
-	b.until("gaps were filled", func() bool { return b.texts.Stats().Replays > 1 }, func() {
+	b.waitFor("two gaps have been filled", func() bool { return b.listener.Stats().Replays > 1 }, func() {
 		n++
-		b.post(text(fmt.Sprint("t", n), 200))
+		b.post(promptText(fmt.Sprint("t", n), 200))
 	})
-	s := b.texts.Stats()
+	s := b.listener.Stats()
 	if s.Gaps < 2 || s.Blocks == 0 {
 		t.Errorf("%+v", s)
 	}
 }
 
-// Who publishes for another's worker, or out of form, is refused with a reason; a bad batch costs its worker's knowledge
-// at most.
+// A publisher that sends an invalid first message or isn't at the worker's address must be refused with the right
+// status. A batch that can't be decoded counts as missing and is requested again.
 func TestBadPublishers(t *testing.T) {
-	b := start(t, enginehost.Options{Readers: 1, Writers: 1, Seed: 7})
+	b := startRouter(t, enginehost.Options{Readers: 1, Writers: 1, Seed: 7})
 	conn, err := grpc.NewClient("passthrough:///"+b.addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
@@ -226,7 +226,7 @@
 		}
 		return s, err
 	}
-	end := func(hello *pb.Published) codes.Code {
+	closeCode := func(hello *pb.Published) codes.Code {
 		s, err := open(hello)
 		if err != nil {
 			return status.Code(err)
@@ -234,29 +234,29 @@
 		_, err = s.Recv()
 		return status.Code(err)
 	}
-	reader := b.site.Boxes()[0].ID
+	reader := b.engines.Boxes()[0].ID
 	for what, c := range map[string]struct {
 		hello *pb.Published
 		want  codes.Code
 	}{
-		"no worker":              {&pb.Published{Incarnation: 1}, codes.InvalidArgument},
-		"no incarnation":         {&pb.Published{Worker: reader}, codes.InvalidArgument},
-		"a batch first":          {&pb.Published{Worker: reader, Incarnation: 1, Batch: []byte{1}}, codes.InvalidArgument},
-		"a worker of nobody":     {&pb.Published{Worker: "s-none", Incarnation: 1}, codes.PermissionDenied},
-		"an endless name":        {&pb.Published{Worker: strings.Repeat("x", 300), Incarnation: 1}, codes.InvalidArgument},
-		"a process that is gone": {&pb.Published{Worker: reader, Incarnation: 1}, codes.PermissionDenied},
+		"no worker":               {&pb.Published{Incarnation: 1}, codes.InvalidArgument},
+		"no incarnation":          {&pb.Published{Worker: reader}, codes.InvalidArgument},
+		"a batch first":           {&pb.Published{Worker: reader, Incarnation: 1, Batch: []byte{1}}, codes.InvalidArgument},
+		"an unlisted worker":      {&pb.Published{Worker: "s-none", Incarnation: 1}, codes.PermissionDenied},
+		"a name that is too long": {&pb.Published{Worker: strings.Repeat("x", 300), Incarnation: 1}, codes.InvalidArgument},
+		"an earlier incarnation":  {&pb.Published{Worker: reader, Incarnation: 1}, codes.PermissionDenied},
 	} {
-		b.until("the engine's own stream is there", func() bool { return b.texts.Stats().Blocks > 0 }, func() { b.post(text("x", 300)) })
-		if got := end(c.hello); got != c.want {
+		b.waitFor("the engine's own stream is open", func() bool { return b.listener.Stats().Blocks > 0 }, func() { b.post(promptText("x", 300)) })
+		if got := closeCode(c.hello); got != c.want {
 			t.Errorf("%s: %v, want %v", what, got, c.want)
 		}
 	}
-	// The worker is listed at another address: nobody here may speak for it.
+	// The worker is listed at another address: nobody here may report for it.
 	b.core.SetWorkers(false, b.names.Workers(httpfront.List{Hosts: []httpfront.Entry{{Host: "far", Dial: "127.0.0.9:1", Site: "here", Class: "reader", Health: "up"}}}, slog.New(slog.DiscardHandler)))
-	if got := end(&pb.Published{Worker: "far", Incarnation: 9}); got != codes.PermissionDenied {
-		t.Errorf("another's worker: %v", got)
+	if got := closeCode(&pb.Published{Worker: "far", Incarnation: 9}); got != codes.PermissionDenied {
+		t.Errorf("a worker at another address: %v", got)
 	}
-	// One at its address that talks nonsense.
+	// A publisher at the right address that sends invalid batches.
 	b.core.SetWorkers(false, b.names.Workers(httpfront.List{Hosts: []httpfront.Entry{{Host: "odd", Dial: "127.0.0.1:1", Site: "here", Class: "reader", Health: "up"}}}, slog.New(slog.DiscardHandler)))
 	s, err := open(&pb.Published{Worker: "odd", Incarnation: 9})
 	if err != nil {
@@ -269,9 +269,9 @@
 		}
 	}
 	if m, err := s.Recv(); err != nil || m.ReplayFrom != 1 {
-		t.Errorf("%v %v, want what could not be read again", m, err)
+		t.Errorf("got %v, %v, want a request to replay from batch 1", m, err)
 	}
-	if st := b.texts.Stats(); st.Refused["batch_shape"] != 2 {
+	if st := b.listener.Stats(); st.Refused["batch_shape"] != 2 {
 		t.Errorf("%+v", st.Refused)
 	}
 	newer, err := open(&pb.Published{Worker: "odd", Incarnation: 10})
@@ -279,7 +279,7 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Recv(); status.Code(err) != codes.Aborted {
-		t.Errorf("the older stream: %v", err)
+		t.Errorf("the earlier stream ended with %v, want Aborted", err)
 	}
 	newer.CloseSend()
 }
