--- a/internal/reports/reports_test.go
+++ b/internal/reports/reports_test.go
@@ -150,7 +150,7 @@
 	}
 	instances := b.engines.Boxes()
 	crashed, other := instances[0], instances[1]
-	cachedTokens := func(inst *enginehost.Box) (longest int, known bool) {
+	cached := func(inst *enginehost.Box) (longest int, known bool) {
 		for _, s := range shared {
 			n, ok := b.listener.Kept([]byte(s))[inst.ID]
 			longest, known = max(longest, n), known || ok
@@ -158,10 +158,10 @@
 		return longest, known
 	}
 	b.waitFor("a reader is known to cache a shared prompt", func() bool {
-		if n, _ := cachedTokens(crashed); n > 0 {
+		if n, _ := cached(crashed); n > 0 {
 			return true
 		}
-		if n, _ := cachedTokens(other); n > 0 { // the other reader has all of them: crash that one
+		if n, _ := cached(other); n > 0 { // the other reader has all of them: crash that one
 			crashed, other = other, crashed
 			return true
 		}
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	b.updateWorkers()
-	b.waitFor("the restarted reader has reported", func() bool { n, known := cachedTokens(crashed); return n == 0 && known || n > 0 && crashed.Reads > 0 }, sendAll)
+	b.waitFor("the restarted reader has reported", func() bool { n, known := cached(crashed); return n == 0 && known || n > 0 && crashed.Reads > 0 }, sendAll)
 	before := b.listener.Stats()
 	for range 10 {
 		sendAll()
