--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -149,37 +149,37 @@
 
 // Submit gives the engine a request, at a time not before that of earlier calls. A request that the engine can't take
 // is rejected at once.
-func (e *Engine) Submit(now time.Duration, w Work) {
+func (e *Engine) Submit(now time.Duration, r Work) {
 	e.Advance(now)
 	reason := ""
 	switch {
 	case e.crashed:
-		e.emit(Event{What: Lost, ID: w.ID, Why: "dead"})
+		e.emit(Event{What: Lost, ID: r.ID, Why: "dead"})
 		return
-	case e.jobs[w.ID] != nil:
+	case e.jobs[r.ID] != nil:
 		reason = "its id is open"
 	case e.overloaded:
 		reason = "fallen over"
 	case len(e.queue) >= e.settings.Queue+e.settings.Slots-len(e.running): // free slots are filled only when a step starts
 		reason = "full"
-	case !e.settings.Reads && !w.Holds:
+	case !e.settings.Reads && !r.Holds:
 		reason = "no state"
-	case (w.Tokens+w.Output+e.settings.Block-1)/e.settings.Block > e.settings.Blocks:
+	case (r.Tokens+r.Output+e.settings.Block-1)/e.settings.Block > e.settings.Blocks:
 		reason = "longer than the memory"
-	case w.Tokens < len(w.Chain)*e.settings.Block || w.Tokens < 0 || w.Output < 0:
+	case r.Tokens < len(r.Chain)*e.settings.Block || r.Tokens < 0 || r.Output < 0:
 		reason = "a prompt shorter than its blocks"
 	}
 	if reason != "" {
-		e.emit(Event{What: TurnedAway, ID: w.ID, Why: reason})
+		e.emit(Event{What: TurnedAway, ID: r.ID, Why: reason})
 		return
 	}
-	e.checkOverload(w.Tokens)
+	e.checkOverload(r.Tokens)
 	if e.overloaded {
-		e.emit(Event{What: Lost, ID: w.ID, Why: "fallen over"})
+		e.emit(Event{What: Lost, ID: r.ID, Why: "fallen over"})
 		return
 	}
-	j := &job{Work: w, prefilling: e.settings.Reads}
-	e.jobs[w.ID] = j
+	j := &job{Work: r, prefilling: e.settings.Reads}
+	e.jobs[r.ID] = j
 	e.queue = append(e.queue, j)
 	e.beginStep()
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -137,14 +137,14 @@
 	}
 	prefill("a", shared)
 	e.Fetch(e.now, "a")
-	if kept := prefill("b", slices.Concat(shared, promptText("turn", 500))); kept < 4000-s.Block {
-		t.Errorf("%d tokens of the shared prefix cached", kept)
+	if cached := prefill("b", slices.Concat(shared, promptText("turn", 500))); cached < 4000-s.Block {
+		t.Errorf("%d tokens of the shared prefix cached", cached)
 	}
 	e.Fetch(e.now, "b")
 	e.Report()
 	prefill("long1", promptText("long1", 9000))
-	if kept := prefill("c", shared); kept < 4000-2*s.Block {
-		t.Errorf("%d tokens of the shared prefix cached beside one long prompt", kept)
+	if cached := prefill("c", shared); cached < 4000-2*s.Block {
+		t.Errorf("%d tokens of the shared prefix cached beside one long prompt", cached)
 	}
 	e.Fetch(e.now, "c")
 	prefill("long2", promptText("long2", 9900)) // the state of long1 is still in use
@@ -402,8 +402,8 @@
 		if err := e.Check(); err != nil {
 			return sum, err
 		}
-		if kept := e.Kept(); !e.crashed && len(kept) != len(reported) || !e.crashed && slices.ContainsFunc(kept, func(h Hash) bool { _, ok := reported[h]; return !ok }) {
-			return sum, fmt.Errorf("%d blocks cached, %d according to the reports", len(kept), len(reported))
+		if cached := e.Kept(); !e.crashed && len(cached) != len(reported) || !e.crashed && slices.ContainsFunc(cached, func(h Hash) bool { _, ok := reported[h]; return !ok }) {
+			return sum, fmt.Errorf("%d blocks cached, %d according to the reports", len(cached), len(reported))
 		}
 	}
 	if !e.crashed { // a snapshot must agree with all reports
--- a/internal/engine/settings.go
+++ b/internal/engine/settings.go
@@ -104,22 +104,22 @@
 
 // Settings configure one engine.
 type Settings struct {
-	Reads       bool // it processes prompts for writers; otherwise it writes answers
-	Slots       int
-	Queue       int
-	Blocks      int
+	Reads       bool          // it processes prompts for writers; otherwise it writes answers
+	Slots       int           // the most requests in a step
+	Queue       int           // the most requests that may wait
+	Blocks      int           // size of the memory
 	Block       int           // tokens per block
 	Chunk       int           // the most prompt tokens in a step
 	Step        time.Duration // fixed part of a step
-	PerSeq      time.Duration
+	PerSeq      time.Duration // for each answer that a step continues
 	PerContext  time.Duration // for each 1,000 tokens of context
 	PerToken    time.Duration // for each prompt token
 	ReadPerS    float64       // when all steps process whole chunks
-	ColdFrom    float64
-	Warm        time.Duration
-	FallAt      float64
-	Fall        time.Duration
-	CancelStops bool
+	ColdFrom    float64       // share of full speed right after a start
+	Warm        time.Duration // from a start until full speed
+	FallAt      float64       // a cold engine fails if it gets more than this multiple of its capacity ...
+	Fall        time.Duration // ... over this long
+	CancelStops bool          // a cancel ends running requests
 }
 
 // Draw returns the settings of one engine of the kind. The same seed gives the same settings.
--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -77,15 +77,15 @@
 type Index struct {
 	settings           Settings
 	table              *table
-	active             slotSet
+	active             slotSet // slots assigned to workers
 	stale              slotSet // released slots whose bits are still set in table entries
 	sweeping           slotSet // the stale slots that the current sweep clears
-	freeSlots          []int
+	freeSlots          []int   // neither active nor stale
 	workers            map[string]*worker
 	workerBySlot       []*worker       // nil = slot is free or stale; kept at most half assigned, as stale slots wait for the sweep
 	slotsByBlockTokens map[int]slotSet // slots by block size in tokens
 	matching           slotSet         // scratch space of Lookup
-	dropped            slotSet
+	dropped            slotSet         // scratch space of Lookup
 	stats              Stats
 }
 
@@ -99,11 +99,11 @@
 	blockTokens int
 	gapSince    time.Duration // when a batch was first missed, 0 = nothing is missing
 	buffered    []Batch       // batches received ahead of nextSeq, by number
-	budget      float64
-	budgetAt    time.Duration
-	blockCount  int
-	incomplete  bool // may hold more than is indexed: blocks were forgotten since its cache was last empty
-	silent      bool // nothing was heard from its publisher since
+	budget      float64       // block changes that may still be reported now
+	budgetAt    time.Duration // when budget was last updated
+	blockCount  int           // blocks of this worker in the index
+	incomplete  bool          // may hold more than is indexed: blocks were forgotten since its cache was last empty
+	silent      bool          // nothing was heard from its publisher since
 }
 
 // New returns an empty Index.
@@ -470,7 +470,7 @@
 // Lookup returns the cached prefix of a prompt for each worker that holds any of it, longest first, and the ids of the
 // workers whose cache is completely known; a worker not among these may hold more than is indexed. chainFor returns the
 // prompt's block hashes for a block size; it is called once for each size in use.
-func (x *Index) Lookup(now time.Duration, chainFor func(blockTokens int) []uint64) (kept []Kept, complete []string) {
+func (x *Index) Lookup(now time.Duration, chainFor func(blockTokens int) []uint64) (prefixes []Kept, complete []string) {
 	for _, w := range x.workers {
 		x.expireGap(now, w)
 	}
@@ -480,7 +480,7 @@
 		addKept := func(dropped slotSet) {
 			dropped.each(func(i int) {
 				if depth > 0 {
-					kept = append(kept, Kept{x.workerBySlot[i].id, depth * blockTokens})
+					prefixes = append(prefixes, Kept{x.workerBySlot[i].id, depth * blockTokens})
 				}
 			})
 		}
@@ -506,7 +506,7 @@
 		}
 	}
 	slices.Sort(complete)
-	slices.SortFunc(kept, func(a, b Kept) int {
+	slices.SortFunc(prefixes, func(a, b Kept) int {
 		if a.Tokens != b.Tokens {
 			return b.Tokens - a.Tokens
 		}
@@ -515,7 +515,7 @@
 		}
 		return 1
 	})
-	return kept, complete
+	return prefixes, complete
 }
 
 // RecordPrediction compares the predicted cached tokens of a prompt with those that an engine actually found.
--- a/internal/kvindex/index_test.go
+++ b/internal/kvindex/index_test.go
@@ -44,9 +44,9 @@
 }
 
 func (x *Index) cachedBlocks(now time.Duration, id string, hashes []uint64) (int, bool) {
-	kept, completeWorkers := x.Lookup(now, func(int) []uint64 { return hashes })
+	prefixes, completeWorkers := x.Lookup(now, func(int) []uint64 { return hashes })
 	complete := slices.Contains(completeWorkers, id)
-	for _, k := range kept {
+	for _, k := range prefixes {
 		if k.Worker == id {
 			return k.Tokens / 16, complete
 		}
@@ -61,9 +61,9 @@
 	x.Apply(0, "b", stored(1, 0, 0, hashes[:7]...))
 	x.Apply(0, "c", stored(1, 0, hashes[1], hashes[2:]...)) // not from the start of the prompt, so it doesn't count
 	calls := 0
-	kept, complete := x.Lookup(0, func(block int) []uint64 { calls++; return hashes })
-	if fmt.Sprint(kept) != "[{b 112} {a 64}]" || fmt.Sprint(complete) != "[a b c]" || calls != 1 {
-		t.Errorf("cached %v, complete %v, in %d calls", kept, complete, calls)
+	prefixes, complete := x.Lookup(0, func(block int) []uint64 { calls++; return hashes })
+	if fmt.Sprint(prefixes) != "[{b 112} {a 64}]" || fmt.Sprint(complete) != "[a b c]" || calls != 1 {
+		t.Errorf("cached %v, complete %v, in %d calls", prefixes, complete, calls)
 	}
 	if n := x.Stats().Refused[UnknownParent]; n != 1 {
 		t.Errorf("%d batches without a known parent", n)
@@ -368,9 +368,9 @@
 				continue
 			}
 			x.Apply(now, id, b)
-			kept, complete := x.Lookup(now, func(int) []uint64 { return hashes })
-			if len(kept) > 3 || len(complete) > 3 || x.table.count > 50 {
-				t.Fatalf("cached %v, complete %v, %d blocks", kept, complete, x.table.count)
+			prefixes, complete := x.Lookup(now, func(int) []uint64 { return hashes })
+			if len(prefixes) > 3 || len(complete) > 3 || x.table.count > 50 {
+				t.Fatalf("cached %v, complete %v, %d blocks", prefixes, complete, x.table.count)
 			}
 			n := 0
 			for i, e := range x.table.entries {
@@ -410,11 +410,11 @@
 		}
 	}
 	x.Apply(0, "one too many", Batch{Incarnation: 1})
-	kept, complete := x.Lookup(0, func(int) []uint64 { return shared })
-	if len(kept) != maxWorkers || len(complete) != maxWorkers || x.Stats().Refused[NoRoom] != 1 {
-		t.Fatalf("%d workers cache some of the prefix, %d are completely known, refused %v", len(kept), len(complete), x.Stats().Refused)
+	prefixes, complete := x.Lookup(0, func(int) []uint64 { return shared })
+	if len(prefixes) != maxWorkers || len(complete) != maxWorkers || x.Stats().Refused[NoRoom] != 1 {
+		t.Fatalf("%d workers cache some of the prefix, %d are completely known, refused %v", len(prefixes), len(complete), x.Stats().Refused)
 	}
-	for _, k := range kept {
+	for _, k := range prefixes {
 		var i int
 		fmt.Sscanf(k.Worker, "w%d", &i)
 		want := 16 * (1 + i%3)
@@ -428,8 +428,8 @@
 	for i := range maxWorkers { // after the growth: remove the first block of the shared prefix everywhere
 		x.Apply(0, name(i), Batch{Incarnation: 1 + uint64((7-i%7)/7), Seq: 1, Changes: []Change{{Removed: shared[:1]}}})
 	}
-	if kept, _ := x.Lookup(0, func(int) []uint64 { return shared }); len(kept) != 0 {
-		t.Errorf("%d workers still cache a prompt whose first block was removed", len(kept))
+	if prefixes, _ := x.Lookup(0, func(int) []uint64 { return shared }); len(prefixes) != 0 {
+		t.Errorf("%d workers still cache a prompt whose first block was removed", len(prefixes))
 	}
 	if after := bytes(); after > 2*before {
 		t.Errorf("%d bytes after growing, %d before", after, before)
--- a/internal/reports/reports.go
+++ b/internal/reports/reports.go
@@ -99,30 +99,30 @@
 	hashes := make(map[int][]uint64)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept, complete := l.index.Lookup(l.now(), func(blockTokens int) []uint64 {
+	prefixes, complete := l.index.Lookup(l.now(), func(blockTokens int) []uint64 {
 		if hashes[blockTokens] == nil {
 			hashes[blockTokens] = kvevents.Chain(prompt, blockTokens)
 		}
 		return hashes[blockTokens]
 	})
-	if len(kept)+len(complete) == 0 {
+	if len(prefixes)+len(complete) == 0 {
 		return nil
 	}
 	out := make(map[string]int, len(complete))
 	for _, id := range complete {
 		out[id] = 0
 	}
-	for _, k := range kept {
+	for _, k := range prefixes {
 		out[k.Worker] = k.Tokens
 	}
 	return out
 }
 
 // Found implements core.Texts: it records how a prediction by Kept compares with what the worker found.
-func (l *Listener) Found(_ string, predicted, kept int) {
+func (l *Listener) Found(_ string, predicted, actual int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.index.Compare(predicted, kept)
+	l.index.Compare(predicted, actual)
 }
 
 // Stats returns the index's statistics. Batches that could not be decoded are counted in Refused.
