--- a/internal/scale/soak/client.go
+++ b/internal/scale/soak/client.go
@@ -13,94 +13,94 @@
 	"time"
 )
 
-// sent is one request as its client saw it.
-type sent struct {
-	id          string
-	router      int
-	unsafe      bool
-	at          time.Time     // its last byte was written
-	wait        time.Duration // its client waits so long for the first token
-	ended       time.Time     // its answer's last byte came, or its connection ended
-	status      int           // 0: no answer came
-	whole       bool          // its answer came to its end
-	left        time.Time     // its client closed the connection, zero: it did not
-	reused      bool          // its connection had served before
-	generations [2]int        // of the router's process, before and after
+// clientRequest is one request as its client saw it.
+type clientRequest struct {
+	id                string
+	router            int
+	nonIdempotent     bool
+	at                time.Time     // when its last byte was written
+	firstTokenTimeout time.Duration // deadline for the first token, in X-Remaining-Ms
+	ended             time.Time     // when the last byte of its response came or its connection ended
+	status            int           // 0: no response came
+	complete          bool          // the response was received to its end
+	disconnectedAt    time.Time     // when its client closed the connection early; zero: it did not
+	reusedConn        bool          // its connection had served an earlier request
+	incarnations      [2]int        // of the router's process, before and after the request
 }
 
-// Limits of what clients do.
+// Behavior of the clients.
 const (
-	think       = 60 * time.Millisecond
-	leaveShare  = 0.08
-	giveUpAfter = 12 * time.Second // a client that has had nothing by then closes
-	dialWait    = 500 * time.Millisecond
+	meanThinkTime   = 60 * time.Millisecond
+	disconnectShare = 0.08
+	responseTimeout = 12 * time.Second // a client closes its connection if no response has come by then
+	dialTimeout     = 500 * time.Millisecond
 )
 
-// client plays requests on one connection at a time.
+// client sends requests one after the other, over one connection at a time.
 type client struct {
-	run    *deployment
-	router int
-	number int
-	random *rand.Rand
-	conn   net.Conn
-	in     *bufio.Reader
-	served int // requests on the connection
+	system         *deployment
+	router         int
+	number         int
+	random         *rand.Rand
+	conn           net.Conn
+	reader         *bufio.Reader
+	requestsOnConn int // requests sent over the current connection
 }
 
-// clients are all of a run.
-type clients struct {
-	mu   sync.Mutex
-	done []*sent
+// requestLog collects the finished requests of all clients of a run.
+type requestLog struct {
+	mu       sync.Mutex
+	finished []*clientRequest
 }
 
-func (c *clients) add(s *sent) {
+func (c *requestLog) add(s *clientRequest) {
 	c.mu.Lock()
-	c.done = append(c.done, s)
+	c.finished = append(c.finished, s)
 	c.mu.Unlock()
 }
 
-// play sends requests until ctx ends, on connections that stay open for as long as the router lets them.
-func (c *client) play(ctx context.Context, all *clients) {
+// run sends requests until ctx ends. Its connections stay open for as long as the router keeps them.
+func (c *client) run(ctx context.Context, log *requestLog) {
 	defer c.close()
 	for n := 0; ctx.Err() == nil; n++ {
-		pause := time.Duration(c.random.Int64N(int64(2 * think)))
-		s := c.draw(n)
-		leaves := time.Duration(0)
-		if c.random.Float64() < leaveShare {
-			leaves = time.Duration(1 + c.random.Int64N(int64(400*time.Millisecond)))
+		thinkTime := time.Duration(c.random.Int64N(int64(2 * meanThinkTime)))
+		s := c.nextRequest(n)
+		disconnectAfter := time.Duration(0)
+		if c.random.Float64() < disconnectShare {
+			disconnectAfter = time.Duration(1 + c.random.Int64N(int64(400*time.Millisecond)))
 		}
-		time.Sleep(pause)
+		time.Sleep(thinkTime)
 		if !c.connect() {
 			continue
 		}
-		c.do(s, leaves)
+		c.send(s, disconnectAfter)
 		if !s.at.IsZero() {
-			all.add(s)
+			log.add(s)
 		}
 	}
 }
 
-// draw makes the next request.
-func (c *client) draw(n int) *sent {
-	s := &sent{id: fmt.Sprintf("r%dc%dn%d", c.router, c.number, n), router: c.router, unsafe: c.random.IntN(2) == 0}
-	s.wait = 1500*time.Millisecond + time.Duration(c.random.Int64N(int64(1400*time.Millisecond)))
+// nextRequest draws the n-th request.
+func (c *client) nextRequest(n int) *clientRequest {
+	s := &clientRequest{id: fmt.Sprintf("r%dc%dn%d", c.router, c.number, n), router: c.router, nonIdempotent: c.random.IntN(2) == 0}
+	s.firstTokenTimeout = 1500*time.Millisecond + time.Duration(c.random.Int64N(int64(1400*time.Millisecond)))
 	return s
 }
 
-// connect opens a connection where there is none, if the router wants new clients.
+// connect opens a connection if there is none and the router admits new clients.
 func (c *client) connect() bool {
 	if c.conn != nil {
 		return true
 	}
-	r := c.run.routers[c.router]
-	if !r.admitted() {
+	r := c.system.routers[c.router]
+	if !r.isAdmitting() {
 		return false
 	}
-	conn, err := net.DialTimeout("tcp", r.address, dialWait)
+	conn, err := net.DialTimeout("tcp", r.address, dialTimeout)
 	if err != nil {
 		return false
 	}
-	c.conn, c.in, c.served = conn, bufio.NewReader(conn), 0
+	c.conn, c.reader, c.requestsOnConn = conn, bufio.NewReader(conn), 0
 	return true
 }
 
@@ -111,50 +111,51 @@
 	}
 }
 
-// do plays one request to the end of its answer.
-func (c *client) do(s *sent, leaves time.Duration) {
-	r := c.run.routers[c.router]
-	s.reused, s.generations[0] = c.served > 0, r.generation()
-	defer func() { s.ended, s.generations[1] = time.Now(), r.generation() }()
-	if _, err := io.WriteString(c.conn, c.text(s)); err != nil {
+// send sends one request and reads its response to the end. If disconnectAfter is not zero, it closes the connection
+// after that time.
+func (c *client) send(s *clientRequest, disconnectAfter time.Duration) {
+	r := c.system.routers[c.router]
+	s.reusedConn, s.incarnations[0] = c.requestsOnConn > 0, r.currentIncarnation()
+	defer func() { s.ended, s.incarnations[1] = time.Now(), r.currentIncarnation() }()
+	if _, err := io.WriteString(c.conn, c.rawRequest(s)); err != nil {
 		c.close()
 		return
 	}
 	s.at = time.Now()
-	if leaves > 0 {
+	if disconnectAfter > 0 {
 		conn := c.conn
-		defer time.AfterFunc(leaves, func() {
-			c.run.clients.mu.Lock()
-			s.left = time.Now()
-			c.run.clients.mu.Unlock()
+		defer time.AfterFunc(disconnectAfter, func() {
+			c.system.requestLog.mu.Lock()
+			s.disconnectedAt = time.Now()
+			c.system.requestLog.mu.Unlock()
 			conn.Close()
 		}).Stop()
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(giveUpAfter))
-	res, err := http.ReadResponse(c.in, nil)
+	_ = c.conn.SetReadDeadline(time.Now().Add(responseTimeout))
+	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		c.close()
 		return
 	}
 	s.status = res.StatusCode
 	_, err = io.Copy(io.Discard, res.Body)
-	s.whole = err == nil
-	c.served++
+	s.complete = err == nil
+	c.requestsOnConn++
 	if err != nil || res.Close {
 		c.close()
 	}
 }
 
-// text is the request as it stands on the wire.
-func (c *client) text(s *sent) string {
+// rawRequest returns the request as written to the wire.
+func (c *client) rawRequest(s *clientRequest) string {
 	class := "draft-reply"
-	if s.unsafe {
+	if s.nonIdempotent {
 		class = "send-message"
 	}
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":9,"messages":[{"role":"user","content":"%s"}]}`, s.id)
-	var head strings.Builder
-	fmt.Fprintf(&head, "POST /v1/chat/completions HTTP/1.1\r\nHost: soak\r\nContent-Type: application/json\r\nX-Txn: %s\r\nX-Lane: %s\r\n", s.id, class)
-	fmt.Fprintf(&head, "X-Entity: %016x\r\nX-Remaining-Ms: %d\r\n", c.number+1, s.wait.Milliseconds())
-	fmt.Fprintf(&head, "X-Labels: prefix=%016x,prompt_len=40,prefix_len=20,max_out=9\r\nContent-Length: %d\r\n\r\n%s", s.id[1], len(body), body)
-	return head.String()
+	var request strings.Builder
+	fmt.Fprintf(&request, "POST /v1/chat/completions HTTP/1.1\r\nHost: soak\r\nContent-Type: application/json\r\nX-Txn: %s\r\nX-Lane: %s\r\n", s.id, class)
+	fmt.Fprintf(&request, "X-Entity: %016x\r\nX-Remaining-Ms: %d\r\n", c.number+1, s.firstTokenTimeout.Milliseconds())
+	fmt.Fprintf(&request, "X-Labels: prefix=%016x,prompt_len=40,prefix_len=20,max_out=9\r\nContent-Length: %d\r\n\r\n%s", s.id[1], len(body), body)
+	return request.String()
 }
--- a/internal/scale/soak/deployment.go
+++ b/internal/scale/soak/deployment.go
@@ -19,13 +19,13 @@
 	"rowanyard/internal/wallclock"
 )
 
-// Programs are the executables of a run.
+// Programs holds the executables of a run.
 type Programs struct {
-	Router string   // built by package clockstep
-	Worker []string // starts a process that calls RunWorker
+	Router string   // built by clockstep.Build
+	Worker []string // command line of a process that calls RunWorker
 }
 
-// worker is one worker of a run, over all of its processes.
+// worker is one worker of a run. Its process may be replaced by a new one during the run.
 type worker struct {
 	host, kind string
 	block      int
@@ -36,59 +36,59 @@
 	bornMs float64
 }
 
-// listing is a change of a worker's health in the list.
-type listing struct {
+// healthChange is a change of a worker's health in the list that discovery serves.
+type healthChange struct {
 	at     time.Time
 	host   string
 	health string
 }
 
-// deployment is a running plan.
+// deployment holds the processes and the state of a run.
 type deployment struct {
-	plan     Plan
-	run      int32
-	programs Programs
-	folder   string
-	ledger   *ledger
-	registry *registry.Registry
-	routers  []*router
-	workers  []*worker
-	clients  *clients
+	plan       Plan
+	runNumber  int32
+	programs   Programs
+	dir        string
+	ledger     *ledger
+	registry   *registry.Registry
+	routers    []*router
+	workers    []*worker
+	requestLog *requestLog
 
-	mu       sync.Mutex // the workers' processes and entries
-	listings []listing
-	silences []silence
+	mu               sync.Mutex // guards the workers' processes and entries, and what follows
+	healthChanges    []healthChange
+	discoveryOutages []discoveryOutage
 }
 
-// silence is a time in which a router could not hear discovery.
-type silence struct {
+// discoveryOutage is a period in which a router received nothing from discovery.
+type discoveryOutage struct {
 	router   int
 	from, to time.Time
 }
 
 const (
-	sampleEvery = 100 * time.Millisecond
-	settleTime  = 4 * time.Second // after the last fault's end, for what is still open
+	sampleInterval = 100 * time.Millisecond
+	settleTime     = 4 * time.Second // after the last fault, for open requests and held state
 )
 
-// Run plays a plan and returns what the judge finds.
+// Run carries out a plan and returns the violations that the checks find.
 func Run(plan Plan, programs Programs) (Report, error) {
-	folder, err := os.MkdirTemp("", "soak")
+	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return Report{}, err
 	}
-	defer os.RemoveAll(folder)
-	d := &deployment{plan: plan, run: runs.Add(1), programs: programs, folder: folder, clients: &clients{}}
+	defer os.RemoveAll(dir)
+	d := &deployment{plan: plan, runNumber: runCount.Add(1), programs: programs, dir: dir, requestLog: &requestLog{}}
 	defer d.close()
-	if err := d.assemble(); err != nil {
+	if err := d.startProcesses(); err != nil {
 		return Report{}, err
 	}
-	d.play()
-	return d.judge(), nil
+	d.runWorkload()
+	return d.checkInvariants(), nil
 }
 
-// assemble starts all processes.
-func (d *deployment) assemble() error {
+// startProcesses starts all processes.
+func (d *deployment) startProcesses() error {
 	var err error
 	if d.ledger, err = startLedger(); err != nil {
 		return err
@@ -104,40 +104,40 @@
 			return err
 		}
 	}
-	d.registry = registry.New(d.list().Hosts)
+	d.registry = registry.New(d.workerList().Hosts)
 	for i := range d.plan.Routers {
 		if err := d.addRouter(i); err != nil {
 			return err
 		}
 	}
-	var all sync.WaitGroup
-	failed := make([]error, len(d.routers))
+	var starts sync.WaitGroup
+	errs := make([]error, len(d.routers))
 	for i, r := range d.routers {
-		all.Go(func() { failed[i] = r.start(d.plan.Routers) })
+		starts.Go(func() { errs[i] = r.start(d.plan.Routers) })
 	}
-	all.Wait()
-	return errors.Join(failed...)
+	starts.Wait()
+	return errors.Join(errs...)
 }
 
 func (d *deployment) addRouter(number int) error {
-	r := &router{number: number, name: fmt.Sprint("n", number), program: d.programs.Router, hosts: d.list, address: addressOf(d.run, number)}
+	r := &router{number: number, name: fmt.Sprint("n", number), program: d.programs.Router, listWorkers: d.workerList, address: routerAddress(d.runNumber, number)}
 	var err error
-	if r.folder, err = os.MkdirTemp(d.folder, r.name); err != nil {
+	if r.dir, err = os.MkdirTemp(d.dir, r.name); err != nil {
 		return err
 	}
-	door, err := d.registry.Open()
+	endpoint, err := d.registry.Open()
 	if err != nil {
 		return err
 	}
-	if r.discovery, err = faultproxy.Start(door.Address); err != nil {
+	if r.discovery, err = faultproxy.Start(endpoint.Address); err != nil {
 		return err
 	}
 	d.routers = append(d.routers, r)
 	return nil
 }
 
-// list is the list of workers as discovery has it.
-func (d *deployment) list() httpfront.List {
+// workerList returns the list of workers as discovery serves it.
+func (d *deployment) workerList() httpfront.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	l := httpfront.List{Seq: 1, Whole: true}
@@ -154,23 +154,23 @@
 	return httpfront.Entry{Host: w.host, Dial: w.proxy.Address(), Site: "here", Class: w.kind, Block: w.block, Health: w.health, Share: 1, BornMs: w.bornMs}
 }
 
-// startWorker starts a process of a worker behind its proxy.
+// startWorker starts a new process for a worker and directs the worker's proxy to it.
 func (d *deployment) startWorker(w *worker) error {
-	incarnation := d.ledger.born(w.host)
+	incarnation := d.ledger.newIncarnation(w.host)
 	command := exec.Command(d.programs.Worker[0], d.programs.Worker[1:]...)
 	command.Env = append(os.Environ(), envLedger+"="+d.ledger.listener.Addr().String(), envHost+"="+w.host, envKind+"="+w.kind,
 		fmt.Sprint(envIncarnation, "=", incarnation))
-	if _, err := command.StdinPipe(); err != nil { // held open for as long as this process runs
+	if _, err := command.StdinPipe(); err != nil { // stays open until this process ends, which ends the worker
 		return err
 	}
-	out, err := command.StdoutPipe()
+	stdout, err := command.StdoutPipe()
 	if err != nil {
 		return err
 	}
 	if err := command.Start(); err != nil {
 		return err
 	}
-	line, err := bufio.NewReader(out).ReadString('\n')
+	line, err := bufio.NewReader(stdout).ReadString('\n')
 	if err != nil {
 		return fmt.Errorf("%s: %w", w.host, err)
 	}
@@ -186,22 +186,22 @@
 	return nil
 }
 
-// play runs the clients and the faults to their end.
-func (d *deployment) play() {
+// runWorkload runs the clients and injects the scheduled faults.
+func (d *deployment) runWorkload() {
 	ctx, stop := context.WithCancel(context.Background())
 	var clients, faults sync.WaitGroup
 	for _, r := range d.routers {
 		for n := range d.plan.Clients {
-			c := &client{run: d, router: r.number, number: n, random: rand.New(rand.NewPCG(d.plan.Seed, uint64(r.number)<<8|uint64(n)))}
-			clients.Go(func() { c.play(ctx, d.clients) })
+			c := &client{system: d, router: r.number, number: n, random: rand.New(rand.NewPCG(d.plan.Seed, uint64(r.number)<<8|uint64(n)))}
+			clients.Go(func() { c.run(ctx, d.requestLog) })
 		}
 	}
-	clients.Go(func() { d.watchUse(ctx) })
-	began := time.Now()
+	clients.Go(func() { d.sampleRouters(ctx) })
+	startedAt := time.Now()
 	for _, f := range d.plan.Schedule() {
 		faults.Go(func() {
-			time.Sleep(time.Until(began.Add(f.At)))
-			d.apply(f)
+			time.Sleep(time.Until(startedAt.Add(f.At)))
+			d.inject(f)
 		})
 	}
 	time.Sleep(d.plan.Length)
@@ -211,27 +211,27 @@
 	time.Sleep(settleTime)
 }
 
-// watchUse samples what routers use.
-func (d *deployment) watchUse(ctx context.Context) {
+// sampleRouters samples the resource usage of all routers until ctx ends.
+func (d *deployment) sampleRouters(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, r := range d.routers {
 			r.sample()
 		}
-		time.Sleep(sampleEvery)
+		time.Sleep(sampleInterval)
 	}
 }
 
-// apply plays one fault to its end.
-func (d *deployment) apply(f Fault) {
+// inject injects one fault and ends it after its duration.
+func (d *deployment) inject(f Fault) {
 	switch f.Kind {
 	case DiscoverySilent, DiscoveryResets, RouterEnds, RouterKilled, RouterReloads, ClockStepped, Crowd:
-		d.applyToRouter(f, d.routers[f.Target])
+		d.injectIntoRouter(f, d.routers[f.Target])
 	default:
-		d.applyToWorker(f, d.workers[f.Target])
+		d.injectIntoWorker(f, d.workers[f.Target])
 	}
 }
 
-func (d *deployment) applyToRouter(f Fault, r *router) {
+func (d *deployment) injectIntoRouter(f Fault, r *router) {
 	switch f.Kind {
 	case DiscoverySilent:
 		from := time.Now()
@@ -239,12 +239,12 @@
 		time.Sleep(f.For)
 		r.discovery.Set(faultproxy.None)
 		d.mu.Lock()
-		d.silences = append(d.silences, silence{r.number, from, time.Now()})
+		d.discoveryOutages = append(d.discoveryOutages, discoveryOutage{r.number, from, time.Now()})
 		d.mu.Unlock()
 	case DiscoveryResets:
 		r.discovery.Reset()
 		d.mu.Lock()
-		d.silences = append(d.silences, silence{r.number, time.Now(), time.Now().Add(newsDue)}) // until its next call
+		d.discoveryOutages = append(d.discoveryOutages, discoveryOutage{r.number, time.Now(), time.Now().Add(discoveryDelayLimit)}) // until the router reconnects
 		d.mu.Unlock()
 	case RouterEnds:
 		r.terminate()
@@ -260,25 +260,25 @@
 		time.Sleep(f.For)
 		_ = r.stepClock(0)
 	case Crowd:
-		r.crowd(f.Amount, f.For)
+		r.openIdleConnections(f.Amount, f.For)
 	}
 }
 
-func (d *deployment) applyToWorker(f Fault, w *worker) {
-	network := func(set func()) {
+func (d *deployment) injectIntoWorker(f Fault, w *worker) {
+	injectNetworkFault := func(set func()) {
 		set()
 		time.Sleep(f.For)
 		w.proxy.Set(faultproxy.None)
 	}
 	switch f.Kind {
 	case WorkerSilent:
-		network(func() { w.proxy.SetAfter(faultproxy.Silent, f.Amount, 0) })
+		injectNetworkFault(func() { w.proxy.SetAfter(faultproxy.Silent, f.Amount, 0) })
 	case WorkerNeverUp:
-		network(func() { w.proxy.SetAfter(faultproxy.NeverUp, f.Amount, 0) })
+		injectNetworkFault(func() { w.proxy.SetAfter(faultproxy.NeverUp, f.Amount, 0) })
 	case WorkerRefuses:
-		network(func() { w.proxy.Set(faultproxy.Refused) })
+		injectNetworkFault(func() { w.proxy.Set(faultproxy.Refused) })
 	case WorkerLate:
-		network(func() { w.proxy.SetLate(time.Duration(f.Amount) * time.Millisecond) })
+		injectNetworkFault(func() { w.proxy.SetLate(time.Duration(f.Amount) * time.Millisecond) })
 	case WorkerMuted:
 		w.proxy.Mute()
 	case WorkerResets:
@@ -291,12 +291,12 @@
 		d.signalWorker(w, syscall.SIGKILL)
 		time.Sleep(f.For)
 		if d.startWorker(w) == nil {
-			d.relist(w, func() { w.bornMs = float64(wallclock.Milliseconds()) })
+			d.changeEntry(w, func() { w.bornMs = float64(wallclock.Milliseconds()) })
 		}
 	case WorkerDrains:
-		d.relist(w, func() { w.health = "draining" })
+		d.changeEntry(w, func() { w.health = "draining" })
 		time.Sleep(f.For)
-		d.relist(w, func() { w.health = "up" })
+		d.changeEntry(w, func() { w.health = "up" })
 	}
 }
 
@@ -309,19 +309,19 @@
 	}
 }
 
-// relist changes a worker's entry and tells discovery.
-func (d *deployment) relist(w *worker, change func()) {
+// changeEntry changes a worker's entry and publishes it through discovery.
+func (d *deployment) changeEntry(w *worker, change func()) {
 	d.mu.Lock()
 	change()
 	entry := w.entry()
 	d.mu.Unlock()
 	d.registry.Change(entry)
 	d.mu.Lock()
-	d.listings = append(d.listings, listing{time.Now(), w.host, entry.Health})
+	d.healthChanges = append(d.healthChanges, healthChange{time.Now(), w.host, entry.Health})
 	d.mu.Unlock()
 }
 
-// close ends all that the run has started.
+// close ends everything that the run has started.
 func (d *deployment) close() {
 	for _, r := range d.routers {
 		if r.command != nil {
--- a/internal/scale/soak/judge.go
+++ b/internal/scale/soak/judge.go
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// Rule is an invariant that the judge knows.
+// Rule is an invariant that is checked after a run.
 type Rule string
 
-// The rules.
+// The invariants.
 const (
-	Answered Rule = "one final answer, in time"
-	Once     Rule = "what must not run twice runs once"
-	Pinned   Rule = "what is held is taken or let go in time"
-	Drained  Rule = "nothing new to a worker that drains"
-	Gone     Rule = "nothing begins for a client that has gone"
-	Told     Rule = "the deadline told is what is left"
-	Ready    Rule = "a process is ready in time"
-	Bounded  Rule = "memory and descriptors are bounded"
-	Alive    Rule = "no process ends by itself"
-	Guarded  Rule = "no guard finds a violation"
+	Answered Rule = "every request is answered once and in time"
+	Once     Rule = "a request that must not run twice runs at most once"
+	Pinned   Rule = "state held for a request is fetched or released in time"
+	Drained  Rule = "a draining worker gets no new attempts"
+	Gone     Rule = "no attempt starts for a client that has disconnected"
+	Told     Rule = "a worker is sent no more time than the client has left"
+	Ready    Rule = "a router process is ready in time"
+	Bounded  Rule = "memory and descriptors stay within their limits"
+	Alive    Rule = "no router process exits by itself"
+	Guarded  Rule = "no internal invariant check fails"
 )
 
-// Figures of the rules.
+// Limits that the checks apply.
 const (
-	answerSlack   = 500 * time.Millisecond
-	pinLimit      = 300 * time.Millisecond
-	pinSlack      = 350 * time.Millisecond // of the terms, 0.3 s, and of the sockets, 0.05 s
-	drainGrace    = 550 * time.Millisecond
-	goneGrace     = 100 * time.Millisecond
-	toldSlack     = 150 * time.Millisecond
-	newsDue       = 6 * time.Second // a change counts as told, whatever discovery is like
-	endGrace      = 700 * time.Millisecond
-	machineSlack  = 100 * time.Millisecond // between two records of one event, on a busy machine
-	stoppedFreely = 5 * time.Second        // what a killed router left is freed by the platform
+	responseSlack       = 500 * time.Millisecond
+	idleHoldLimit       = 300 * time.Millisecond
+	idleHoldSlack       = 350 * time.Millisecond // 0.3 s for the router's own limits and 0.05 s for sockets
+	drainGrace          = 550 * time.Millisecond
+	disconnectGrace     = 100 * time.Millisecond
+	deadlineSlack       = 150 * time.Millisecond
+	discoveryDelayLimit = 6 * time.Second // after this a change counts as known to a router, whatever state discovery is in
+	shutdownGrace       = 700 * time.Millisecond
+	clockSlack          = 100 * time.Millisecond // between two records of one event on a busy machine
+	killedRouterCleanup = 5 * time.Second        // the platform frees what a killed router left within this time
 )
 
-// Broken is one breach of a rule.
+// Violation is one violation of an invariant.
 type Broken struct {
 	Rule     Rule
 	What     string
-	ID       string   // of the request, if it is about one
-	Evidence []string // what was recorded of it
+	ID       string   // of the request concerned, if there is one
+	Evidence []string // log lines and events of that request, in order of time
 }
 
-// Report is what a run came to.
+// Report is the outcome of a run.
 type Report struct {
 	Seed                      uint64
 	Requests, Served, Refused int
@@ -57,10 +57,10 @@
 	Broken                    []Broken
 }
 
-// String is the report in one line, and a line for each breach.
+// String returns a summary line, followed by the violations, each with its evidence.
 func (r Report) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "seed %d: %d processes, %d faults, %d requests: %d served, %d refused, %d failed, %d without an answer; %d rules broken",
+	fmt.Fprintf(&text, "seed %d: %d processes, %d faults, %d requests: %d served, %d refused, %d failed, %d without a response; %d violations",
 		r.Seed, r.Processes, r.Faults, r.Requests, r.Served, r.Refused, r.Failed, r.Unanswered, len(r.Broken))
 	for _, b := range r.Broken {
 		fmt.Fprintf(&text, "\n  %s: %s", b.Rule, b.What)
@@ -71,29 +71,29 @@
 	return text.String()
 }
 
-// records are what the judge compares.
+// records holds what the processes and clients of a run recorded. The checks compare these records.
 type records struct {
-	entries  []entry
-	requests []*sent
-	listings []listing
-	silences []silence
-	routers  []*router
-	byID     map[string][]entry
+	events           []event
+	requests         []*clientRequest
+	healthChanges    []healthChange
+	discoveryOutages []discoveryOutage
+	routers          []*router
+	eventsByID       map[string][]event
 }
 
-func (d *deployment) judge() Report {
-	rec := &records{entries: d.ledger.all(), requests: d.clients.done, listings: d.listings, silences: d.silences, routers: d.routers,
-		byID: make(map[string][]entry)}
-	for _, e := range rec.entries {
-		rec.byID[e.id] = append(rec.byID[e.id], e)
+func (d *deployment) checkInvariants() Report {
+	rec := &records{events: d.ledger.snapshot(), requests: d.requestLog.finished, healthChanges: d.healthChanges, discoveryOutages: d.discoveryOutages, routers: d.routers,
+		eventsByID: make(map[string][]event)}
+	for _, e := range rec.events {
+		rec.eventsByID[e.id] = append(rec.eventsByID[e.id], e)
 	}
 	report := Report{Seed: d.plan.Seed, Requests: len(rec.requests), Faults: len(d.plan.Schedule()), Processes: len(d.workers)}
 	for _, r := range d.routers {
-		report.Processes += r.lives
+		report.Processes += r.processes
 	}
 	for _, s := range rec.requests {
 		switch {
-		case s.status == 200 && s.whole:
+		case s.status == 200 && s.complete:
 			report.Served++
 		case s.status == 429 || s.status == 503:
 			report.Refused++
@@ -103,7 +103,7 @@
 			report.Failed++
 		}
 	}
-	for _, rule := range []func(*records) []Broken{judgeAnswers, judgeEffects, judgeStates, judgeDrains, judgeGone, judgeDeadlines, judgeRouters} {
+	for _, rule := range []func(*records) []Broken{checkAnswers, checkEffects, checkStates, checkDrains, checkDisconnects, checkDeadlines, checkRouters} {
 		report.Broken = append(report.Broken, rule(rec)...)
 	}
 	for i := range report.Broken {
@@ -112,18 +112,18 @@
 	return report
 }
 
-// evidence is what was recorded of a request: by workers, by its client, and in the routers' logs.
+// evidence returns what workers, the client and the routers' logs recorded about a request, in order of time.
 func (rec *records) evidence(id string) (lines []string) {
 	if id == "" {
 		return nil
 	}
-	for _, e := range rec.byID[id] {
+	for _, e := range rec.eventsByID[id] {
 		lines = append(lines, fmt.Sprintf("%s %s at %s", e.at.UTC().Format(time.RFC3339Nano), e.kind, e.host))
 	}
 	for _, s := range rec.requests {
 		if s.id == id {
-			lines = append(lines, fmt.Sprintf("%s sent by its client, ended %v later, status %d, left %v", s.at.UTC().Format(time.RFC3339Nano),
-				s.ended.Sub(s.at), s.status, !s.left.IsZero()))
+			lines = append(lines, fmt.Sprintf("%s sent by its client, ended %v later, status %d, disconnected %v", s.at.UTC().Format(time.RFC3339Nano),
+				s.ended.Sub(s.at), s.status, !s.disconnectedAt.IsZero()))
 		}
 	}
 	for _, r := range rec.routers {
@@ -135,228 +135,232 @@
 	return lines
 }
 
-// ending is how a router's process ended, if it has.
-func (rec *records) ending(router, life int) (ending, bool) {
-	for _, e := range rec.routers[router].ends {
-		if e.life == life {
+// processExit returns how a router's process was ended; ok is false if it was not.
+func (rec *records) processExit(router, incarnation int) (processExit, bool) {
+	for _, e := range rec.routers[router].exits {
+		if e.incarnation == incarnation {
 			return e, true
 		}
 	}
-	return ending{}, false
+	return processExit{}, false
 }
 
-// judgeAnswers finds requests that were taken and not answered, or too late.
-func judgeAnswers(rec *records) (found []Broken) {
+// checkAnswers finds requests that got no response, or got it too late.
+func checkAnswers(rec *records) (found []Broken) {
 	for _, s := range rec.requests {
-		if !s.left.IsZero() {
+		if !s.disconnectedAt.IsZero() {
 			continue
 		}
-		if s.status != 0 && s.status != 200 && s.ended.Sub(s.at) > s.wait+answerSlack+machineSlack {
-			found = append(found, Broken{Rule: Answered, What: fmt.Sprintf("%s answered with %d after %v of %v", s.id, s.status, s.ended.Sub(s.at), s.wait), ID: s.id})
+		if s.status != 0 && s.status != 200 && s.ended.Sub(s.at) > s.firstTokenTimeout+responseSlack+clockSlack {
+			found = append(found, Broken{Rule: Answered, What: fmt.Sprintf("%s answered with status %d after %v, allowed were %v", s.id, s.status, s.ended.Sub(s.at), s.firstTokenTimeout), ID: s.id})
 		}
 		if s.status != 0 {
 			continue
 		}
-		if why := rec.excused(s); why == "" {
-			found = append(found, Broken{Rule: Answered, What: fmt.Sprintf("%s at n%d has no answer, %v after it was sent, reused %v, seen by workers %v",
-				s.id, s.router, s.ended.Sub(s.at), s.reused, len(rec.byID[s.id]) > 0), ID: s.id})
+		if reason := rec.excuse(s); reason == "" {
+			found = append(found, Broken{Rule: Answered, What: fmt.Sprintf("%s at n%d has no response %v after it was sent, reused connection %v, seen by workers %v",
+				s.id, s.router, s.ended.Sub(s.at), s.reusedConn, len(rec.eventsByID[s.id]) > 0), ID: s.id})
 		}
 	}
 	return found
 }
 
-// excused says why a request may be without an answer, "" = it may not.
-func (rec *records) excused(s *sent) string {
-	seen := len(rec.byID[s.id]) > 0 || len(rec.routers[s.router].lines("txn="+s.id+" ")) > 0
-	if !seen && s.ended.Sub(s.at) < s.wait {
-		return "its connection ended before it was read" // the client sends it once more
-	}
-	e, ended := rec.ending(s.router, s.generations[0])
-	if !ended || e.killed.IsZero() || s.ended.Before(e.killed.Add(-machineSlack)) {
+// excuse returns why a request may have no response, or "" if it must have one.
+func (rec *records) excuse(s *clientRequest) string {
+	seen := len(rec.eventsByID[s.id]) > 0 || len(rec.routers[s.router].lines("txn="+s.id+" ")) > 0
+	if !seen && s.ended.Sub(s.at) < s.firstTokenTimeout {
+		return "its connection ended before it was read" // a real client would retry it
+	}
+	e, ended := rec.processExit(s.router, s.incarnations[0])
+	if !ended || e.killedAt.IsZero() || s.ended.Before(e.killedAt.Add(-clockSlack)) {
 		return ""
 	}
-	if e.termed.IsZero() {
+	if e.terminatedAt.IsZero() {
 		return "its router was killed"
 	}
-	if s.at.After(e.termed.Add(endGrace)) && !seen {
-		return "it came after the end was told"
+	if s.at.After(e.terminatedAt.Add(shutdownGrace)) && !seen {
+		return "it arrived after its router had announced its shutdown"
 	}
 	return ""
 }
 
-// judgeEffects finds writes of a class that must not run twice that have.
-func judgeEffects(rec *records) (found []Broken) {
+// checkEffects finds non-idempotent requests whose write ran more than once.
+func checkEffects(rec *records) (found []Broken) {
 	effects := make(map[string]int)
-	for _, e := range rec.entries {
-		if e.kind == effect {
+	for _, e := range rec.events {
+		if e.kind == effectRan {
 			effects[e.id]++
 		}
 	}
-	unsafe := make(map[string]bool)
+	nonIdempotent := make(map[string]bool)
 	for _, s := range rec.requests {
-		unsafe[s.id] = s.unsafe
+		nonIdempotent[s.id] = s.nonIdempotent
 	}
 	for id, n := range effects {
-		if unsafe[id] && n > 1 {
-			found = append(found, Broken{Rule: Once, What: fmt.Sprintf("%s has run %d times", id, n), ID: id})
+		if nonIdempotent[id] && n > 1 {
+			found = append(found, Broken{Rule: Once, What: fmt.Sprintf("%s ran %d times", id, n), ID: id})
 		}
 	}
 	return found
 }
 
-// judgeStates finds states that were held for too long while none of their request's attempts had arrived and was out.
-func judgeStates(rec *records) (found []Broken) {
-	for id, entries := range rec.byID {
-		if rec.wasKilled(id) {
+// checkStates finds state that a reader held for too long while its request had no attempt running at any worker.
+func checkStates(rec *records) (found []Broken) {
+	for id, events := range rec.eventsByID {
+		if rec.routerWasKilled(id) {
 			continue
 		}
-		if b := judgeState(id, rec.withLostNews(id, entries)); b != nil {
+		if b := checkState(id, rec.withAbandonedReads(id, events)); b != nil {
 			found = append(found, *b)
 		}
 	}
 	return found
 }
 
-// withLostNews has a read that the router has heard nothing of be out until the router gave it up, as its log tells: its
-// connection was open until then, and what it left is held from its end on.
-func (rec *records) withLostNews(id string, entries []entry) []entry {
-	all := slices.Clone(entries)
+// withAbandonedReads returns the events with the end of each read moved to the time at which the router's log says that it
+// gave the read up, if that is later. The response to such a read was lost: to the router the read was still running, and
+// only after it gave up could it release the state.
+func (rec *records) withAbandonedReads(id string, events []event) []event {
+	all := slices.Clone(events)
 	for _, r := range rec.routers {
 		for _, line := range r.lines("txn=" + id + " ") {
 			if !strings.Contains(line.text, "msg=attempt") || !strings.Contains(line.text, "read=true") {
 				continue
 			}
 			for i, e := range all {
-				if e.kind == over && strings.Contains(line.text, "worker="+e.host+" ") && line.at.After(e.at) {
+				if e.kind == attemptEnded && strings.Contains(line.text, "worker="+e.host+" ") && line.at.After(e.at) {
 					all[i].at = line.at
 				}
 			}
 		}
 	}
-	slices.SortStableFunc(all, func(a, b entry) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(all, func(a, b event) int { return a.at.Compare(b.at) })
 	return all
 }
 
-// judgeState follows one request's entries.
-func judgeState(id string, entries []entry) *Broken {
-	holds := false
-	out := make(map[string]int)
-	var free time.Time // since then nothing that has arrived is out
+// checkState goes through the events of one request.
+func checkState(id string, events []event) *Broken {
+	isHeld := false
+	active := make(map[string]int)
+	var idleSince time.Time // since when no attempt of the request has been running
 	check := func(until time.Time) *Broken {
-		idle := 0
-		for _, n := range out {
-			idle += n
+		activeCount := 0
+		for _, n := range active {
+			activeCount += n
 		}
-		if span := until.Sub(free); holds && idle == 0 && span > pinLimit+pinSlack {
-			return &Broken{Rule: Pinned, What: fmt.Sprintf("%s: its state was held for %v with nothing out", id, span), ID: id}
+		if idleFor := until.Sub(idleSince); isHeld && activeCount == 0 && idleFor > idleHoldLimit+idleHoldSlack {
+			return &Broken{Rule: Pinned, What: fmt.Sprintf("%s: its state was held for %v with no attempt running", id, idleFor), ID: id}
 		}
 		return nil
 	}
-	for _, e := range entries {
+	for _, e := range events {
 		if b := check(e.at); b != nil {
 			return b
 		}
 		switch e.kind {
-		case held:
-			holds, free = true, e.at
-		case taken, released, lost:
-			holds = false
-		case arrived:
-			out[e.host]++
-		case over:
-			out[e.host] = max(0, out[e.host]-1)
-			free = e.at
-		}
-	}
-	if holds {
+		case stateHeld:
+			isHeld, idleSince = true, e.at
+		case stateFetched, stateReleased, stateLost:
+			isHeld = false
+		case attemptArrived:
+			active[e.host]++
+		case attemptEnded:
+			active[e.host] = max(0, active[e.host]-1)
+			idleSince = e.at
+		}
+	}
+	if isHeld {
 		return check(time.Now())
 	}
 	return nil
 }
 
-// wasKilled says whether the router that a request was at was killed meanwhile: the platform frees what it left.
-func (rec *records) wasKilled(id string) bool {
+// routerWasKilled reports whether the router that served a request was killed during or shortly before it. The platform then
+// frees the state that the router left.
+func (rec *records) routerWasKilled(id string) bool {
 	for _, s := range rec.requests {
 		if s.id == id {
-			e, ended := rec.ending(s.router, s.generations[0])
-			return ended && !e.killed.IsZero() && e.killed.Before(s.ended.Add(stoppedFreely))
+			e, ended := rec.processExit(s.router, s.incarnations[0])
+			return ended && !e.killedAt.IsZero() && e.killedAt.Before(s.ended.Add(killedRouterCleanup))
 		}
 	}
-	return true // its client had not written it whole
+	return true // its client never finished writing it
 }
 
-// judgeDrains finds attempts at workers whose drain was told.
-func judgeDrains(rec *records) (found []Broken) {
+// checkDrains finds attempts at workers that the router knew to be draining.
+func checkDrains(rec *records) (found []Broken) {
 	router := make(map[string]int)
 	for _, s := range rec.requests {
 		router[s.id] = s.router
 	}
-	for _, e := range rec.entries {
-		if e.kind != arrived {
+	for _, e := range rec.events {
+		if e.kind != attemptArrived {
 			continue
 		}
 		number, known := router[e.id]
 		if !known {
 			continue
 		}
-		if told, ok := rec.drainTold(e.host, number, e.at); ok && e.at.Sub(told) > drainGrace+machineSlack {
-			found = append(found, Broken{Rule: Drained, What: fmt.Sprintf("%s at %s, %v after its drain was told", e.id, e.host, e.at.Sub(told)), ID: e.id})
+		if knownSince, ok := rec.drainKnownSince(e.host, number, e.at); ok && e.at.Sub(knownSince) > drainGrace+clockSlack {
+			found = append(found, Broken{Rule: Drained, What: fmt.Sprintf("%s at %s, %v after the router learned that it drains", e.id, e.host, e.at.Sub(knownSince)), ID: e.id})
 		}
 	}
 	return found
 }
 
-// drainTold is since when a router has known that a worker drains, if it does at a time.
-func (rec *records) drainTold(host string, router int, at time.Time) (time.Time, bool) {
-	var since time.Time
-	for _, l := range rec.listings {
+// drainKnownSince returns since when a router has known that a worker drains. It reports false if the worker was not draining
+// at the given time, or if the router's process may not have known.
+func (rec *records) drainKnownSince(host string, router int, at time.Time) (time.Time, bool) {
+	var drainingSince time.Time
+	for _, l := range rec.healthChanges {
 		if l.host == host && l.at.Before(at) {
-			if since = (time.Time{}); l.health == "draining" {
-				since = l.at
+			if drainingSince = (time.Time{}); l.health == "draining" {
+				drainingSince = l.at
 			}
 		}
 	}
-	if since.IsZero() {
-		return since, false
+	if drainingSince.IsZero() {
+		return drainingSince, false
 	}
-	told := since
-	for _, s := range rec.silences { // what was told in a silence is told after it, but counts after some seconds
-		if s.router == router && since.After(s.from) && since.Before(s.to) {
-			told = minTime(since.Add(newsDue), s.to.Add(newsDue))
+	knownSince := drainingSince
+	for _, s := range rec.discoveryOutages { // a change made in an outage arrives after it, at most discoveryDelayLimit late
+		if s.router == router && drainingSince.After(s.from) && drainingSince.Before(s.to) {
+			knownSince = earlier(drainingSince.Add(discoveryDelayLimit), s.to.Add(discoveryDelayLimit))
 		}
 	}
-	for _, e := range rec.routers[router].ends { // a new process starts with the list of then
-		if !e.killed.IsZero() && told.Before(e.killed) && e.killed.Before(at) {
-			return since, false
+	for _, e := range rec.routers[router].exits { // a new process starts with the list current at its start
+		if !e.killedAt.IsZero() && knownSince.Before(e.killedAt) && e.killedAt.Before(at) {
+			return drainingSince, false
 		}
 	}
-	return told, true
+	return knownSince, true
 }
 
-func minTime(a, b time.Time) time.Time {
+func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// judgeGone finds attempts that began after their client had closed.
-func judgeGone(rec *records) (found []Broken) {
+// checkDisconnects finds attempts that began after their client had closed its connection.
+func checkDisconnects(rec *records) (found []Broken) {
 	for _, s := range rec.requests {
-		if s.left.IsZero() {
+		if s.disconnectedAt.IsZero() {
 			continue
 		}
-		for _, began := range rec.sends(s, "") {
-			if late := began.Sub(s.left); late > goneGrace+machineSlack {
-				found = append(found, Broken{Rule: Gone, What: fmt.Sprintf("%s sent %v after its client closed", s.id, late), ID: s.id})
+		for _, sentAt := range rec.sendTimes(s, "") {
+			if late := sentAt.Sub(s.disconnectedAt); late > disconnectGrace+clockSlack {
+				found = append(found, Broken{Rule: Gone, What: fmt.Sprintf("%s sent %v after its client disconnected", s.id, late), ID: s.id})
 			}
 		}
 	}
 	return found
 }
 
-// sends are the times at which a request's attempts at a worker began, "" = at any, as its router's log has them.
-func (rec *records) sends(s *sent, host string) (all []time.Time) {
+// sendTimes returns when the attempts of a request at a worker, or at any worker if host is "", began according to its
+// router's log.
+func (rec *records) sendTimes(s *clientRequest, host string) (all []time.Time) {
 	for _, line := range rec.routers[s.router].lines("txn=" + s.id + " ") {
 		if strings.Contains(line.text, "msg=send ") && (host == "" || strings.Contains(line.text, "worker="+host+" ")) {
 			all = append(all, line.at)
@@ -365,47 +369,48 @@
 	return all
 }
 
-// judgeDeadlines finds attempts that were told more time than their client had left when they began.
-func judgeDeadlines(rec *records) (found []Broken) {
+// checkDeadlines finds attempts whose X-Remaining-Ms gave the worker more time than the client had left.
+func checkDeadlines(rec *records) (found []Broken) {
 	for _, s := range rec.requests {
-		for _, e := range rec.byID[s.id] {
-			if e.kind != arrived {
+		for _, e := range rec.eventsByID[s.id] {
+			if e.kind != attemptArrived {
 				continue
 			}
-			passed := time.Duration(0) // until it was sent, at the least
-			for _, at := range rec.sends(s, e.host) {
+			elapsed := time.Duration(0) // until the attempt was sent, a lower bound
+			for _, at := range rec.sendTimes(s, e.host) {
 				if at.Before(e.at) {
-					passed = at.Sub(s.at)
+					elapsed = at.Sub(s.at)
 				}
 			}
-			if e.left > s.wait-passed+toldSlack+machineSlack {
+			if e.deadline > s.firstTokenTimeout-elapsed+deadlineSlack+clockSlack {
 				found = append(found, Broken{Rule: Told, ID: s.id,
-					What: fmt.Sprintf("%s at %s: told %v, %v of %v had passed", s.id, e.host, e.left, passed, s.wait)})
+					What: fmt.Sprintf("%s at %s: was given %v when %v of %v had passed", s.id, e.host, e.deadline, elapsed, s.firstTokenTimeout)})
 			}
 		}
 	}
 	return found
 }
 
-// logRules are texts that no router may log.
-var logRules = map[string]Rule{"invariant violated": Guarded, "panicked": Guarded, "msg=overdue": Answered, "floods a request": Guarded,
+// forbiddenLogTexts maps texts that no router may log to the invariant that each of them shows to be violated.
+var forbiddenLogTexts = map[string]Rule{"invariant violated": Guarded, "panicked": Guarded, "msg=overdue": Answered, "floods a request": Guarded,
 	"panic:": Alive, "DATA RACE": Alive}
 
-// judgeRouters finds processes that ended, were not ready, or used too much, and what their logs tell.
-func judgeRouters(rec *records) (found []Broken) {
+// checkRouters finds router processes that exited by themselves, were not ready in time, used too many resources, or logged a
+// forbidden text.
+func checkRouters(rec *records) (found []Broken) {
 	for _, r := range rec.routers {
-		for _, end := range r.crashed {
-			found = append(found, Broken{Rule: Alive, What: fmt.Sprintf("%s ended by itself: %s", r.name, end)})
+		for _, exit := range r.crashed {
+			found = append(found, Broken{Rule: Alive, What: fmt.Sprintf("%s exited by itself: %s", r.name, exit)})
 		}
 		if r.notReady > 0 {
-			found = append(found, Broken{Rule: Ready, What: fmt.Sprintf("%s: %d processes not ready in %v", r.name, r.notReady, readyLimit)})
+			found = append(found, Broken{Rule: Ready, What: fmt.Sprintf("%s: %d processes not ready within %v", r.name, r.notReady, readyTimeout)})
 		}
-		if r.peak.Resident > routerMemoryMB<<20 || r.peak.Descriptors > routerSockets {
+		if r.peak.Resident > routerMemoryMB<<20 || r.peak.Descriptors > routerMaxDescriptors {
 			found = append(found, Broken{Rule: Bounded, What: fmt.Sprintf("%s: %d MB, %d descriptors", r.name, r.peak.Resident>>20, r.peak.Descriptors)})
 		}
-		for _, text := range slices.Sorted(maps.Keys(logRules)) {
+		for _, text := range slices.Sorted(maps.Keys(forbiddenLogTexts)) {
 			for _, line := range r.lines(text) {
-				found = append(found, Broken{Rule: logRules[text], What: r.name + " logs " + line.text})
+				found = append(found, Broken{Rule: forbiddenLogTexts[text], What: r.name + " logged " + line.text})
 			}
 		}
 	}
--- a/internal/scale/soak/ledger.go
+++ b/internal/scale/soak/ledger.go
@@ -7,58 +7,58 @@
 	"time"
 )
 
-// entryKind is what a worker got or did.
-type entryKind string
+// eventKind is the kind of an event at a worker.
+type eventKind string
 
 const (
-	arrived  entryKind = "arrived" // an attempt's last byte
-	over     entryKind = "over"    // the worker's part in an attempt
-	held     entryKind = "held"    // a state, from now on
-	taken    entryKind = "taken"   // by a write
-	released entryKind = "released"
-	lost     entryKind = "lost"   // with the reader's process
-	effect   entryKind = "effect" // a write has run
+	attemptArrived eventKind = "arrived" // the last byte of an attempt's request arrived
+	attemptEnded   eventKind = "over"    // the worker has ended an attempt
+	stateHeld      eventKind = "held"    // a reader holds state for a request from now on
+	stateFetched   eventKind = "taken"   // a writer fetched the state
+	stateReleased  eventKind = "released"
+	stateLost      eventKind = "lost"   // the state was lost with the reader's process
+	effectRan      eventKind = "effect" // a write took effect
 )
 
-// entry is one line of the ledger.
-type entry struct {
-	kind        entryKind
+// event is one event in the ledger.
+type event struct {
+	kind        eventKind
 	at          time.Time
 	id, host    string
-	incarnation int           // of the worker's process
-	left        time.Duration // arrived: what the router said that it will wait
+	incarnation int           // of the worker
+	deadline    time.Duration // of attemptArrived: how long the router will wait, as it told the worker
 }
 
-// state is one that waits at a reader.
-type state struct {
+// heldState identifies the reader process that holds a request's state.
+type heldState struct {
 	host        string
 	incarnation int
 }
 
-// ledger is the record of all workers' processes, and where their states are kept.
+// ledger records the events of all worker processes and tracks which process holds state for which request.
 type ledger struct {
-	mu       sync.Mutex
-	entries  []entry
-	states   map[string]state
-	lives    map[string]int // the latest process of each worker
-	told     map[string]time.Duration
-	begun    map[string]bool // requests whose answer has begun
-	listener net.Listener
+	mu           sync.Mutex
+	events       []event
+	states       map[string]heldState
+	incarnations map[string]int // number of the latest process of each worker
+	deadlines    map[string]time.Duration
+	responding   map[string]bool // requests whose response has begun
+	listener     net.Listener
 }
 
-// Call is what a worker's process tells the ledger.
+// Call is the argument of Ledger.Tell.
 type Call struct {
 	What, ID, Host string
 	Incarnation    int
 	Left           time.Duration
 }
 
-// Ledger is the service that workers' processes call.
+// Ledger is the RPC service that worker processes call.
 type Ledger struct{ ledger *ledger }
 
-// startLedger serves workers' processes.
+// startLedger starts serving Ledger on a loopback address.
 func startLedger() (*ledger, error) {
-	l := &ledger{states: make(map[string]state), lives: make(map[string]int), told: make(map[string]time.Duration), begun: make(map[string]bool)}
+	l := &ledger{states: make(map[string]heldState), incarnations: make(map[string]int), deadlines: make(map[string]time.Duration), responding: make(map[string]bool)}
 	server := rpc.NewServer()
 	if err := server.Register(&Ledger{l}); err != nil {
 		return nil, err
@@ -71,70 +71,70 @@
 	return l, nil
 }
 
-// Tell takes one call; yes is its answer.
-func (s *Ledger) Tell(c Call, yes *bool) error {
-	*yes = s.ledger.take(c)
+// Tell records an event. accepted reports whether the ledger took it: a hold, fetch or release may fail.
+func (s *Ledger) Tell(c Call, accepted *bool) error {
+	*accepted = s.ledger.record(c)
 	return nil
 }
 
-func (l *ledger) take(c Call) bool {
+func (l *ledger) record(c Call) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lives[c.Host] != c.Incarnation { // a process that has been killed meanwhile
+	if l.incarnations[c.Host] != c.Incarnation { // the calling process has been replaced
 		return false
 	}
-	e := entry{at: time.Now(), id: c.ID, host: c.Host, incarnation: c.Incarnation, left: c.Left}
+	e := event{at: time.Now(), id: c.ID, host: c.Host, incarnation: c.Incarnation, deadline: c.Left}
 	switch c.What {
 	case callHold:
-		if l.begun[c.ID] { // with the first token of the answer all else that is held for its request goes by itself
+		if l.responding[c.ID] { // the platform frees everything held for a request with the first token of its response
 			return false
 		}
-		l.states[c.ID] = state{c.Host, c.Incarnation}
-		e.kind = held
+		l.states[c.ID] = heldState{c.Host, c.Incarnation}
+		e.kind = stateHeld
 	case callFetch, callRelease:
 		s, ok := l.states[c.ID]
-		if !ok || l.lives[s.host] != s.incarnation {
+		if !ok || l.incarnations[s.host] != s.incarnation {
 			return false
 		}
 		delete(l.states, c.ID)
-		if e.kind = taken; c.What == callRelease {
-			e.kind = released
+		if e.kind = stateFetched; c.What == callRelease {
+			e.kind = stateReleased
 		}
-	case callTold:
-		l.told[c.ID+c.Host] = c.Left
+	case callDeadline:
+		l.deadlines[c.ID+c.Host] = c.Left
 		return true
-	case callOut:
-		e.kind, e.left = arrived, l.told[c.ID+c.Host]
-	case callIn:
-		e.kind = over
+	case callArrived:
+		e.kind, e.deadline = attemptArrived, l.deadlines[c.ID+c.Host]
+	case callEnded:
+		e.kind = attemptEnded
 	case callEffect:
-		e.kind = effect
-		l.begun[c.ID] = true
+		e.kind = effectRan
+		l.responding[c.ID] = true
 	default:
 		return false
 	}
-	l.entries = append(l.entries, e)
+	l.events = append(l.events, e)
 	return true
 }
 
-// born notes a new process of a worker. What the one before held is lost.
-func (l *ledger) born(host string) (incarnation int) {
+// newIncarnation registers a new process of a worker and returns its number. State held by the previous process is lost.
+func (l *ledger) newIncarnation(host string) (incarnation int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	for id, s := range l.states {
 		if s.host == host {
 			delete(l.states, id)
-			l.entries = append(l.entries, entry{kind: lost, at: now, id: id, host: host})
+			l.events = append(l.events, event{kind: stateLost, at: now, id: id, host: host})
 		}
 	}
-	l.lives[host]++
-	return l.lives[host]
+	l.incarnations[host]++
+	return l.incarnations[host]
 }
 
-// all is what was recorded so far.
-func (l *ledger) all() []entry {
+// snapshot returns a copy of the events recorded so far.
+func (l *ledger) snapshot() []event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]entry(nil), l.entries...)
+	return append([]event(nil), l.events...)
 }
--- a/internal/scale/soak/router.go
+++ b/internal/scale/soak/router.go
@@ -22,54 +22,55 @@
 	"rowanyard/internal/standin"
 )
 
-// What the platform promises and asks of a router's process.
+// What the platform grants to a router's process and requires of it.
 const (
-	routerMemoryMB  = 192
-	routerSockets   = 512
-	readyLimit      = 10 * time.Second
-	killAfter       = 3700 * time.Millisecond // of SIGTERM: the longest deadline, 3 s at most, and 0.7 s
-	newClientsAfter = 300 * time.Millisecond  // of SIGTERM connections still come
-	readyLook       = 10 * time.Millisecond
-	reloadGap       = 20 * time.Millisecond
-	routerPort      = 10_000
+	routerMemoryMB       = 192
+	routerMaxDescriptors = 512
+	readyTimeout         = 10 * time.Second
+	killAfter            = 3700 * time.Millisecond // after SIGTERM: the longest deadline, at most 3 s, and 0.7 s
+	admitAfterTerm       = 300 * time.Millisecond  // clients still open connections for this long after SIGTERM
+	readyPollInterval    = 10 * time.Millisecond
+	reloadInterval       = 20 * time.Millisecond
+	routerBasePort       = 10_000
 )
 
-// router is one router of a run, over all of its processes.
+// router is one router of a run. Its process may be replaced by a new one during the run.
 type router struct {
-	number    int
-	name      string
-	address   string
-	folder    string
-	program   string
-	discovery *faultproxy.Proxy
-	hosts     func() httpfront.List
+	number      int
+	name        string
+	address     string
+	dir         string
+	program     string
+	discovery   *faultproxy.Proxy
+	listWorkers func() httpfront.List
 
-	mu       sync.Mutex
-	command  *exec.Cmd
-	log      []logLine
-	lives    int
-	wanted   bool            // clients may open connections
-	ends     []ending        // of its processes
-	ready    []time.Duration // from start to ready, of each process
-	notReady int             // processes that were not ready in time
-	crashed  []string        // processes that ended by themselves
-	peak     procstat.Sample
+	mu           sync.Mutex
+	command      *exec.Cmd
+	log          []logLine
+	processes    int
+	admitting    bool            // whether clients may open connections
+	exits        []processExit   // how its processes were ended
+	startupTimes []time.Duration // from start to readiness, of each process
+	notReady     int             // number of processes that were not ready in time
+	crashed      []string        // exit statuses of processes that exited by themselves
+	peak         procstat.Sample
 }
 
-// ending is how a process was ended.
-type ending struct {
-	life   int
-	termed time.Time // SIGTERM, zero: none
-	killed time.Time
+// processExit records when the test ended a process.
+type processExit struct {
+	incarnation  int
+	terminatedAt time.Time // SIGTERM; zero: none was sent
+	killedAt     time.Time
 }
 
-// logLine is a line of the log and when it came: the router's own clock may be stepped.
+// logLine is a line of the router's log with the time of its arrival by this process's clock, as the router's own clock may
+// be stepped.
 type logLine struct {
 	at   time.Time
 	text string
 }
 
-// Write takes the router's log.
+// Write implements io.Writer for the router's log.
 func (r *router) Write(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,26 +81,26 @@
 	return len(p), nil
 }
 
-func (r *router) generation() int {
+func (r *router) currentIncarnation() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lives
+	return r.processes
 }
 
-func (r *router) admitted() bool {
+func (r *router) isAdmitting() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.wanted
+	return r.admitting
 }
 
-func (r *router) admit(on bool) {
+func (r *router) setAdmitting(on bool) {
 	r.mu.Lock()
-	r.wanted = on
+	r.admitting = on
 	r.mu.Unlock()
 }
 
-// settings is the stand-in's for one of so many routers.
-func settings(number, routers int) (json.RawMessage, error) {
+// routerSettings returns the settings of the stand-in, adapted to one of several routers.
+func routerSettings(number, routers int) (json.RawMessage, error) {
 	var all map[string]any
 	if err := json.Unmarshal(standin.Settings(), &all); err != nil {
 		return nil, err
@@ -108,50 +109,50 @@
 	return json.Marshal(all)
 }
 
-// configure writes the router's configuration.
-func (r *router) configure(routers int) error {
-	set, err := settings(r.number, routers)
+// writeConfig writes the router's configuration file.
+func (r *router) writeConfig(routers int) error {
+	settings, err := routerSettings(r.number, routers)
 	if err != nil {
 		return err
 	}
 	text, err := json.Marshal(map[string]any{"name": r.name, "listen": r.address, "discovery": r.discovery.Address(), "seed": fmt.Sprintf("%x", r.number+1),
-		"limits": map[string]any{"cores": 1, "memory_mb": routerMemoryMB, "sockets": routerSockets}, "known": r.hosts(), "settings": set})
+		"limits": map[string]any{"cores": 1, "memory_mb": routerMemoryMB, "sockets": routerMaxDescriptors}, "known": r.listWorkers(), "settings": settings})
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(r.file("config.json"), text, 0o600)
 }
 
-func (r *router) file(name string) string { return filepath.Join(r.folder, name) }
+func (r *router) file(name string) string { return filepath.Join(r.dir, name) }
 
-// start starts a process and returns once it is ready, or has failed to be.
+// start starts a process and returns once it is ready or readyTimeout has passed.
 func (r *router) start(routers int) error {
-	if err := r.configure(routers); err != nil {
+	if err := r.writeConfig(routers); err != nil {
 		return err
 	}
 	command := exec.Command(r.program)
-	command.Env = append(os.Environ(), "ROUTER_CONFIG="+r.file("config.json"), "TMPDIR="+r.folder, "ROWANYARD_LOG=debug",
+	command.Env = append(os.Environ(), "ROUTER_CONFIG="+r.file("config.json"), "TMPDIR="+r.dir, "ROWANYARD_LOG=debug",
 		clockstep.Variable+"="+r.file("clock"))
 	command.Stderr, command.Stdout = r, r
 	if err := command.Start(); err != nil {
 		return err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	r.mu.Lock()
 	r.command = command
-	r.lives++
-	life := r.lives
+	r.processes++
+	incarnation := r.processes
 	r.mu.Unlock()
-	go r.wait(command, life)
-	for time.Since(began) < readyLimit {
+	go r.watchProcess(command, incarnation)
+	for time.Since(startedAt) < readyTimeout {
 		if r.isReady() {
 			r.mu.Lock()
-			r.ready = append(r.ready, time.Since(began))
+			r.startupTimes = append(r.startupTimes, time.Since(startedAt))
 			r.mu.Unlock()
-			r.admit(true)
+			r.setAdmitting(true)
 			return nil
 		}
-		time.Sleep(readyLook)
+		time.Sleep(readyPollInterval)
 	}
 	r.mu.Lock()
 	r.notReady++
@@ -159,13 +160,13 @@
 	return nil
 }
 
-// wait notes a process that ends by itself.
-func (r *router) wait(command *exec.Cmd, life int) {
+// watchProcess waits for a process and records its exit status if it exited by itself.
+func (r *router) watchProcess(command *exec.Cmd, incarnation int) {
 	err := command.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range r.ends {
-		if e.life == life {
+	for _, e := range r.exits {
+		if e.incarnation == incarnation {
 			return
 		}
 	}
@@ -182,36 +183,37 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// end notes how the process at hand ends, before it does.
-func (r *router) end(e ending) *os.Process {
+// recordExit records how the current process is about to be ended, so that watchProcess does not take that for a crash.
+func (r *router) recordExit(e processExit) *os.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e.life = r.lives
-	for i := range r.ends {
-		if r.ends[i].life == e.life { // a SIGTERM before the kill
-			r.ends[i].killed = e.killed
+	e.incarnation = r.processes
+	for i := range r.exits {
+		if r.exits[i].incarnation == e.incarnation { // a SIGTERM before the kill
+			r.exits[i].killedAt = e.killedAt
 			return r.command.Process
 		}
 	}
-	r.ends = append(r.ends, e)
+	r.exits = append(r.exits, e)
 	return r.command.Process
 }
 
-// kill ends the process outright.
+// kill ends the process with SIGKILL.
 func (r *router) kill() {
-	r.admit(false)
-	_ = r.end(ending{killed: time.Now()}).Kill()
+	r.setAdmitting(false)
+	_ = r.recordExit(processExit{killedAt: time.Now()}).Kill()
 }
 
-// terminate ends the process as the platform does: SIGTERM, some more new clients, SIGKILL as soon as it may come.
+// terminate ends the process as the platform does: SIGTERM while clients still connect for a while, then SIGKILL at the
+// earliest time at which the platform may send it.
 func (r *router) terminate() {
-	p := r.end(ending{termed: time.Now()})
+	p := r.recordExit(processExit{terminatedAt: time.Now()})
 	_ = p.Signal(syscall.SIGTERM)
-	time.Sleep(newClientsAfter)
-	r.admit(false)
-	_ = p.Signal(syscall.SIGTERM) // signals come in series
-	time.Sleep(killAfter - newClientsAfter)
-	r.end(ending{killed: time.Now()})
+	time.Sleep(admitAfterTerm)
+	r.setAdmitting(false)
+	_ = p.Signal(syscall.SIGTERM) // the platform may repeat signals
+	time.Sleep(killAfter - admitAfterTerm)
+	r.recordExit(processExit{killedAt: time.Now()})
 	_ = p.Kill()
 }
 
@@ -219,7 +221,7 @@
 func (r *router) reload(times int) {
 	for range times {
 		r.signal(syscall.SIGHUP)
-		time.Sleep(reloadGap)
+		time.Sleep(reloadInterval)
 	}
 }
 
@@ -230,7 +232,7 @@
 	_ = p.Signal(s)
 }
 
-// stepClock steps the wall clock of the process at hand and of those that follow.
+// stepClock steps the wall clock of the current process and of later ones to the given offset.
 func (r *router) stepClock(seconds int) error {
 	if err := clockstep.Write(r.file("clock"), seconds); err != nil {
 		return err
@@ -239,7 +241,7 @@
 	return nil
 }
 
-// sample notes what the process uses, as far as it is the most so far.
+// sample updates the peak resource usage of the router's processes.
 func (r *router) sample() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -251,7 +253,7 @@
 	r.peak.Descriptors = max(r.peak.Descriptors, s.Descriptors)
 }
 
-// lines are those of the log that hold a text.
+// lines returns the lines of the log that contain text.
 func (r *router) lines(text string) (found []logLine) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -263,28 +265,28 @@
 	return found
 }
 
-// crowd holds so many connections that say nothing.
-func (r *router) crowd(clients int, during time.Duration) {
-	var all []net.Conn
-	for range clients {
-		if c, err := net.DialTimeout("tcp", r.address, dialWait); err == nil {
-			all = append(all, c)
+// openIdleConnections opens connections on which nothing is sent and closes them after the given time.
+func (r *router) openIdleConnections(count int, during time.Duration) {
+	var conns []net.Conn
+	for range count {
+		if c, err := net.DialTimeout("tcp", r.address, dialTimeout); err == nil {
+			conns = append(conns, c)
 		}
 	}
 	time.Sleep(during)
-	for _, c := range all {
+	for _, c := range conns {
 		c.Close()
 	}
 }
 
-// runs counts the runs of this process, so that each has addresses of its own.
-var runs atomic.Int32
+// runCount counts the runs in this process, so that each gets its own addresses.
+var runCount atomic.Int32
 
-// addressOf is where a router of a run listens. It lies outside what the kernel gives to outgoing connections, so that the address
-// is free when the next process of the router starts.
-func addressOf(run int32, router int) string {
+// routerAddress returns the address at which a router of a run listens. Its port lies outside the range that the kernel
+// assigns to outgoing connections, so that the address is free when the router's next process starts.
+func routerAddress(run int32, router int) string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%64, pid/64%256, 1+router, routerPort+int(run))
+	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%64, pid/64%256, 1+router, routerBasePort+int(run))
 }
 
 var _ io.Writer = (*router)(nil)
--- a/internal/scale/soak/schedule.go
+++ b/internal/scale/soak/schedule.go
@@ -1,8 +1,8 @@
-// Package soak plays random, overlapping faults over real processes, routers and workers, and judges the run by the router's
-// invariants. The same seed gives the same schedule of faults and of requests.
+// Package soak injects random, overlapping faults into real router and worker processes under load, and checks afterwards
+// that the router's invariants held. The same seed gives the same schedule of faults and requests.
 //
-// schedule.go draws what happens, deployment.go and router.go run the processes, worker.go is a worker's process, client.go the
-// clients, ledger.go the record of what workers got, and judge.go compares the records.
+// schedule.go draws the faults, deployment.go and router.go run the processes, worker.go is the code of a worker process,
+// client.go holds the clients, ledger.go records what workers received and did, and judge.go checks these records.
 package soak
 
 import (
@@ -12,65 +12,65 @@
 	"time"
 )
 
-// FaultKind is what goes wrong, or is done to a process.
+// FaultKind is a kind of fault.
 type FaultKind string
 
 // The faults.
 const (
-	WorkerSilent    FaultKind = "worker silent"      // its connections stay open and tell nothing, new ones too
-	WorkerNeverUp   FaultKind = "worker never up"    // the same, and new ones never come up
+	WorkerSilent    FaultKind = "worker silent"      // its connections, old and new, stay open and carry nothing
+	WorkerNeverUp   FaultKind = "worker never up"    // as WorkerSilent, but new connections are never established
 	WorkerRefuses   FaultKind = "worker refuses"     // new connections are reset
-	WorkerLate      FaultKind = "worker late"        // new connections come up late
-	WorkerMuted     FaultKind = "worker muted"       // open connections fall silent for good
+	WorkerLate      FaultKind = "worker late"        // new connections are served after a delay
+	WorkerMuted     FaultKind = "worker muted"       // open connections carry nothing any more; new ones work
 	WorkerResets    FaultKind = "worker resets"      // open connections are reset
 	WorkerStopped   FaultKind = "worker stopped"     // SIGSTOP, then SIGCONT
 	WorkerKilled    FaultKind = "worker killed"      // SIGKILL, then a new process
-	WorkerDrains    FaultKind = "worker drains"      // in the list, then back
-	DiscoverySilent FaultKind = "discovery silent"   // to one router
-	DiscoveryResets FaultKind = "discovery resets"   // to one router
-	RouterEnds      FaultKind = "router ends"        // SIGTERM, SIGKILL as soon as it may come, and a new process
+	WorkerDrains    FaultKind = "worker drains"      // listed as draining, then as up again
+	DiscoverySilent FaultKind = "discovery silent"   // to one router: its connections stay open and carry nothing
+	DiscoveryResets FaultKind = "discovery resets"   // to one router: its connections are reset
+	RouterEnds      FaultKind = "router ends"        // SIGTERM, SIGKILL at the earliest time allowed, and a new process
 	RouterKilled    FaultKind = "router killed"      // SIGKILL, and a new process
 	RouterReloads   FaultKind = "router reloads"     // a series of SIGHUP
 	ClockStepped    FaultKind = "wall clock stepped" // of one router
-	Crowd           FaultKind = "crowd"              // idle clients fill a router
+	Crowd           FaultKind = "crowd"              // many idle connections to one router
 )
 
-// Fault is one event of a schedule. What it begins ends after For.
+// Fault is one fault of a schedule. It lasts from At, counted from the start of the workload, for the duration For.
 type Fault struct {
 	Kind   FaultKind
 	At     time.Duration
 	For    time.Duration
-	Target int // the worker's or the router's number
-	Amount int // bytes that still pass, seconds of a step, signals of a series, or clients
+	Target int // number of the worker or router
+	Amount int // by kind: bytes that still pass, milliseconds of delay, seconds of a clock step, number of signals or connections
 }
 
 func (f Fault) String() string {
 	return fmt.Sprintf("%6.3f %s %d for %v amount %d", f.At.Seconds(), f.Kind, f.Target, f.For, f.Amount)
 }
 
-// Plan describes a run.
+// Plan describes a run: the size of the deployment, and how many faults are injected into it.
 type Plan struct {
 	Seed             uint64
 	Routers          int
 	Readers, Writers int
-	Length           time.Duration // faults begin within this
+	Length           time.Duration // the period in which faults begin
 	Faults           int
-	Clients          int // of each router
+	Clients          int // at each router
 }
 
-// DefaultPlan is a run of some seconds over a few dozen processes.
+// DefaultPlan returns the plan of a run of some seconds with a few dozen processes.
 func DefaultPlan(seed uint64) Plan {
 	return Plan{Seed: seed, Routers: 4, Readers: 10, Writers: 14, Length: 9 * time.Second, Faults: 26, Clients: 6}
 }
 
-// limits of what is drawn.
+// Limits of the faults that are drawn.
 const (
-	settled    = 600 * time.Millisecond // nothing goes wrong before
-	shortFault = 100 * time.Millisecond
-	longFault  = 3 * time.Second
-	lateMost   = time.Second
-	headBytes  = 600 // a silence may begin inside a request
-	hour       = 3600
+	faultFreeStart        = 600 * time.Millisecond // no fault begins before this
+	minFaultDuration      = 100 * time.Millisecond
+	maxFaultDuration      = 3 * time.Second
+	maxConnectDelay       = time.Second
+	maxBytesBeforeSilence = 600 // a connection may fall silent in the middle of a request
+	hourSeconds           = 3600
 )
 
 var workerFaults = []FaultKind{WorkerSilent, WorkerSilent, WorkerNeverUp, WorkerNeverUp, WorkerRefuses, WorkerLate, WorkerMuted, WorkerMuted,
@@ -78,35 +78,35 @@
 
 var routerFaults = []FaultKind{DiscoverySilent, DiscoveryResets, RouterEnds, RouterEnds, RouterKilled, RouterReloads, ClockStepped, ClockStepped}
 
-// Schedule draws the faults of a plan, in order.
+// Schedule returns the faults of the plan, ordered by their time. They depend on nothing but the plan.
 func (p Plan) Schedule() []Fault {
 	random := rand.New(rand.NewPCG(p.Seed, 1))
-	var all []Fault
-	busy := make(map[string]time.Duration) // process faults of one target do not overlap
+	var faults []Fault
+	busyUntil := make(map[string]time.Duration) // faults with the same key do not overlap
 	for range p.Faults {
-		f := p.draw(random)
-		if key := f.process(); key != "" {
-			if f.At < busy[key] {
+		f := p.randomFault(random)
+		if key := f.exclusiveKey(); key != "" {
+			if f.At < busyUntil[key] {
 				continue
 			}
-			busy[key] = f.At + f.For + routerRestart
+			busyUntil[key] = f.At + f.For + maxRestartTime
 		}
-		all = append(all, f)
+		faults = append(faults, f)
 	}
 	if p.Seed%3 == 0 {
-		all = append(all, Fault{Kind: Crowd, At: settled, For: p.Length, Target: int(p.Seed) % p.Routers, Amount: 400})
+		faults = append(faults, Fault{Kind: Crowd, At: faultFreeStart, For: p.Length, Target: int(p.Seed) % p.Routers, Amount: 400})
 	}
-	slices.SortStableFunc(all, func(a, b Fault) int { return int(a.At - b.At) })
-	return all
+	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
+	return faults
 }
 
-// routerRestart is the longest time from the signal to end until the next process is ready, as far as schedules go.
-const routerRestart = 6 * time.Second
+// maxRestartTime is how long a schedule allows from the end of a fault until the affected process is ready again.
+const maxRestartTime = 6 * time.Second
 
-// draw draws one fault.
-func (p Plan) draw(random *rand.Rand) Fault {
-	f := Fault{At: settled + time.Duration(random.Int64N(int64(p.Length-settled))),
-		For: shortFault + time.Duration(random.Int64N(int64(longFault-shortFault)))}
+// randomFault draws one fault.
+func (p Plan) randomFault(random *rand.Rand) Fault {
+	f := Fault{At: faultFreeStart + time.Duration(random.Int64N(int64(p.Length-faultFreeStart))),
+		For: minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))}
 	if random.IntN(3) > 0 {
 		f.Kind, f.Target = workerFaults[random.IntN(len(workerFaults))], random.IntN(p.Readers+p.Writers)
 	} else {
@@ -114,25 +114,26 @@
 	}
 	switch f.Kind {
 	case WorkerSilent, WorkerNeverUp:
-		f.Amount = random.IntN(headBytes)
+		f.Amount = random.IntN(maxBytesBeforeSilence)
 	case WorkerLate:
-		f.Amount = int(time.Duration(random.Int64N(int64(lateMost))).Milliseconds())
+		f.Amount = int(time.Duration(random.Int64N(int64(maxConnectDelay))).Milliseconds())
 	case RouterReloads:
 		f.Amount = 1 + random.IntN(5)
 	case ClockStepped:
-		f.Amount = []int{-hour, hour, -5, 5, -1, 1}[random.IntN(6)]
+		f.Amount = []int{-hourSeconds, hourSeconds, -5, 5, -1, 1}[random.IntN(6)]
 	}
 	return f
 }
 
-// process names the process that a fault ends or stops, "" for faults that may overlap on one target.
-func (f Fault) process() string {
+// exclusiveKey returns the key within which faults must not overlap: one process that is ended or stopped, or one proxy. It is
+// "" for faults that may overlap on one target.
+func (f Fault) exclusiveKey() string {
 	switch f.Kind {
 	case RouterEnds, RouterKilled:
 		return fmt.Sprint("router ", f.Target)
 	case WorkerStopped, WorkerKilled:
 		return fmt.Sprint("worker ", f.Target)
-	case WorkerSilent, WorkerNeverUp, WorkerRefuses, WorkerLate: // one state of a proxy
+	case WorkerSilent, WorkerNeverUp, WorkerRefuses, WorkerLate: // a proxy has one fault at a time
 		return fmt.Sprint("network ", f.Target)
 	case DiscoverySilent:
 		return fmt.Sprint("discovery ", f.Target)
--- a/internal/scale/soak/soak_test.go
+++ b/internal/scale/soak/soak_test.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	seeds    = flag.Int("soak.seeds", 2, "seeds that are played")
-	firstOne = flag.Uint64("soak.first", 1, "the first of them")
-	source   = flag.String("soak.router", "../../../cmd/rowanyard", "the folder of the router's program")
-	together = flag.Int("soak.together", 2, "runs side by side")
+	seedCount    = flag.Int("soak.seeds", 2, "number of seeds to run")
+	firstSeed    = flag.Uint64("soak.first", 1, "first seed")
+	routerSource = flag.String("soak.router", "../../../cmd/rowanyard", "package directory of the router's program")
+	parallelRuns = flag.Int("soak.together", 2, "number of concurrent runs")
 )
 
 func TestMain(m *testing.M) {
@@ -28,18 +28,18 @@
 	os.Exit(m.Run())
 }
 
-// Random, overlapping faults over real processes break no rule.
+// Random, overlapping faults in real processes violate no invariant.
 func TestSoakSeeds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "rowanyard")
-	if err := clockstep.Build(*source, path); err != nil {
+	if err := clockstep.Build(*routerSource, path); err != nil {
 		t.Fatal(err)
 	}
-	places := make(chan bool, *together)
-	var all sync.WaitGroup
-	for seed := *firstOne; seed < *firstOne+uint64(*seeds); seed++ {
-		places <- true
-		all.Go(func() {
-			defer func() { <-places }()
+	slots := make(chan bool, *parallelRuns)
+	var runs sync.WaitGroup
+	for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
+		slots <- true
+		runs.Go(func() {
+			defer func() { <-slots }()
 			report, err := Run(DefaultPlan(seed), Programs{Router: path, Worker: []string{os.Args[0]}})
 			if err != nil {
 				t.Errorf("seed %d: %v", seed, err)
@@ -52,54 +52,54 @@
 			}
 		})
 	}
-	all.Wait()
+	runs.Wait()
 }
 
-// The same seed gives the same schedule, and another seed another one.
-func TestSameSeedSameSchedule(t *testing.T) {
+// The same seed gives the same schedule, and different seeds give different ones.
+func TestScheduleIsDeterministic(t *testing.T) {
 	for seed := range uint64(50) {
 		a := DefaultPlan(seed).Schedule()
 		if len(a) < 10 || !reflect.DeepEqual(a, DefaultPlan(seed).Schedule()) {
 			t.Fatalf("seed %d: %v", seed, a)
 		}
 		if reflect.DeepEqual(a, DefaultPlan(seed+1).Schedule()) {
-			t.Fatalf("seeds %d and %d give the same", seed, seed+1)
+			t.Fatalf("seeds %d and %d give the same schedule", seed, seed+1)
 		}
 	}
 }
 
-// begin is the time of the records below.
-var begin = time.Now().Add(-time.Minute)
+// recordStart is the base of the times in the records below.
+var recordStart = time.Now().Add(-time.Minute)
 
-func after(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
+func recordTime(ms int) time.Time { return recordStart.Add(time.Duration(ms) * time.Millisecond) }
 
-// recorded is records of one request at a router that goes on, to be spoilt by each test.
-func recorded() *records {
-	s := &sent{id: "a", unsafe: true, at: after(0), wait: time.Second, ended: after(500), status: 200, whole: true, generations: [2]int{1, 1}}
-	return &records{requests: []*sent{s}, routers: []*router{{lives: 1}}, byID: make(map[string][]entry)}
+// newRecords returns the records of one successful request at a router that keeps running.
+func newRecords() *records {
+	s := &clientRequest{id: "a", nonIdempotent: true, at: recordTime(0), firstTokenTimeout: time.Second, ended: recordTime(500), status: 200, complete: true, incarnations: [2]int{1, 1}}
+	return &records{requests: []*clientRequest{s}, routers: []*router{{processes: 1}}, eventsByID: make(map[string][]event)}
 }
 
-func (rec *records) with(entries ...entry) *records {
-	rec.entries = entries
-	for _, e := range entries {
-		rec.byID[e.id] = append(rec.byID[e.id], e)
+func (rec *records) withEvents(events ...event) *records {
+	rec.events = events
+	for _, e := range events {
+		rec.eventsByID[e.id] = append(rec.eventsByID[e.id], e)
 	}
 	return rec
 }
 
-// good is what workers record of a request that goes well.
-func good() []entry {
-	return []entry{{kind: arrived, id: "a", host: "r", at: after(10), left: 900 * time.Millisecond}, {kind: held, id: "a", host: "r", at: after(30)},
-		{kind: over, id: "a", host: "r", at: after(31)}, {kind: arrived, id: "a", host: "w", at: after(40), left: 800 * time.Millisecond},
-		{kind: taken, id: "a", host: "w", at: after(41)}, {kind: effect, id: "a", host: "w", at: after(41)}, {kind: over, id: "a", host: "w", at: after(400)}}
+// normalEvents returns what workers record of a successful request.
+func normalEvents() []event {
+	return []event{{kind: attemptArrived, id: "a", host: "r", at: recordTime(10), deadline: 900 * time.Millisecond}, {kind: stateHeld, id: "a", host: "r", at: recordTime(30)},
+		{kind: attemptEnded, id: "a", host: "r", at: recordTime(31)}, {kind: attemptArrived, id: "a", host: "w", at: recordTime(40), deadline: 800 * time.Millisecond},
+		{kind: stateFetched, id: "a", host: "w", at: recordTime(41)}, {kind: effectRan, id: "a", host: "w", at: recordTime(41)}, {kind: attemptEnded, id: "a", host: "w", at: recordTime(400)}}
 }
 
-// Each rule finds its breach, and none finds one in a run that is as it should be.
-func TestTheJudgeCanFail(t *testing.T) {
-	rules := map[Rule]func(*records) []Broken{Answered: judgeAnswers, Once: judgeEffects, Pinned: judgeStates, Drained: judgeDrains,
-		Gone: judgeGone, Told: judgeDeadlines, Guarded: judgeRouters, Alive: judgeRouters, Ready: judgeRouters, Bounded: judgeRouters}
+// Each check detects a violation of its invariant, and none reports one for a run without faults.
+func TestChecksDetectViolations(t *testing.T) {
+	rules := map[Rule]func(*records) []Broken{Answered: checkAnswers, Once: checkEffects, Pinned: checkStates, Drained: checkDrains,
+		Gone: checkDisconnects, Told: checkDeadlines, Guarded: checkRouters, Alive: checkRouters, Ready: checkRouters, Bounded: checkRouters}
 	for rule, judge := range rules {
-		if found := judge(recorded().with(good()...)); len(found) > 0 {
+		if found := judge(newRecords().withEvents(normalEvents()...)); len(found) > 0 {
 			t.Errorf("%s: found %v", rule, found)
 		}
 	}
@@ -107,37 +107,40 @@
 		rule  Rule
 		spoil func(rec *records)
 	}{
-		"no answer":     {Answered, func(rec *records) { rec.requests[0].status = 0 }},
-		"a late answer": {Answered, func(rec *records) { rec.requests[0].status, rec.requests[0].ended = 502, after(1800) }},
-		"a second run": {Once, func(rec *records) {
-			rec.with(append(good(), entry{kind: effect, id: "a", host: "x", at: after(50)})...)
+		"no response":     {Answered, func(rec *records) { rec.requests[0].status = 0 }},
+		"a late response": {Answered, func(rec *records) { rec.requests[0].status, rec.requests[0].ended = 502, recordTime(1800) }},
+		"a second run of a non-idempotent request": {Once, func(rec *records) {
+			rec.withEvents(append(normalEvents(), event{kind: effectRan, id: "a", host: "x", at: recordTime(50)})...)
 		}},
-		"a state that waits for a write that has not arrived": {Pinned, func(rec *records) {
-			rec.byID = make(map[string][]entry)
-			rec.with(append(good()[:3], entry{kind: released, id: "a", at: after(1000)})...)
+		"state held while no write has arrived": {Pinned, func(rec *records) {
+			rec.eventsByID = make(map[string][]event)
+			rec.withEvents(append(normalEvents()[:3], event{kind: stateReleased, id: "a", at: recordTime(1000)})...)
 		}},
-		"a state that is left": {Pinned, func(rec *records) {
-			rec.byID = make(map[string][]entry)
-			rec.with(good()[:3]...)
+		"state never released": {Pinned, func(rec *records) {
+			rec.eventsByID = make(map[string][]event)
+			rec.withEvents(normalEvents()[:3]...)
 		}},
-		"a send to a worker that drains": {Drained, func(rec *records) {
-			rec.listings = []listing{{after(-1000), "w", "draining"}}
+		"an attempt at a draining worker": {Drained, func(rec *records) {
+			rec.healthChanges = []healthChange{{recordTime(-1000), "w", "draining"}}
 		}},
-		"a send for a client that has gone": {Gone, func(rec *records) {
-			rec.requests[0].left = after(-4000)
-			rec.routers[0].log = []logLine{{after(0), "msg=send txn=a n=0"}}
+		"an attempt for a disconnected client": {Gone, func(rec *records) {
+			rec.requests[0].disconnectedAt = recordTime(-4000)
+			rec.routers[0].log = []logLine{{recordTime(0), "msg=send txn=a n=0"}}
 		}},
-		"too long a deadline for a late attempt": {Told, func(rec *records) {
-			rec.routers[0].log = []logLine{{after(0), "msg=send txn=a n=0 worker=r "}, {after(600), "msg=send txn=a n=1 worker=w "}}
-			rec.byID["a"][3].at = after(610)
+		"deadline too long for a late attempt": {Told, func(rec *records) {
+			rec.routers[0].log = []logLine{{recordTime(0), "msg=send txn=a n=0 worker=r "}, {recordTime(600), "msg=send txn=a n=1 worker=w "}}
+			rec.eventsByID["a"][3].at = recordTime(610)
 		}},
-		"too long a deadline":         {Told, func(rec *records) { rec.entries[0].left = 2 * time.Second; rec.byID["a"][0].left = 2 * time.Second }},
-		"a violation in the log":      {Guarded, func(rec *records) { rec.routers[0].Write([]byte("msg=\"invariant violated\" step=closing\n")) }},
-		"a process that ends":         {Alive, func(rec *records) { rec.routers[0].crashed = []string{"exit status 2"} }},
-		"a process that is not ready": {Ready, func(rec *records) { rec.routers[0].notReady = 1 }},
-		"too much memory":             {Bounded, func(rec *records) { rec.routers[0].peak.Resident = 1 << 30 }},
+		"deadline too long": {Told, func(rec *records) {
+			rec.events[0].deadline = 2 * time.Second
+			rec.eventsByID["a"][0].deadline = 2 * time.Second
+		}},
+		"invariant violation in the log": {Guarded, func(rec *records) { rec.routers[0].Write([]byte("msg=\"invariant violated\" step=closing\n")) }},
+		"a process that exits by itself": {Alive, func(rec *records) { rec.routers[0].crashed = []string{"exit status 2"} }},
+		"a process that is not ready":    {Ready, func(rec *records) { rec.routers[0].notReady = 1 }},
+		"memory over the limit":          {Bounded, func(rec *records) { rec.routers[0].peak.Resident = 1 << 30 }},
 	} {
-		rec := recorded().with(good()...)
+		rec := newRecords().withEvents(normalEvents()...)
 		x.spoil(rec)
 		found := rules[x.rule](rec)
 		if len(found) == 0 || found[0].Rule != x.rule {
