--- a/internal/scale/fleetsim/fleet.go
+++ b/internal/scale/fleetsim/fleet.go
@@ -11,31 +11,31 @@
 	"rowanyard/internal/scale/virtualclock"
 )
 
-// What the deployment is like. None of it is known to a router but through its settings and what it sees.
+// Properties of the simulated deployment. A router knows of them only from its settings and its own observations.
 const (
-	useOfReaders  = 0.6  // of what readers can do, at the rate of the options and with nothing kept
-	useOfWriters  = 0.55 // of their memory
-	promptTokens  = 3000 // of all prompts, in the mean
-	keptTokens    = 2_000_000
-	cellSize      = 5
-	moveNear      = 15 * time.Millisecond // a state's way to a writer in its cell, ...
-	moveZone      = 30 * time.Millisecond // ... in its zone ...
-	moveFar       = 60 * time.Millisecond // ... and out of it
-	wayZone       = 200 * time.Microsecond
-	wayRegion     = time.Millisecond
-	wayFar        = 25 * time.Millisecond // one way between two regions
-	refusedAfter  = time.Millisecond
-	noConnection  = 250 * time.Millisecond // a connection that never comes up is given up
-	listLate      = 2 * time.Second        // discovery tells of a loss after up to this
-	listSpread    = time.Second            // and routers hear of any change within this
-	coldFrom      = 1. / 3
-	coldFor       = 20 * time.Second
-	coldMultiple  = 2.5
-	coldWindow    = 2 * time.Second
-	classDeadline = 10 * time.Second
-	classAim      = 1200 * time.Millisecond
-	maxAttempts   = 4
-	pinLimit      = 5 * time.Second
+	readerUtilization     = 0.6  // of the readers' capacity, at the rate of the options and without cache hits
+	writerMemoryUse       = 0.55 // of the writers' memory
+	meanPromptTokens      = 3000 // mean over all prompts
+	cacheTokens           = 2_000_000
+	serversPerCell        = 5
+	transferInCell        = 15 * time.Millisecond // time for a request's state to reach a writer in the same cell, ...
+	transferInZone        = 30 * time.Millisecond // ... in the same zone ...
+	transferInRegion      = 60 * time.Millisecond // ... and in another zone of the region
+	latencyInZone         = 200 * time.Microsecond
+	latencyInRegion       = time.Millisecond
+	latencyBetweenRegions = 25 * time.Millisecond // one way
+	refuseLatency         = time.Millisecond
+	connectTimeout        = 250 * time.Millisecond // an unanswered connection attempt is given up after this
+	detectionDelay        = 2 * time.Second        // until discovery notices lost servers
+	propagationTime       = time.Second            // within which all routers learn of a change
+	coldStartSpeed        = 1. / 3
+	warmUpTime            = 20 * time.Second
+	coldMultiple          = 2.5
+	coldWindow            = 2 * time.Second
+	classDeadline         = 10 * time.Second
+	firstTokenTarget      = 1200 * time.Millisecond
+	maxAttempts           = 4
+	pinLimit              = 5 * time.Second
 )
 
 // Kinds of servers, by their numbers in the settings.
@@ -44,54 +44,55 @@
 	writerKind
 )
 
-// server is one simulated server.
+// server is a simulated reader or writer.
 type server struct {
 	decide.Server
-	region  int
-	away    bool
-	queue   *toyserver.Queue // of a reader
-	cache   *toyserver.Cache
-	streams int     // a writer's, open
-	held    float64 // tokens in a writer's memory
-	sends   int
-	probes  int
-	cold    []coldSend // since its latest start
-}
-
-type coldSend struct {
+	region       int
+	down         bool
+	queue        *toyserver.Queue // readers only
+	cache        *toyserver.Cache
+	streams      int     // open at a writer
+	heldTokens   float64 // in a writer's memory
+	received     int
+	probes       int
+	coldAttempts []coldAttempt // attempts of the last window since its start
+}
+
+// coldAttempt is an attempt that a server received while it was cold, with its work in mean requests.
+type coldAttempt struct {
 	at   time.Duration
 	work float64
 }
 
-// fleet is a play.
+// fleet holds the state of one simulation.
 type fleet struct {
 	virtualclock.Clock
 	Options
-	random   *rand.Rand
-	servers  map[string]*server
-	ordered  []*server
-	routers  []*router
-	settings decide.Settings
-	perToken time.Duration // that a reader takes for a token that is not kept
-	memory   float64       // of a writer, in tokens
-	cut      int           // the region that is cut off, -1 = none
-	lastID   decide.RequestID
-	tally    *tally
-	worst    float64 // the fullest window of a cold server against its limit
+	random           *rand.Rand
+	servers          map[string]*server
+	serverList       []*server
+	routers          []*router
+	settings         decide.Settings
+	readTimePerToken time.Duration // of a reader, per prompt token that is not cached
+	writerMemory     float64       // of a writer, in tokens
+	isolatedRegion   int           // -1: none
+	lastID           decide.RequestID
+	stats            *stats
+	worstColdLoad    float64 // highest load of a cold server within a window, as a share of its limit
 }
 
 func newFleet(o Options) *fleet {
-	f := &fleet{Options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), servers: make(map[string]*server), cut: -1, tally: newTally()}
+	f := &fleet{Options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), servers: make(map[string]*server), isolatedRegion: -1, stats: newStats()}
 	readers := 0
 	for i := range o.Servers {
 		if toyserver.IsReader(i, o.Readers) {
 			readers++
 		}
 	}
-	each := useOfReaders * float64(readers) / (o.Rate * promptTokens)
-	f.perToken = time.Duration(each * float64(time.Second))
-	stream := float64(promptTokens+o.Tokens) * o.Rate * (time.Duration(o.Tokens) * o.TokenTime).Seconds()
-	f.memory = stream / useOfWriters / float64(o.Servers-readers)
+	readTime := readerUtilization * float64(readers) / (o.Rate * meanPromptTokens)
+	f.readTimePerToken = time.Duration(readTime * float64(time.Second))
+	streamTokens := float64(meanPromptTokens+o.Tokens) * o.Rate * (time.Duration(o.Tokens) * o.TokenTime).Seconds()
+	f.writerMemory = streamTokens / writerMemoryUse / float64(o.Servers-readers)
 	f.settings = f.makeSettings()
 	for i := range o.Servers {
 		f.addServer(i)
@@ -105,10 +106,10 @@
 func (f *fleet) makeSettings() decide.Settings {
 	set := decide.Settings{
 		Fronts: f.Routers, Tick: time.Millisecond, MaxAttempts: maxAttempts, CanCancel: true, CanProbe: true, PinLimit: pinLimit,
-		ConnectTimeout: noConnection, MaxRetryAfter: time.Second,
-		ColdFrom: coldFrom, ColdFor: coldFor, ColdMultiple: coldMultiple, ColdWindow: coldWindow,
-		Kinds:   []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer, MemoryTokens: int(f.memory)}},
-		Classes: []decide.Class{{Aim: classAim, Deadline: classDeadline, TokenAim: f.TokenTime, Worth: 1, LateWorth: 0.1, Effect: decide.Safe}},
+		ConnectTimeout: connectTimeout, MaxRetryAfter: time.Second,
+		ColdFrom: coldStartSpeed, ColdFor: warmUpTime, ColdMultiple: coldMultiple, ColdWindow: coldWindow,
+		Kinds:   []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer, MemoryTokens: int(f.writerMemory)}},
+		Classes: []decide.Class{{Aim: firstTokenTarget, Deadline: classDeadline, TokenAim: f.TokenTime, Worth: 1, LateWorth: 0.1, Effect: decide.Safe}},
 	}
 	for range f.Tenants {
 		set.Tenants = append(set.Tenants, decide.Tenant{})
@@ -117,134 +118,134 @@
 }
 
 func (f *fleet) addServer(i int) {
-	cell := i / cellSize
+	cell := i / serversPerCell
 	zone := cell % f.Zones
 	s := &server{Server: decide.Server{ID: fmt.Sprintf("s%05d", i), Kind: writerKind, Cell: cell, Zone: zone, Weight: 1}, region: f.region(zone)}
 	if toyserver.IsReader(i, f.Readers) {
 		s.Kind = readerKind
-		s.queue, s.cache = toyserver.NewQueue(1, 0), toyserver.NewCache(keptTokens)
+		s.queue, s.cache = toyserver.NewQueue(1, 0), toyserver.NewCache(cacheTokens)
 	}
 	f.servers[s.ID] = s
-	f.ordered = append(f.ordered, s)
+	f.serverList = append(f.serverList, s)
 }
 
-// region is the region of a zone.
+// region returns the region of a zone.
 func (f *fleet) region(zone int) int { return zone % f.Regions }
 
-// list is what discovery knows now.
+// list returns the servers that discovery currently lists.
 func (f *fleet) list() []decide.Server {
 	var all []decide.Server
-	for _, s := range f.ordered {
-		if !s.away {
+	for _, s := range f.serverList {
+		if !s.down {
 			all = append(all, s.Server)
 		}
 	}
 	return all
 }
 
-// tell has every router hear of the list as it is now, each at its own moment within some time.
-func (f *fleet) tell(within time.Duration) {
+// announceServers delivers the current list to every router, each at a random time within the given period.
+func (f *fleet) announceServers(within time.Duration) {
 	list := decide.ServerList{Whole: true, Servers: f.list()}
 	for _, r := range f.routers {
 		f.After(time.Duration(f.random.Int64N(int64(within))), func() { r.decide.Servers(f.Now, list) })
 	}
 }
 
-// reaches says whether a router and a server can talk.
-func (f *fleet) reaches(r *router, s *server) bool {
-	return !s.away && (f.cut < 0 || (r.region == f.cut) == (s.region == f.cut))
+// reachable reports whether a router and a server can communicate.
+func (f *fleet) reachable(r *router, s *server) bool {
+	return !s.down && (f.isolatedRegion < 0 || (r.region == f.isolatedRegion) == (s.region == f.isolatedRegion))
 }
 
-// way is how long a message takes between a router and a server.
-func (f *fleet) way(r *router, s *server) time.Duration {
+// latency returns the time that a message takes from a router to a server or back.
+func (f *fleet) latency(r *router, s *server) time.Duration {
 	switch {
 	case r.zone == s.Zone:
-		return wayZone
+		return latencyInZone
 	case r.region == s.region:
-		return wayRegion
+		return latencyInRegion
 	}
-	return wayFar
+	return latencyBetweenRegions
 }
 
-// move is how long a state takes from a reader to a writer.
-func (f *fleet) move(from, to *server) time.Duration {
+// transferTime returns the time to transfer a request's state from a reader to a writer.
+func (f *fleet) transferTime(from, to *server) time.Duration {
 	switch {
 	case from.Cell == to.Cell:
-		return moveNear
+		return transferInCell
 	case from.Zone == to.Zone:
-		return moveZone
+		return transferInZone
 	case from.region == to.region:
-		return moveFar
+		return transferInRegion
 	}
-	return moveFar + wayFar
+	return transferInRegion + latencyBetweenRegions
 }
 
-// warmth is the share of its speed that a server has.
-func (f *fleet) warmth(s *server) float64 {
-	if s.Since == 0 || f.Now-s.Since >= coldFor {
+// speed returns the current speed of a server as a share of its full speed: a server warms up after its start.
+func (f *fleet) speed(s *server) float64 {
+	if s.Since == 0 || f.Now-s.Since >= warmUpTime {
 		return 1
 	}
-	return coldFrom + (1-coldFrom)*float64(f.Now-s.Since)/float64(coldFor)
+	return coldStartSpeed + (1-coldStartSpeed)*float64(f.Now-s.Since)/float64(warmUpTime)
 }
 
-// begin notes a request that a server has got, and what it bears while it is cold.
-func (f *fleet) begin(s *server, work float64) {
-	s.sends++
-	if s.Since == 0 || f.Now-s.Since >= coldFor {
+// recordAttempt counts an attempt that a server received. For a cold server it also updates worstColdLoad.
+func (f *fleet) recordAttempt(s *server, work float64) {
+	s.received++
+	if s.Since == 0 || f.Now-s.Since >= warmUpTime {
 		return
 	}
-	s.cold = append(s.cold, coldSend{f.Now, work})
-	s.cold = slices.DeleteFunc(s.cold, func(c coldSend) bool { return c.at <= f.Now-coldWindow })
+	s.coldAttempts = append(s.coldAttempts, coldAttempt{f.Now, work})
+	s.coldAttempts = slices.DeleteFunc(s.coldAttempts, func(c coldAttempt) bool { return c.at <= f.Now-coldWindow })
 	sum := 0.0
-	for _, c := range s.cold {
+	for _, c := range s.coldAttempts {
 		sum += c.work
 	}
-	budget := coldMultiple * f.warmth(s) * f.meanLoad(s) * coldWindow.Seconds()
-	f.worst = max(f.worst, sum/toyserver.ColdLimit(budget))
+	budget := coldMultiple * f.speed(s) * f.capacity(s) * coldWindow.Seconds()
+	f.worstColdLoad = max(f.worstColdLoad, sum/toyserver.ColdLimit(budget))
 }
 
-// meanLoad is what a warm server of a kind can do, in requests of mean work a second.
-func (f *fleet) meanLoad(s *server) float64 {
+// capacity returns how many requests of mean work a warm server can process per second.
+func (f *fleet) capacity(s *server) float64 {
 	if s.Kind == readerKind {
-		return 1 / (f.perToken.Seconds() * promptTokens)
+		return 1 / (f.readTimePerToken.Seconds() * meanPromptTokens)
 	}
-	long := (time.Duration(f.Tokens) * f.TokenTime).Seconds()
-	return f.memory / float64(promptTokens+f.Tokens) / long
+	streamTime := (time.Duration(f.Tokens) * f.TokenTime).Seconds()
+	return f.writerMemory / float64(meanPromptTokens+f.Tokens) / streamTime
 }
 
-// lose takes servers away and brings them back cold after some time, 0 = never.
-func (f *fleet) lose(back time.Duration, is func(*server) bool) {
-	var lost []*server
-	for _, s := range f.ordered {
-		if is(s) {
-			s.away = true
-			lost = append(lost, s)
+// takeDown takes the selected servers down. They return cold after the downtime, or never if it is 0.
+func (f *fleet) takeDown(downtime time.Duration, selected func(*server) bool) {
+	var affected []*server
+	for _, s := range f.serverList {
+		if selected(s) {
+			s.down = true
+			affected = append(affected, s)
 		}
 	}
-	f.After(listLate, func() { f.tell(listSpread) })
-	if back == 0 {
+	f.After(detectionDelay, func() { f.announceServers(propagationTime) })
+	if downtime == 0 {
 		return
 	}
-	f.After(back, func() {
-		for _, s := range lost {
-			s.away, s.Since, s.streams, s.held, s.cold = false, f.Now, 0, 0, nil
+	f.After(downtime, func() {
+		for _, s := range affected {
+			s.down, s.Since, s.streams, s.heldTokens, s.coldAttempts = false, f.Now, 0, 0, nil
 			if s.Kind == readerKind {
-				s.queue, s.cache = toyserver.NewQueue(1, f.Now), toyserver.NewCache(keptTokens)
+				s.queue, s.cache = toyserver.NewQueue(1, f.Now), toyserver.NewCache(cacheTokens)
 			}
 		}
-		f.tell(listSpread)
+		f.announceServers(propagationTime)
 	})
 }
 
-// happen has the event begin.
-func (f *fleet) happen() {
+// startEvent starts the event of the options.
+func (f *fleet) startEvent() {
 	switch f.Event {
 	case RackLost:
-		f.lose(0, func(s *server) bool { return s.Cell/f.Zones < rackCells && s.Zone == 0 })
+		f.takeDown(0, func(s *server) bool { return s.Cell/f.Zones < cellsPerRack && s.Zone == 0 })
 	case ZoneCold:
-		f.lose(ZoneAway, func(s *server) bool { return s.Zone == 0 })
+		f.takeDown(ZoneAway, func(s *server) bool { return s.Zone == 0 })
 	case RegionCut:
-		f.cut = 0
-		f.After(RegionAway, func() { f.cut = -1 })
+		f.isolatedRegion = 0
+		f.After(RegionAway, func() { f.isolatedRegion = -1 })
 	}
 }
--- a/internal/scale/fleetsim/fleetsim_test.go
+++ b/internal/scale/fleetsim/fleetsim_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// small is a fleet that plays within a second or two.
-func small(event Event) Options {
+// smallFleet returns a fleet that is simulated within a second or two.
+func smallFleet(event Event) Options {
 	o := Default()
 	o.Routers, o.Servers, o.Rate, o.Tenants, o.Tokens = 20, 84, 200, 20, 40
 	o.WarmUp, o.Measure, o.Aftermath, o.Event = 8*time.Second, 5*time.Second, 20*time.Second, event
 	return o
 }
 
-// The same options give the same play, another seed another one.
-func TestTheSameSeedGivesTheSamePlay(t *testing.T) {
-	play := func(seed uint64) []Phase {
-		o := small(ZoneCold)
+// The same options give the same results, and another seed gives others.
+func TestSimulationIsDeterministic(t *testing.T) {
+	simulate := func(seed uint64) []Phase {
+		o := smallFleet(ZoneCold)
 		o.Seed = seed
 		phases, err := Play(o)
 		if err != nil {
@@ -25,21 +25,22 @@
 		}
 		return phases
 	}
-	first, again, other := play(1), play(1), play(2)
+	first, again, other := simulate(1), simulate(1), simulate(2)
 	if !slices.Equal(first, again) {
 		t.Errorf("%+v, then %+v", first, again)
 	}
 	if slices.Equal(first, other) {
-		t.Error("two seeds, one play")
+		t.Error("two seeds gave the same results")
 	}
 }
 
-// A quiet fleet serves nearly all, and each event is felt and gets over.
-func TestEventsAreFeltAndGetOver(t *testing.T) {
+// Without an event nearly all requests are served. Each event causes additional attempts. The fleet recovers from
+// all but the isolation of a region, which outlasts the measurement.
+func TestEventsDisruptAndRecover(t *testing.T) {
 	for _, event := range Events() {
 		t.Run(string(event), func(t *testing.T) {
 			t.Parallel()
-			phases, err := Play(small(event))
+			phases, err := Play(smallFleet(event))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -54,26 +55,26 @@
 				return
 			}
 			if hit := phases[2]; hit.Attempts <= steady.Attempts {
-				t.Errorf("nobody felt it: %+v", hit)
+				t.Errorf("the event had no effect: %+v", hit)
 			}
 			if event != RegionCut && last.Served < 0.95 {
-				t.Errorf("it is not over: %+v", last)
+				t.Errorf("the fleet has not recovered: %+v", last)
 			}
 		})
 	}
 }
 
-func TestOptionsThatMakeNoSense(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	for name, change := range map[string]func(*Options){
-		"no router": func(o *Options) { o.Routers = 0 }, "no server": func(o *Options) { o.Servers = 0 },
-		"no rate": func(o *Options) { o.Rate = 0 }, "all read": func(o *Options) { o.Readers = 1 },
+		"no routers": func(o *Options) { o.Routers = 0 }, "no servers": func(o *Options) { o.Servers = 0 },
+		"no rate": func(o *Options) { o.Rate = 0 }, "only readers": func(o *Options) { o.Readers = 1 },
 		"zones": func(o *Options) { o.Zones = 1 }, "event": func(o *Options) { o.Event = "flood" },
 		"time": func(o *Options) { o.Measure = 0 }, "tokens": func(o *Options) { o.Tokens = 0 },
 	} {
-		o := small(NoEvent)
+		o := smallFleet(NoEvent)
 		change(&o)
 		if _, err := Play(o); err == nil {
-			t.Errorf("%s: played", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/internal/scale/fleetsim/options.go
+++ b/internal/scale/fleetsim/options.go
@@ -1,5 +1,5 @@
-// Package fleetsim plays hundreds of routers, each with the real decision module, before a fleet of simulated servers on a
-// virtual clock. No router knows what another does. The same options give the same play.
+// Package fleetsim simulates a fleet of servers and hundreds of routers on a virtual clock. Each router runs the real
+// decision module and knows nothing of the other routers. The same options give the same results.
 package fleetsim
 
 import (
@@ -7,77 +7,78 @@
 	"time"
 )
 
-// Event is what happens to the fleet while it runs.
+// Event is a disturbance of the fleet during the simulation.
 type Event string
 
-// The events. Each begins after the warm-up and the measurement before it.
+// The events. An event begins after the warm-up and the steady phase.
 const (
 	NoEvent   Event = "none"
-	RackLost  Event = "rack"   // the servers of some neighbouring cells vanish for good
-	ZoneCold  Event = "zone"   // the servers of a zone vanish and return cold after ZoneAway
-	RegionCut Event = "region" // a region and the others do not reach each other for RegionAway
+	RackLost  Event = "rack"   // the servers of some neighboring cells fail for good
+	ZoneCold  Event = "zone"   // the servers of a zone fail and return cold after ZoneDowntime
+	RegionCut Event = "region" // one region and the others cannot reach each other for RegionIsolation
 )
 
-// Events lists all events.
+// Events returns all events, NoEvent included.
 func Events() []Event { return []Event{NoEvent, RackLost, ZoneCold, RegionCut} }
 
-// How long events last.
+// The extent of the events.
 const (
-	ZoneAway   = 5 * time.Second
-	RegionAway = time.Minute
-	rackCells  = 8
+	ZoneAway     = 5 * time.Second
+	RegionAway   = time.Minute
+	cellsPerRack = 8
 )
 
-// Options describe a play. Zero values are not filled in: Default is the fleet that docs/CAPACITY.md is about.
+// Options configures a simulation. Zero values have no special meaning. Default returns the fleet that
+// docs/CAPACITY.md describes.
 type Options struct {
 	Routers, Servers int
-	Readers          float64 // the share of servers that read prompts
-	Regions, Zones   int     // zones in all
-	Rate             float64 // requests a second over all routers
+	Readers          float64 // share of the servers that are readers
+	Regions, Zones   int     // number of zones in all regions together
+	Rate             float64 // requests per second over all routers
 	Tenants          int
-	Tokens           int           // of an answer, in the mean
-	TokenTime        time.Duration // between two tokens
-	WarmUp, Measure  time.Duration // before anything is counted; of each phase
-	Aftermath        time.Duration // how long the play goes on after an event
+	Tokens           int           // mean length of a response
+	TokenTime        time.Duration // time between two tokens of a response
+	WarmUp, Measure  time.Duration // before the first phase that counts; of the steady phase
+	Aftermath        time.Duration // simulated time after the start of an event
 	Event            Event
 	Seed             uint64
 }
 
-// Default is the size that the operators plan for.
+// Default returns the fleet size that the operators plan for.
 func Default() Options {
 	return Options{Routers: 340, Servers: 1400, Readers: 0.28, Regions: 3, Zones: 6, Rate: 4500, Tenants: 230,
 		Tokens: 467, TokenTime: 70 * time.Millisecond, WarmUp: 40 * time.Second, Measure: 20 * time.Second,
 		Aftermath: 30 * time.Second, Event: NoEvent, Seed: 1}
 }
 
-// Limits of what makes sense to ask for.
+// Limits of the options.
 const (
-	mostRouters = 10_000
-	mostServers = 100_000
+	maxRouters = 10_000
+	maxServers = 100_000
 )
 
-// Check says what makes no sense.
+// Check returns an error that describes the first invalid option, or nil.
 func (o Options) Check() error {
 	switch {
-	case o.Routers < 1 || o.Routers > mostRouters:
-		return fmt.Errorf("%d routers: there may be 1 to %d", o.Routers, mostRouters)
-	case o.Servers < 2*o.Zones || o.Servers > mostServers:
-		return fmt.Errorf("%d servers: there may be two for each zone to %d", o.Servers, mostServers)
+	case o.Routers < 1 || o.Routers > maxRouters:
+		return fmt.Errorf("%d routers: must be between 1 and %d", o.Routers, maxRouters)
+	case o.Servers < 2*o.Zones || o.Servers > maxServers:
+		return fmt.Errorf("%d servers: must be at least two for each zone and at most %d", o.Servers, maxServers)
 	case !(o.Readers > 0 && o.Readers < 1):
-		return fmt.Errorf("a share of %v that reads: over 0 and under 1 makes sense", o.Readers)
+		return fmt.Errorf("share of readers %v: must be greater than 0 and less than 1", o.Readers)
 	case o.Regions < 1 || o.Zones < o.Regions:
-		return fmt.Errorf("%d zones in %d regions: each has one at least", o.Zones, o.Regions)
+		return fmt.Errorf("%d zones in %d regions: every region needs at least one zone", o.Zones, o.Regions)
 	case !(o.Rate > 0):
-		return fmt.Errorf("%v requests a second: none come", o.Rate)
+		return fmt.Errorf("%v requests per second: must be greater than 0", o.Rate)
 	case o.Tenants < 1 || o.Tokens < 1 || o.TokenTime <= 0:
-		return fmt.Errorf("%d tenants, %d tokens each %v: no request is made of that", o.Tenants, o.Tokens, o.TokenTime)
+		return fmt.Errorf("%d tenants, %d tokens at intervals of %v: all must be greater than 0", o.Tenants, o.Tokens, o.TokenTime)
 	case o.WarmUp < 0 || o.Measure <= 0 || o.Aftermath < 0:
-		return fmt.Errorf("times of %v, %v and %v", o.WarmUp, o.Measure, o.Aftermath)
+		return fmt.Errorf("durations of %v (warm-up), %v (measurement) and %v (after the event): must not be negative, the measurement not 0", o.WarmUp, o.Measure, o.Aftermath)
 	}
 	for _, e := range Events() {
 		if o.Event == e {
 			return nil
 		}
 	}
-	return fmt.Errorf("an event %q: there are %v", o.Event, Events())
+	return fmt.Errorf("unknown event %q: must be one of %v", o.Event, Events())
 }
--- a/internal/scale/fleetsim/play.go
+++ b/internal/scale/fleetsim/play.go
@@ -8,38 +8,38 @@
 	"rowanyard/decide"
 )
 
-// What clients are like.
+// Properties of the simulated clients.
 const (
-	turns         = 4                // of a session, in the mean
-	turnPause     = 15 * time.Second // between two, in the mean
-	beginnings    = 40               // texts that the sessions of a tenant share
-	skew          = 1.1              // of the popularity of tenants and of their beginnings: the n-th has a share of 1/n^skew
-	beginningPart = 0.6              // of a session's first prompt
-	question      = 33               // tokens that a client adds in each turn
-	leastPrompt   = 500              // tokens of a session's first prompt, in the mean
+	meanTurns         = 4                // requests of a session
+	meanTurnPause     = 15 * time.Second // between two requests of a session
+	prefixesPerTenant = 40               // number of prompt prefixes that the sessions of a tenant share
+	zipfExponent      = 1.1              // the n-th tenant, or prefix, has a share proportional to 1/n^zipfExponent
+	prefixShare       = 0.6              // length of the shared prefix as a share of a session's first prompt
+	questionTokens    = 33               // tokens that a client adds to the prompt in each turn
+	minFirstPrompt    = 500              // lower bound for the mean length of a session's first prompt, in tokens
 )
 
-// session is one conversation. A tenant's sessions share beginnings.
+// session is one conversation. The sessions of a tenant share prefixes.
 type session struct {
-	id, beginning uint64
-	tenant        int
-	prompt, first int // tokens now, and of the beginning
+	id, prefix           uint64
+	tenant               int
+	prompt, prefixTokens int // tokens of the current prompt, and of the shared prefix
 }
 
-// popularity draws numbers of which the first is the most frequent.
-type popularity []float64
+// zipf draws indexes with a Zipf distribution: index 0 is the most frequent. It holds cumulative weights.
+type zipf []float64
 
-func newPopularity(n int) popularity {
-	sums := make(popularity, n)
+func newZipf(n int) zipf {
+	sums := make(zipf, n)
 	sum := 0.0
 	for i := range sums {
-		sum += math.Pow(float64(i+1), -skew)
+		sum += math.Pow(float64(i+1), -zipfExponent)
 		sums[i] = sum
 	}
 	return sums
 }
 
-func (p popularity) draw(random *rand.Rand) int {
+func (p zipf) draw(random *rand.Rand) int {
 	at := random.Float64() * p[len(p)-1]
 	low, high := 0, len(p)-1
 	for low < high {
@@ -52,69 +52,70 @@
 	return low
 }
 
-// load has sessions begin, at a rate that makes the rate of requests, until a time. As many as there would be by then are
-// under way at the start.
-func (f *fleet) load(end time.Duration) {
-	tenants, texts := newPopularity(f.Tenants), newPopularity(beginnings)
-	begin := func() *session {
-		tenant, text := tenants.draw(f.random), texts.draw(f.random)
-		prompt := f.firstPrompt() * (0.5 + f.random.Float64())
-		return &session{id: f.random.Uint64() | 1, tenant: tenant, beginning: uint64(tenant*beginnings+text) + 1,
-			prompt: int(prompt), first: int(beginningPart * prompt)}
+// startLoad starts sessions at random intervals until the given time, so that requests come at the rate of the
+// options. It begins with as many sessions under way as there are in a steady state.
+func (f *fleet) startLoad(end time.Duration) {
+	tenants, prefixes := newZipf(f.Tenants), newZipf(prefixesPerTenant)
+	newSession := func() *session {
+		tenant, index := tenants.draw(f.random), prefixes.draw(f.random)
+		prompt := f.meanFirstPrompt() * (0.5 + f.random.Float64())
+		return &session{id: f.random.Uint64() | 1, tenant: tenant, prefix: uint64(tenant*prefixesPerTenant+index) + 1,
+			prompt: int(prompt), prefixTokens: int(prefixShare * prompt)}
 	}
-	for range int(f.Rate * (turns - 1) / turns * turnPause.Seconds()) {
-		s := begin()
-		for s.grow(f.Tokens); f.comesAgain(); s.grow(f.Tokens) {
+	for range int(f.Rate * (meanTurns - 1) / meanTurns * meanTurnPause.Seconds()) {
+		s := newSession()
+		for s.grow(f.Tokens); f.hasNextTurn(); s.grow(f.Tokens) {
 		}
-		f.After(f.pause(), func() { f.turn(s, end) })
+		f.After(f.drawPause(), func() { f.sendTurn(s, end) })
 	}
-	wait := func() time.Duration {
-		return time.Duration(f.random.ExpFloat64() * turns / f.Rate * float64(time.Second))
+	interarrival := func() time.Duration {
+		return time.Duration(f.random.ExpFloat64() * meanTurns / f.Rate * float64(time.Second))
 	}
 	var next func()
 	next = func() {
 		if f.Now >= end {
 			return
 		}
-		f.After(wait(), next)
-		f.turn(begin(), end)
+		f.After(interarrival(), next)
+		f.sendTurn(newSession(), end)
 	}
 	f.After(0, next)
 }
 
-// firstPrompt is the tokens of a session's first prompt, in the mean: later turns add theirs and the answers, so that all
-// prompts have promptTokens in the mean.
-func (f *fleet) firstPrompt() float64 {
-	return max(leastPrompt, promptTokens-(turns-1)*float64(f.Tokens+question))
+// meanFirstPrompt returns the mean number of tokens of a session's first prompt. Later turns add their questions and
+// the responses, so that the mean over all prompts is meanPromptTokens.
+func (f *fleet) meanFirstPrompt() float64 {
+	return max(minFirstPrompt, meanPromptTokens-(meanTurns-1)*float64(f.Tokens+questionTokens))
 }
 
-// turn has a session's next request come, and perhaps another one later.
-func (f *fleet) turn(s *session, end time.Duration) {
+// sendTurn sends the next request of a session to a random router, and schedules another turn if the session has one.
+func (f *fleet) sendTurn(s *session, end time.Duration) {
 	if f.Now >= end {
 		return
 	}
 	f.lastID++
-	f.tally.came++
+	f.stats.requests++
 	r := f.routers[f.random.IntN(len(f.routers))]
-	r.take(decide.Request{ID: f.lastID, Tenant: s.tenant, TimeLeft: classDeadline, Session: s.id, Prefix: s.beginning,
-		Prompt: s.prompt, PrefixLen: s.first, MaxOutput: 2 * f.Tokens, Hint: time.Duration(f.Tokens) * f.TokenTime})
+	r.receive(decide.Request{ID: f.lastID, Tenant: s.tenant, TimeLeft: classDeadline, Session: s.id, Prefix: s.prefix,
+		Prompt: s.prompt, PrefixLen: s.prefixTokens, MaxOutput: 2 * f.Tokens, Hint: time.Duration(f.Tokens) * f.TokenTime})
 	s.grow(f.Tokens)
-	if f.comesAgain() {
-		f.After(f.pause(), func() { f.turn(s, end) })
+	if f.hasNextTurn() {
+		f.After(f.drawPause(), func() { f.sendTurn(s, end) })
 	}
 }
 
-// grow makes a session's prompt longer by an answer and the next question.
-func (s *session) grow(answer int) { s.prompt += answer + question }
+// grow extends a session's prompt by a response of the given length and the next question.
+func (s *session) grow(answer int) { s.prompt += answer + questionTokens }
 
-// comesAgain draws whether a session has another turn, pause after how long.
-func (f *fleet) comesAgain() bool { return f.random.Float64() < 1-1./turns }
+// hasNextTurn draws whether a session has another turn.
+func (f *fleet) hasNextTurn() bool { return f.random.Float64() < 1-1./meanTurns }
 
-func (f *fleet) pause() time.Duration {
-	return time.Duration(f.random.ExpFloat64() * float64(turnPause))
+// drawPause draws the time until a session's next turn.
+func (f *fleet) drawPause() time.Duration {
+	return time.Duration(f.random.ExpFloat64() * float64(meanTurnPause))
 }
 
-// Play plays a fleet and returns what was measured, phase by phase.
+// Simulate runs a simulation and returns the measurements of its phases in order.
 func Play(o Options) ([]Phase, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -124,26 +125,26 @@
 	if o.Event != NoEvent {
 		end += o.Aftermath
 	}
-	f.load(end)
+	f.startLoad(end)
 	var phases []Phase
-	next := func(name string, until time.Duration) {
+	runPhase := func(name string, until time.Duration) {
 		from := f.Now
 		f.Until(until)
 		f.Now = until
-		phases = append(phases, f.phase(name, from))
+		phases = append(phases, f.endPhase(name, from))
 	}
-	next("warm-up", o.WarmUp)
-	next("steady", o.WarmUp+o.Measure)
+	runPhase("warm-up", o.WarmUp)
+	runPhase("steady", o.WarmUp+o.Measure)
 	if o.Event == NoEvent {
 		return phases, nil
 	}
-	f.happen()
+	f.startEvent()
 	for _, p := range []struct {
 		name  string
 		until time.Duration
 	}{{"0 to 5 s after", 5 * time.Second}, {"5 to 15 s after", 15 * time.Second}, {"later", o.Aftermath}} {
 		if f.Now < o.WarmUp+o.Measure+p.until {
-			next(p.name, min(end, o.WarmUp+o.Measure+p.until))
+			runPhase(p.name, min(end, o.WarmUp+o.Measure+p.until))
 		}
 	}
 	return phases, nil
--- a/internal/scale/fleetsim/router.go
+++ b/internal/scale/fleetsim/router.go
@@ -6,7 +6,7 @@
 	"rowanyard/decide"
 )
 
-// router is one router: the real decision module, and what would be its network.
+// router is one simulated router. It runs the real decision module and implements its network side, decide.Front.
 type router struct {
 	fleet        *fleet
 	decide       *decide.Router
@@ -17,18 +17,19 @@
 // request is a client's request at its router.
 type request struct {
 	decide.Request
-	came     time.Duration
-	attempts []*attempt
-	holder   *server // the reader where its state is
-	begun    bool    // its answer streams
+	arrivedAt   time.Duration
+	attempts    []*attempt
+	stateHolder *server // the reader that holds its state
+	streaming   bool    // its response has begun
 }
 
-// attempt is one send. What was called off has its outcome at once, and nothing of it counts any more.
+// attempt is one attempt at a server. A cancelled attempt gets its outcome at once, and nothing that follows from it
+// counts.
 type attempt struct {
-	to   *server
-	at   time.Duration
-	over bool
-	end  func() // of a stream: gives its memory back
+	to     *server
+	sentAt time.Duration
+	ended  bool
+	finish func() // of a stream at a writer: frees its memory
 }
 
 func newRouter(f *fleet, number int) *router {
@@ -38,16 +39,16 @@
 	set.Front, set.Zone = number, r.zone
 	module, err := decide.New(set, f.Seed<<16+uint64(number), r)
 	if err != nil {
-		panic(err) // the settings are ours
+		panic(err) // the settings are built by makeSettings
 	}
 	r.decide = module
 	module.Servers(0, decide.ServerList{Whole: true, Servers: f.list()})
 	return r
 }
 
-// take has a client's request come.
-func (r *router) take(q decide.Request) {
-	r.open[q.ID] = &request{Request: q, came: r.fleet.Now}
+// receive passes a client's request to the decision module.
+func (r *router) receive(q decide.Request) {
+	r.open[q.ID] = &request{Request: q, arrivedAt: r.fleet.Now}
 	r.decide.Request(r.fleet.Now, q)
 }
 
@@ -55,21 +56,21 @@
 func (r *router) Send(id decide.RequestID, to string, timeout time.Duration) {
 	f, q := r.fleet, r.open[id]
 	s := f.servers[to]
-	a := &attempt{to: s, at: f.Now}
+	a := &attempt{to: s, sentAt: f.Now}
 	n := len(q.attempts)
 	q.attempts = append(q.attempts, a)
-	f.tally.attempts++
-	if !f.reaches(r, s) {
-		wait := refusedAfter
-		if f.cut >= 0 || s.away {
-			wait = noConnection
+	f.stats.attempts++
+	if !f.reachable(r, s) {
+		wait := refuseLatency
+		if f.isolatedRegion >= 0 || s.down {
+			wait = connectTimeout
 		}
-		f.After(min(wait, timeout), func() { r.end(q, n, decide.Outcome{Status: decide.ConnectFailed}) })
+		f.After(min(wait, timeout), func() { r.finish(q, n, decide.Outcome{Status: decide.ConnectFailed}) })
 		return
 	}
-	f.After(timeout, func() { r.end(q, n, decide.Outcome{Status: decide.TimedOut}) })
-	f.After(f.way(r, s), func() {
-		if a.over || s.away {
+	f.After(timeout, func() { r.finish(q, n, decide.Outcome{Status: decide.TimedOut}) })
+	f.After(f.latency(r, s), func() {
+		if a.ended || s.down {
 			return
 		}
 		if s.Kind == readerKind {
@@ -80,87 +81,88 @@
 	})
 }
 
-// read has a reader read the prompt. What has expired in its queue is dropped.
+// read simulates the processing of a prompt at a reader. The reader drops a request whose time is over before its
+// turn in the queue.
 func (r *router) read(q *request, n int, s *server, timeout time.Duration) {
 	f, a := r.fleet, q.attempts[n]
-	kept := min(q.Prompt, max(min(s.cache.Kept(q.Prefix), q.PrefixLen), s.cache.Kept(q.Session)))
-	f.begin(s, float64(q.Prompt)/promptTokens)
+	cached := min(q.Prompt, max(min(s.cache.Kept(q.Prefix), q.PrefixLen), s.cache.Kept(q.Session)))
+	f.recordAttempt(s, float64(q.Prompt)/meanPromptTokens)
 	slot := s.queue.Next(f.Now)
-	if slot.Begins > a.at+timeout {
+	if slot.Begins > a.sentAt+timeout {
 		return
 	}
-	long := time.Duration(float64(f.perToken) * float64(q.Prompt-kept) / f.warmth(s))
-	ends := slot.Take(long)
-	f.After(ends-f.Now+f.way(r, s), func() {
+	duration := time.Duration(float64(f.readTimePerToken) * float64(q.Prompt-cached) / f.speed(s))
+	ends := slot.Take(duration)
+	f.After(ends-f.Now+f.latency(r, s), func() {
 		s.cache.Keep(q.Prefix, q.PrefixLen)
 		s.cache.Keep(q.Session, q.Prompt)
-		if !a.over && f.reaches(r, s) {
-			q.holder = s
-			f.tally.read(q.Prompt, kept)
-			r.end(q, n, decide.Outcome{Status: decide.Read, Kept: kept})
+		if !a.ended && f.reachable(r, s) {
+			q.stateHolder = s
+			f.stats.read(q.Prompt, cached)
+			r.finish(q, n, decide.Outcome{Status: decide.Read, Kept: cached})
 		}
 	})
 }
 
-// write has a writer fetch the state and stream the answer.
+// write simulates a writer that fetches the state and streams the response.
 func (r *router) write(q *request, n int, s *server) {
 	f, a := r.fleet, q.attempts[n]
 	size := float64(q.Prompt + f.Tokens)
-	f.begin(s, size/float64(promptTokens+f.Tokens))
-	if q.holder == nil || s.held+size > f.memory*f.warmth(s) {
-		f.After(f.way(r, s), func() { r.end(q, n, decide.Outcome{Status: decide.Full}) })
+	f.recordAttempt(s, size/float64(meanPromptTokens+f.Tokens))
+	if q.stateHolder == nil || s.heldTokens+size > f.writerMemory*f.speed(s) {
+		f.After(f.latency(r, s), func() { r.finish(q, n, decide.Outcome{Status: decide.Full}) })
 		return
 	}
-	s.held += size
+	s.heldTokens += size
 	s.streams++
 	since := s.Since
-	a.end = func() {
-		a.end = nil
-		if s.Since == since { // else it has been restarted, and holds nothing of before
-			s.held -= size
+	a.finish = func() {
+		a.finish = nil
+		if s.Since == since { // a restart has freed everything
+			s.heldTokens -= size
 			s.streams--
 		}
 	}
-	step := time.Duration(float64(f.TokenTime) / 2 * (1 + s.held/f.memory))
-	first := f.move(q.holder, s) + step + f.way(r, s)
+	step := time.Duration(float64(f.TokenTime) / 2 * (1 + s.heldTokens/f.writerMemory))
+	first := f.transferTime(q.stateHolder, s) + step + f.latency(r, s)
 	f.After(first, func() { r.firstToken(q, n, s) })
 }
 
-// firstToken has an answer begin.
+// firstToken starts the response, unless the attempt has ended meanwhile.
 func (r *router) firstToken(q *request, n int, s *server) {
 	f, a := r.fleet, q.attempts[n]
-	if a.over || !f.reaches(r, s) {
-		if a.over && a.end != nil {
-			a.end()
+	if a.ended || !f.reachable(r, s) {
+		if a.ended && a.finish != nil {
+			a.finish()
 		}
 		return
 	}
-	q.begun = true
-	f.tally.served(f.Now - q.came)
-	r.decide.Started(f.Now, decide.Started{ID: q.ID, Attempt: n, Server: s.ID, Took: f.Now - a.at})
+	q.streaming = true
+	f.stats.served(f.Now - q.arrivedAt)
+	r.decide.Started(f.Now, decide.Started{ID: q.ID, Attempt: n, Server: s.ID, Took: f.Now - a.sentAt})
 	f.After(time.Duration(f.Tokens)*f.TokenTime, func() {
 		status := decide.Served
-		if !f.reaches(r, s) {
+		if !f.reachable(r, s) {
 			status = decide.Reset
-			f.tally.broken++
+			f.stats.brokenStreams++
 		}
-		r.end(q, n, decide.Outcome{Status: status, Final: true})
+		r.finish(q, n, decide.Outcome{Status: status, Final: true})
 	})
 }
 
-// end is the outcome of an attempt, unless it had one.
-func (r *router) end(q *request, n int, o decide.Outcome) {
+// finish reports the outcome of an attempt to the decision module, unless the attempt already had one.
+func (r *router) finish(q *request, n int, o decide.Outcome) {
 	f, a := r.fleet, q.attempts[n]
-	if a.over || q.begun && o.Status == decide.TimedOut { // an answer that streams has no time-out
+	if a.ended || q.streaming && o.Status == decide.TimedOut { // the timeout applies until the response begins
 		return
 	}
-	a.over = true
-	if a.end != nil {
-		a.end()
+	a.ended = true
+	if a.finish != nil {
+		a.finish()
 	}
-	o.ID, o.Attempt, o.Server, o.Took = q.ID, n, a.to.ID, f.Now-a.at
+	o.ID, o.Attempt, o.Server, o.Took = q.ID, n, a.to.ID, f.Now-a.sentAt
 	r.decide.Outcome(f.Now, o)
-	if q.begun {
+	if q.streaming {
 		delete(r.open, q.ID)
 	}
 }
@@ -168,31 +170,31 @@
 // Cancel implements decide.Front.
 func (r *router) Cancel(id decide.RequestID, n int) {
 	q := r.open[id]
-	r.fleet.After(0, func() { r.end(q, n, decide.Outcome{Status: decide.Cancelled}) })
+	r.fleet.After(0, func() { r.finish(q, n, decide.Outcome{Status: decide.Cancelled}) })
 }
 
 // Refuse implements decide.Front.
-func (r *router) Refuse(id decide.RequestID, _ time.Duration) { r.give(id, &r.fleet.tally.refused) }
+func (r *router) Refuse(id decide.RequestID, _ time.Duration) { r.respond(id, &r.fleet.stats.refused) }
 
 // Fail implements decide.Front.
-func (r *router) Fail(id decide.RequestID) { r.give(id, &r.fleet.tally.failed) }
+func (r *router) Fail(id decide.RequestID) { r.respond(id, &r.fleet.stats.failed) }
 
-// give is a final answer other than a stream.
-func (r *router) give(id decide.RequestID, counted *int) {
+// respond ends a request with a final response other than a stream, and cancels its attempts.
+func (r *router) respond(id decide.RequestID, counter *int) {
 	q := r.open[id]
-	*counted++
+	*counter++
 	delete(r.open, id)
 	for n, a := range q.attempts {
-		if !a.over {
-			r.fleet.After(0, func() { r.end(q, n, decide.Outcome{Status: decide.Cancelled}) })
+		if !a.ended {
+			r.fleet.After(0, func() { r.finish(q, n, decide.Outcome{Status: decide.Cancelled}) })
 		}
 	}
 }
 
-// Release implements decide.Front. States hold no memory of a reader here.
+// Release implements decide.Front. In the simulation, held state occupies no memory at a reader.
 func (r *router) Release(decide.RequestID) {}
 
-// AskServers implements decide.Front. Lists are pushed.
+// AskServers implements decide.Front. It does nothing, as announceServers pushes all lists.
 func (r *router) AskServers(bool) {}
 
 // SetTimer implements decide.Front.
@@ -203,23 +205,23 @@
 // Probe implements decide.Front.
 func (r *router) Probe(to string) {
 	f, s := r.fleet, r.fleet.servers[to]
-	f.tally.probes++
-	if !f.reaches(r, s) {
+	f.stats.probes++
+	if !f.reachable(r, s) {
 		return
 	}
-	f.After(2*f.way(r, s), func() {
-		if !f.reaches(r, s) {
+	f.After(2*f.latency(r, s), func() {
+		if !f.reachable(r, s) {
 			return
 		}
 		s.probes++
-		told := decide.Probed{Server: to}
+		load := decide.Probed{Server: to}
 		if s.Kind == readerKind {
-			told.Tokens = s.queue.Backlog(f.Now).Seconds() / f.perToken.Seconds()
-			told.Queue = told.Tokens / promptTokens
+			load.Tokens = s.queue.Backlog(f.Now).Seconds() / f.readTimePerToken.Seconds()
+			load.Queue = load.Tokens / meanPromptTokens
 		} else {
-			told.Held = s.held / f.memory
-			told.Tokens = 0
+			load.Held = s.heldTokens / f.writerMemory
+			load.Tokens = 0
 		}
-		r.decide.Probed(f.Now, told)
+		r.decide.Probed(f.Now, load)
 	})
 }
--- a/internal/scale/fleetsim/tally.go
+++ b/internal/scale/fleetsim/tally.go
@@ -6,78 +6,78 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The first tokens that can be told apart.
+// Range and precision of the recorded times to the first token.
 const (
-	shortestFirst = int64(time.Microsecond)
-	longestFirst  = int64(time.Minute)
-	firstDigits   = 3
+	minFirstTokenNs  = int64(time.Microsecond)
+	maxFirstTokenNs  = int64(time.Minute)
+	firstTokenDigits = 3
 )
 
-// tally counts what happens in one phase.
-type tally struct {
-	first                     *hdrhistogram.Histogram // time to the first token, in nanoseconds
-	came, refused, failed     int
-	broken, attempts, probes  int
-	promptTokens, foundTokens int
+// stats counts the events of one phase.
+type stats struct {
+	firstToken                      *hdrhistogram.Histogram // time to the first token, in nanoseconds
+	requests, refused, failed       int
+	brokenStreams, attempts, probes int
+	promptTokens, cachedTokens      int
 }
 
-func newTally() *tally {
-	return &tally{first: hdrhistogram.New(shortestFirst, longestFirst, firstDigits)}
+func newStats() *stats {
+	return &stats{firstToken: hdrhistogram.New(minFirstTokenNs, maxFirstTokenNs, firstTokenDigits)}
 }
 
-func (t *tally) served(after time.Duration) {
-	_ = t.first.RecordValue(int64(after)) // deadlines are far shorter than the longest
+func (t *stats) served(after time.Duration) {
+	_ = t.firstToken.RecordValue(int64(after)) // cannot fail: deadlines are far shorter than the maximum
 }
 
-func (t *tally) read(prompt, kept int) {
+func (t *stats) read(prompt, kept int) {
 	t.promptTokens += prompt
-	t.foundTokens += kept
+	t.cachedTokens += kept
 }
 
-// Phase is what was measured in a part of a play.
+// Phase holds the measurements of one phase of a simulation.
 type Phase struct {
 	Name               string
 	From, Until        time.Duration
 	Came               int
-	Served             float64       // share of what was answered
-	Broken             int           // streams that broke
+	Served             float64       // share of the finished requests
+	Broken             int           // number of streams that ended early
 	First50, First95   time.Duration // time to the first token
-	Found              float64       // share of prompt tokens that readers found kept
-	Attempts           float64       // a request
-	Probes             float64       // a request
-	WorstReader        float64       // requests against the mean of its kind
-	WorstWriter        float64
-	ProbesAtServer     float64 // a second, in the mean
-	MostProbesAtServer float64 // a second, at the server that got the most
-	ColdWorst          float64 // the fullest window of a cold server so far, against its limit
+	Found              float64       // share of the prompt tokens that readers found in their caches
+	Attempts           float64       // per request
+	Probes             float64       // per request
+	WorstReader        float64       // attempts at the busiest reader relative to the mean
+	WorstWriter        float64       // attempts at the busiest writer relative to the mean
+	ProbesAtServer     float64       // per second, mean over all servers
+	MostProbesAtServer float64       // per second, at the server that received the most
+	ColdWorst          float64       // highest load of a cold server within a window so far, as a share of its limit
 }
 
-// phase ends a phase and begins the next.
-func (f *fleet) phase(name string, from time.Duration) Phase {
-	t := f.tally
-	f.tally = newTally()
-	served := int(t.first.TotalCount())
-	p := Phase{Name: name, From: from, Until: f.Now, Came: t.came, Broken: t.broken, ColdWorst: f.worst,
-		First50: time.Duration(t.first.ValueAtQuantile(50)), First95: time.Duration(t.first.ValueAtQuantile(95)),
-		Served: share(served, served+t.refused+t.failed), Found: share(t.foundTokens, t.promptTokens),
-		Attempts: share(t.attempts, t.came), Probes: share(t.probes, t.came)}
-	long := (f.Now - from).Seconds()
-	p.WorstReader, p.WorstWriter = f.worstLoad(readerKind), f.worstLoad(writerKind)
-	for _, s := range f.ordered {
-		rate := float64(s.probes) / long
-		p.ProbesAtServer += rate / float64(len(f.ordered))
+// endPhase returns the measurements of the current phase and resets the counters for the next one.
+func (f *fleet) endPhase(name string, from time.Duration) Phase {
+	t := f.stats
+	f.stats = newStats()
+	served := int(t.firstToken.TotalCount())
+	p := Phase{Name: name, From: from, Until: f.Now, Came: t.requests, Broken: t.brokenStreams, ColdWorst: f.worstColdLoad,
+		First50: time.Duration(t.firstToken.ValueAtQuantile(50)), First95: time.Duration(t.firstToken.ValueAtQuantile(95)),
+		Served: share(served, served+t.refused+t.failed), Found: share(t.cachedTokens, t.promptTokens),
+		Attempts: share(t.attempts, t.requests), Probes: share(t.probes, t.requests)}
+	seconds := (f.Now - from).Seconds()
+	p.WorstReader, p.WorstWriter = f.peakToMeanLoad(readerKind), f.peakToMeanLoad(writerKind)
+	for _, s := range f.serverList {
+		rate := float64(s.probes) / seconds
+		p.ProbesAtServer += rate / float64(len(f.serverList))
 		p.MostProbesAtServer = max(p.MostProbesAtServer, rate)
-		s.probes, s.sends = 0, 0
+		s.probes, s.received = 0, 0
 	}
 	return p
 }
 
-// worstLoad is what the busiest server of a kind got, against the mean of the kind.
-func (f *fleet) worstLoad(kind int) float64 {
+// peakToMeanLoad returns the attempts at the busiest server of a kind relative to the mean of that kind.
+func (f *fleet) peakToMeanLoad(kind int) float64 {
 	most, sum, n := 0, 0, 0
-	for _, s := range f.ordered {
+	for _, s := range f.serverList {
 		if s.Kind == kind {
-			most, sum, n = max(most, s.sends), sum+s.sends, n+1
+			most, sum, n = max(most, s.received), sum+s.received, n+1
 		}
 	}
 	if sum == 0 {
