--- a/internal/scale/fleetsim/fleet.go
+++ b/internal/scale/fleetsim/fleet.go
@@ -108,8 +108,9 @@
 		Fronts: f.Routers, Tick: time.Millisecond, MaxAttempts: maxAttempts, CanCancel: true, CanProbe: true, PinLimit: pinLimit,
 		ConnectTimeout: connectTimeout, MaxRetryAfter: time.Second,
 		ColdFrom: coldStartSpeed, ColdFor: warmUpTime, ColdMultiple: coldMultiple, ColdWindow: coldWindow,
-		Kinds:   []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer, MemoryTokens: int(f.writerMemory)}},
-		Classes: []decide.Class{{Aim: firstTokenTarget, Deadline: classDeadline, TokenAim: f.TokenTime, Worth: 1, LateWorth: 0.1, Effect: decide.Safe}},
+		Kinds: []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer, MemoryTokens: int(f.writerMemory)}},
+		Classes: []decide.Class{{Aim: firstTokenTarget, Deadline: classDeadline, TokenAim: f.TokenTime, Worth: 1,
+			LateWorth: 0.1, Effect: decide.Safe}},
 	}
 	for range f.Tenants {
 		set.Tenants = append(set.Tenants, decide.Tenant{})
@@ -120,7 +121,8 @@
 func (f *fleet) addServer(i int) {
 	cell := i / serversPerCell
 	zone := cell % f.Zones
-	s := &server{Server: decide.Server{ID: fmt.Sprintf("s%05d", i), Kind: writerKind, Cell: cell, Zone: zone, Weight: 1}, region: f.region(zone)}
+	s := &server{Server: decide.Server{ID: fmt.Sprintf("s%05d", i), Kind: writerKind, Cell: cell, Zone: zone, Weight: 1},
+		region: f.region(zone)}
 	if toyserver.IsReader(i, f.Readers) {
 		s.Kind = readerKind
 		s.queue, s.cache = toyserver.NewQueue(1, 0), toyserver.NewCache(cacheTokens)
--- a/internal/scale/fleetsim/options.go
+++ b/internal/scale/fleetsim/options.go
@@ -73,7 +73,8 @@
 	case o.Tenants < 1 || o.Tokens < 1 || o.TokenTime <= 0:
 		return fmt.Errorf("%d tenants, %d tokens at intervals of %v: all must be greater than 0", o.Tenants, o.Tokens, o.TokenTime)
 	case o.WarmUp < 0 || o.Measure <= 0 || o.Aftermath < 0:
-		return fmt.Errorf("durations of %v (warm-up), %v (measurement) and %v (after the event): must not be negative, the measurement not 0", o.WarmUp, o.Measure, o.Aftermath)
+		return fmt.Errorf("warm-up %v, measurement %v, after the event %v: must not be negative, and the measurement not 0",
+			o.WarmUp, o.Measure, o.Aftermath)
 	}
 	for _, e := range Events() {
 		if o.Event == e {
--- a/internal/scale/soak/client.go
+++ b/internal/scale/soak/client.go
@@ -154,8 +154,10 @@
 	}
 	body := fmt.Sprintf(`{"model":"chat","stream":true,"max_tokens":9,"messages":[{"role":"user","content":"%s"}]}`, s.id)
 	var request strings.Builder
-	fmt.Fprintf(&request, "POST /v1/chat/completions HTTP/1.1\r\nHost: soak\r\nContent-Type: application/json\r\nX-Txn: %s\r\nX-Lane: %s\r\n", s.id, class)
+	fmt.Fprintf(&request,
+		"POST /v1/chat/completions HTTP/1.1\r\nHost: soak\r\nContent-Type: application/json\r\nX-Txn: %s\r\nX-Lane: %s\r\n", s.id, class)
 	fmt.Fprintf(&request, "X-Entity: %016x\r\nX-Remaining-Ms: %d\r\n", c.number+1, s.firstTokenTimeout.Milliseconds())
-	fmt.Fprintf(&request, "X-Labels: prefix=%016x,prompt_len=40,prefix_len=20,max_out=9\r\nContent-Length: %d\r\n\r\n%s", s.id[1], len(body), body)
+	fmt.Fprintf(&request, "X-Labels: prefix=%016x,prompt_len=40,prefix_len=20,max_out=9\r\nContent-Length: %d\r\n\r\n%s",
+		s.id[1], len(body), body)
 	return request.String()
 }
--- a/internal/scale/soak/deployment.go
+++ b/internal/scale/soak/deployment.go
@@ -120,7 +120,8 @@
 }
 
 func (d *deployment) addRouter(number int) error {
-	r := &router{number: number, name: fmt.Sprint("n", number), program: d.programs.Router, listWorkers: d.workerList, address: routerAddress(d.runNumber, number)}
+	r := &router{number: number, name: fmt.Sprint("n", number), program: d.programs.Router, listWorkers: d.workerList,
+		address: routerAddress(d.runNumber, number)}
 	var err error
 	if r.dir, err = os.MkdirTemp(d.dir, r.name); err != nil {
 		return err
@@ -151,7 +152,8 @@
 }
 
 func (w *worker) entry() httpfront.Entry {
-	return httpfront.Entry{Host: w.host, Dial: w.proxy.Address(), Site: "here", Class: w.kind, Block: w.block, Health: w.health, Share: 1, BornMs: w.bornMs}
+	return httpfront.Entry{Host: w.host, Dial: w.proxy.Address(), Site: "here", Class: w.kind, Block: w.block,
+		Health: w.health, Share: 1, BornMs: w.bornMs}
 }
 
 // startWorker starts a new process for a worker and directs the worker's proxy to it.
@@ -244,7 +246,8 @@
 	case DiscoveryResets:
 		r.discovery.Reset()
 		d.mu.Lock()
-		d.discoveryOutages = append(d.discoveryOutages, discoveryOutage{r.number, time.Now(), time.Now().Add(discoveryDelayLimit)}) // until the router reconnects
+		// The outage lasts until the router reconnects.
+		d.discoveryOutages = append(d.discoveryOutages, discoveryOutage{r.number, time.Now(), time.Now().Add(discoveryDelayLimit)})
 		d.mu.Unlock()
 	case RouterEnds:
 		r.terminate()
--- a/internal/scale/soak/judge.go
+++ b/internal/scale/soak/judge.go
@@ -82,7 +82,8 @@
 }
 
 func (d *deployment) checkInvariants() Report {
-	rec := &records{events: d.ledger.snapshot(), requests: d.requestLog.finished, healthChanges: d.healthChanges, discoveryOutages: d.discoveryOutages, routers: d.routers,
+	rec := &records{events: d.ledger.snapshot(), requests: d.requestLog.finished, healthChanges: d.healthChanges,
+		discoveryOutages: d.discoveryOutages, routers: d.routers,
 		eventsByID: make(map[string][]event)}
 	for _, e := range rec.events {
 		rec.eventsByID[e.id] = append(rec.eventsByID[e.id], e)
@@ -103,7 +104,8 @@
 			report.Failed++
 		}
 	}
-	for _, rule := range []func(*records) []Broken{checkAnswers, checkEffects, checkStates, checkDrains, checkDisconnects, checkDeadlines, checkRouters} {
+	for _, rule := range []func(*records) []Broken{checkAnswers, checkEffects, checkStates, checkDrains, checkDisconnects,
+		checkDeadlines, checkRouters} {
 		report.Broken = append(report.Broken, rule(rec)...)
 	}
 	for i := range report.Broken {
@@ -122,7 +124,8 @@
 	}
 	for _, s := range rec.requests {
 		if s.id == id {
-			lines = append(lines, fmt.Sprintf("%s sent by its client, ended %v later, status %d, disconnected %v", s.at.UTC().Format(time.RFC3339Nano),
+			lines = append(lines, fmt.Sprintf("%s sent by its client, ended %v later, status %d, disconnected %v",
+				s.at.UTC().Format(time.RFC3339Nano),
 				s.ended.Sub(s.at), s.status, !s.disconnectedAt.IsZero()))
 		}
 	}
@@ -152,14 +155,17 @@
 			continue
 		}
 		if s.status != 0 && s.status != 200 && s.ended.Sub(s.at) > s.firstTokenTimeout+responseSlack+clockSlack {
-			found = append(found, Broken{Rule: Answered, What: fmt.Sprintf("%s answered with status %d after %v, allowed were %v", s.id, s.status, s.ended.Sub(s.at), s.firstTokenTimeout), ID: s.id})
+			found = append(found, Broken{Rule: Answered,
+				What: fmt.Sprintf("%s answered with status %d after %v, allowed were %v", s.id, s.status, s.ended.Sub(s.at),
+					s.firstTokenTimeout), ID: s.id})
 		}
 		if s.status != 0 {
 			continue
 		}
 		if reason := rec.excuse(s); reason == "" {
-			found = append(found, Broken{Rule: Answered, What: fmt.Sprintf("%s at n%d has no response %v after it was sent, reused connection %v, seen by workers %v",
-				s.id, s.router, s.ended.Sub(s.at), s.reusedConn, len(rec.eventsByID[s.id]) > 0), ID: s.id})
+			found = append(found, Broken{Rule: Answered,
+				What: fmt.Sprintf("%s at n%d has no response %v after it was sent, reused connection %v, seen by workers %v",
+					s.id, s.router, s.ended.Sub(s.at), s.reusedConn, len(rec.eventsByID[s.id]) > 0), ID: s.id})
 		}
 	}
 	return found
@@ -302,7 +308,8 @@
 			continue
 		}
 		if knownSince, ok := rec.drainKnownSince(e.host, number, e.at); ok && e.at.Sub(knownSince) > drainGrace+clockSlack {
-			found = append(found, Broken{Rule: Drained, What: fmt.Sprintf("%s at %s, %v after the router learned that it drains", e.id, e.host, e.at.Sub(knownSince)), ID: e.id})
+			found = append(found, Broken{Rule: Drained,
+				What: fmt.Sprintf("%s at %s, %v after the router learned that it drains", e.id, e.host, e.at.Sub(knownSince)), ID: e.id})
 		}
 	}
 	return found
@@ -392,8 +399,9 @@
 }
 
 // forbiddenLogTexts maps texts that no router may log to the invariant that each of them shows to be violated.
-var forbiddenLogTexts = map[string]Rule{"invariant violated": Guarded, "panicked": Guarded, "msg=overdue": Answered, "floods a request": Guarded,
-	"panic:": Alive, "DATA RACE": Alive}
+var forbiddenLogTexts = map[string]Rule{"invariant violated": Guarded, "panicked": Guarded, "msg=overdue": Answered,
+	"floods a request": Guarded,
+	"panic:":           Alive, "DATA RACE": Alive}
 
 // checkRouters finds router processes that exited by themselves, were not ready in time, used too many resources, or logged a
 // forbidden text.
@@ -406,7 +414,8 @@
 			found = append(found, Broken{Rule: Ready, What: fmt.Sprintf("%s: %d processes not ready within %v", r.name, r.notReady, readyTimeout)})
 		}
 		if r.peak.Resident > routerMemoryMB<<20 || r.peak.Descriptors > routerMaxDescriptors {
-			found = append(found, Broken{Rule: Bounded, What: fmt.Sprintf("%s: %d MB, %d descriptors", r.name, r.peak.Resident>>20, r.peak.Descriptors)})
+			found = append(found, Broken{Rule: Bounded, What: fmt.Sprintf("%s: %d MB, %d descriptors", r.name,
+				r.peak.Resident>>20, r.peak.Descriptors)})
 		}
 		for _, text := range slices.Sorted(maps.Keys(forbiddenLogTexts)) {
 			for _, line := range r.lines(text) {
--- a/internal/scale/soak/ledger.go
+++ b/internal/scale/soak/ledger.go
@@ -58,7 +58,8 @@
 
 // startLedger starts serving Ledger on a loopback address.
 func startLedger() (*ledger, error) {
-	l := &ledger{states: make(map[string]heldState), incarnations: make(map[string]int), deadlines: make(map[string]time.Duration), responding: make(map[string]bool)}
+	l := &ledger{states: make(map[string]heldState), incarnations: make(map[string]int),
+		deadlines: make(map[string]time.Duration), responding: make(map[string]bool)}
 	server := rpc.NewServer()
 	if err := server.Register(&Ledger{l}); err != nil {
 		return nil, err
--- a/internal/scale/soak/router.go
+++ b/internal/scale/soak/router.go
@@ -115,8 +115,10 @@
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(map[string]any{"name": r.name, "listen": r.address, "discovery": r.discovery.Address(), "seed": fmt.Sprintf("%x", r.number+1),
-		"limits": map[string]any{"cores": 1, "memory_mb": routerMemoryMB, "sockets": routerMaxDescriptors}, "known": r.listWorkers(), "settings": settings})
+	text, err := json.Marshal(map[string]any{"name": r.name, "listen": r.address, "discovery": r.discovery.Address(),
+		"seed": fmt.Sprintf("%x", r.number+1),
+		"limits": map[string]any{"cores": 1, "memory_mb": routerMemoryMB,
+			"sockets": routerMaxDescriptors}, "known": r.listWorkers(), "settings": settings})
 	if err != nil {
 		return err
 	}
--- a/internal/scale/soak/schedule.go
+++ b/internal/scale/soak/schedule.go
@@ -73,10 +73,12 @@
 	hourSeconds           = 3600
 )
 
-var workerFaults = []FaultKind{WorkerSilent, WorkerSilent, WorkerNeverUp, WorkerNeverUp, WorkerRefuses, WorkerLate, WorkerMuted, WorkerMuted,
+var workerFaults = []FaultKind{WorkerSilent, WorkerSilent, WorkerNeverUp, WorkerNeverUp, WorkerRefuses, WorkerLate,
+	WorkerMuted, WorkerMuted,
 	WorkerResets, WorkerStopped, WorkerStopped, WorkerKilled, WorkerDrains}
 
-var routerFaults = []FaultKind{DiscoverySilent, DiscoveryResets, RouterEnds, RouterEnds, RouterKilled, RouterReloads, ClockStepped, ClockStepped}
+var routerFaults = []FaultKind{DiscoverySilent, DiscoveryResets, RouterEnds, RouterEnds, RouterKilled, RouterReloads,
+	ClockStepped, ClockStepped}
 
 // Schedule returns the faults of the plan, ordered by their time. They depend on nothing but the plan.
 func (p Plan) Schedule() []Fault {
--- a/internal/scale/soak/soak_test.go
+++ b/internal/scale/soak/soak_test.go
@@ -75,7 +75,8 @@
 
 // newRecords returns the records of one successful request at a router that keeps running.
 func newRecords() *records {
-	s := &clientRequest{id: "a", nonIdempotent: true, at: recordTime(0), firstTokenTimeout: time.Second, ended: recordTime(500), status: 200, complete: true, incarnations: [2]int{1, 1}}
+	s := &clientRequest{id: "a", nonIdempotent: true, at: recordTime(0), firstTokenTimeout: time.Second,
+		ended: recordTime(500), status: 200, complete: true, incarnations: [2]int{1, 1}}
 	return &records{requests: []*clientRequest{s}, routers: []*router{{processes: 1}}, eventsByID: make(map[string][]event)}
 }
 
@@ -89,9 +90,13 @@
 
 // normalEvents returns what workers record of a successful request.
 func normalEvents() []event {
-	return []event{{kind: attemptArrived, id: "a", host: "r", at: recordTime(10), deadline: 900 * time.Millisecond}, {kind: stateHeld, id: "a", host: "r", at: recordTime(30)},
-		{kind: attemptEnded, id: "a", host: "r", at: recordTime(31)}, {kind: attemptArrived, id: "a", host: "w", at: recordTime(40), deadline: 800 * time.Millisecond},
-		{kind: stateFetched, id: "a", host: "w", at: recordTime(41)}, {kind: effectRan, id: "a", host: "w", at: recordTime(41)}, {kind: attemptEnded, id: "a", host: "w", at: recordTime(400)}}
+	return []event{{kind: attemptArrived, id: "a", host: "r", at: recordTime(10), deadline: 900 * time.Millisecond},
+		{kind: stateHeld, id: "a", host: "r", at: recordTime(30)},
+		{kind: attemptEnded, id: "a", host: "r", at: recordTime(31)},
+		{kind: attemptArrived, id: "a", host: "w", at: recordTime(40), deadline: 800 * time.Millisecond},
+		{kind: stateFetched, id: "a", host: "w", at: recordTime(41)},
+		{kind: effectRan, id: "a", host: "w", at: recordTime(41)},
+		{kind: attemptEnded, id: "a", host: "w", at: recordTime(400)}}
 }
 
 // Each check detects a violation of its invariant, and none reports one for a run without faults.
@@ -135,7 +140,8 @@
 			rec.events[0].deadline = 2 * time.Second
 			rec.eventsByID["a"][0].deadline = 2 * time.Second
 		}},
-		"invariant violation in the log": {Guarded, func(rec *records) { rec.routers[0].Write([]byte("msg=\"invariant violated\" step=closing\n")) }},
+		"invariant violation in the log": {Guarded,
+			func(rec *records) { rec.routers[0].Write([]byte("msg=\"invariant violated\" step=closing\n")) }},
 		"a process that exits by itself": {Alive, func(rec *records) { rec.routers[0].crashed = []string{"exit status 2"} }},
 		"a process that is not ready":    {Ready, func(rec *records) { rec.routers[0].notReady = 1 }},
 		"memory over the limit":          {Bounded, func(rec *records) { rec.routers[0].peak.Resident = 1 << 30 }},
