--- a/internal/scale/clockstep/clockstep.go
+++ b/internal/scale/clockstep/clockstep.go
@@ -1,7 +1,8 @@
-// Package clockstep builds a program whose wall clock tests can step while it runs, as an operator or NTP steps that of a
-// machine; its monotonic clock runs on. Go reads the clock without the C library, so a preloaded library can't do this.
-// Instead the toolchain's -overlay puts a changed copy of the standard library's time.Now, made from the installed source
-// at build time, and one file more into the program: on SIGUSR1 it reads the offset, in whole seconds, from a file.
+// Package clockstep builds programs whose wall clock tests can step while they run, as an operator or NTP steps that
+// of a machine. The monotonic clock is not affected. Go reads the clock without the C library, so a preloaded library
+// cannot do this. Instead, Build uses the toolchain's -overlay option to replace the standard library's time.Now with
+// a modified copy, made at build time from the installed source, and to add one file to the program. That file reads
+// the offset, in whole seconds, from a file at the start and on SIGUSR1.
 package clockstep
 
 import (
@@ -16,15 +17,15 @@
 	"syscall"
 )
 
-// Variable names the file with the offset in the program's environment.
+// FileVariable is the environment variable with the path of the file that holds the offset.
 const Variable = "CLOCKSTEP_FILE"
 
 const (
-	original = "	sec, nsec, mono := runtimeNow()\n" // in time.Now of Go 1.26
-	stepped  = original + "	sec += ClockStep\n"
-	variable = "\n// ClockStep is added to the wall clock, in seconds.\nvar ClockStep int64\n"
+	clockRead           = "	sec, nsec, mono := runtimeNow()\n" // part of time.Now in Go 1.26
+	clockReadWithOffset = clockRead + "	sec += ClockStep\n"
+	offsetDeclaration   = "\n// ClockStep is added to the wall clock, in seconds.\nvar ClockStep int64\n"
 
-	listener = `package main
+	signalHandler = `package main
 
 import (
 	"os"
@@ -52,7 +53,7 @@
 `
 )
 
-// Build builds the program in the package folder source and writes it to binary.
+// Build builds the program in the package directory source and writes it to binary.
 func Build(source, binary string) error {
 	source, err := filepath.Abs(source)
 	if err != nil {
@@ -63,7 +64,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	overlay, err := write(dir, source)
+	overlay, err := writeOverlay(dir, source)
 	if err != nil {
 		return err
 	}
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// write writes the changed files and returns the overlay's.
-func write(dir, source string) (string, error) {
+// writeOverlay writes the modified files and returns the path of the overlay file.
+func writeOverlay(dir, source string) (string, error) {
 	root, err := exec.Command("go", "env", "GOROOT").Output()
 	if err != nil {
 		return "", err
@@ -87,11 +88,11 @@
 	if err != nil {
 		return "", err
 	}
-	if strings.Count(string(text), original) != 1 {
-		return "", errors.New("this toolchain's time.Now reads the clock in another way")
+	if strings.Count(string(text), clockRead) != 1 {
+		return "", errors.New("this toolchain's time.Now does not contain the expected call of runtimeNow")
 	}
-	changed := strings.Replace(string(text), original, stepped, 1) + variable
-	files := map[string]string{"time.go": changed, "listener.go": listener}
+	changed := strings.Replace(string(text), clockRead, clockReadWithOffset, 1) + offsetDeclaration
+	files := map[string]string{"time.go": changed, "listener.go": signalHandler}
 	for name, text := range files {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			return "", err
@@ -107,10 +108,10 @@
 	return path, os.WriteFile(path, overlay, 0o600)
 }
 
-// Write sets the offset in a file, for a program that starts or is told with Tell.
+// WriteOffset writes the offset to a file. A program reads it when it starts or when Reload is called.
 func Write(file string, seconds int) error {
 	return os.WriteFile(file, []byte(strconv.Itoa(seconds)), 0o600)
 }
 
-// Tell has a running program take the offset in its file.
+// Reload makes a running program read the offset again.
 func Tell(p *os.Process) error { return p.Signal(syscall.SIGUSR1) }
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -1,16 +1,16 @@
-// Package scale is the parent of the project's scale tests: hollow processes that stand for a large fleet at the cost of a
-// small one, and the runs that measure a router among them. docs/CAPACITY.md quotes their figures.
+// Package scale is the parent of the project's scale tests: simulated components that stand for a large fleet at low
+// cost, and runs that measure a router among them. docs/CAPACITY.md quotes their figures.
 //
 //   - hollow: workers that speak the platform's protocol and do no work
-//   - registry: a discovery that lists them and counts what it sends
+//   - registry: a discovery service that lists them and counts what it sends
 //   - load: clients of one router
-//   - procstat: what the kernel says that a process has used
+//   - procstat: resource usage of a process, as the kernel reports it
 //   - linefit: a straight line through measurements
-//   - onerouter: one real router among them
-//   - listrun: how changes of the list reach all routers
-//   - watchers: hollow routers at discovery
+//   - onerouter: one real router among these components
+//   - listrun: how changes of the list of workers reach all routers
+//   - watchers: simulated routers that watch the list at discovery
 //   - fleetsim: hundreds of decision modules on a virtual clock
-//   - virtualclock, toyserver: what fleetsim and the tests of package decide share
+//   - virtualclock, toyserver: shared by fleetsim and the tests of package decide
 //
 // Nothing here is part of a router, and a router imports none of it.
 package scale
--- a/internal/scale/faultproxy/faultproxy.go
+++ b/internal/scale/faultproxy/faultproxy.go
@@ -1,5 +1,6 @@
-// Package faultproxy is a TCP proxy on loopback that plays network faults between a client and a server: silence, resets,
-// refused connections, and connections that come up late or never. Tests put one in front of a server.
+// Package faultproxy is a TCP proxy on loopback that injects network faults between a client and a server: silence,
+// resets, refused connections, and connections that are established late or never. Tests put one in front of a
+// server.
 package faultproxy
 
 import (
@@ -12,82 +13,82 @@
 	"time"
 )
 
-// Fault is how the network behaves.
+// Fault is a state of the simulated network.
 type Fault int
 
 // The faults.
 const (
-	// None passes everything on.
+	// None forwards everything.
 	None Fault = iota
-	// Silent passes nothing on. Connections stay open and new ones come up, and the kernel acknowledges what is sent, as
-	// for a peer behind a partition that a middlebox hides.
+	// Silent forwards nothing. Connections stay open, new ones are established, and the kernel acknowledges what is
+	// sent, as for a peer behind a partition that a middlebox hides.
 	Silent
-	// NeverUp is Silent for open connections; new ones never come up, as for a machine that has vanished.
+	// Unreachable acts as Silent on open connections; new ones are never established, as for a machine that has failed.
 	NeverUp
-	// Refused resets each new connection; open ones are not touched.
+	// Refused resets each new connection; open ones are not affected.
 	Refused
-	// Late has new connections wait before they are served; open ones are not touched.
+	// Delayed delays the forwarding of new connections; open ones are not affected.
 	Late
 )
 
 const (
-	backlogOpen   = 256
-	backlogClosed = 0 // Linux still queues one connection more than this
-	backlogFill   = 2 // so many connections fill the closed backlog
-	pollInterval  = 5 * time.Millisecond
-	bufferSize    = 32 << 10
+	backlogOpen    = 256
+	backlogFull    = 0 // Linux queues one connection more than this
+	backlogFillers = 2 // connections that fill a backlog of size backlogFull
+	pollInterval   = 5 * time.Millisecond
+	bufferBytes    = 32 << 10
 )
 
-// Proxy forwards connections to one target.
+// Proxy forwards connections to one target address.
 type Proxy struct {
 	target   string
 	listener *net.TCPListener
 
-	mu        sync.Mutex
-	fault     Fault
-	delay     time.Duration // of new connections while the fault is Late
-	changed   chan struct{} // closed and replaced with each change of the fault
-	sessions  map[*session]bool
-	closed    bool
-	running   sync.WaitGroup
-	swallowed int // connections of which bytes were swallowed so far
+	mu         sync.Mutex
+	fault      Fault
+	delay      time.Duration // of new connections while the fault is Delayed
+	changed    chan struct{} // closed and replaced on each change of the fault
+	sessions   map[*session]bool
+	closed     bool
+	goroutines sync.WaitGroup
+	lossy      int // number of connections that have lost bytes to a silence
 }
 
-// session is one client's connection and the one to the target.
+// session is a client's connection and the corresponding one to the target.
 type session struct {
-	proxy          *Proxy
-	client, server *net.TCPConn
-	passes         int  // bytes that still pass although the network is silent
-	mute           bool // it alone has fallen silent, for good
-	swallowed      bool
+	proxy              *Proxy
+	client, server     *net.TCPConn
+	bytesBeforeSilence int  // bytes from the client that still pass during a silence
+	silenced           bool // SilenceOpen has silenced this session for good
+	lossy              bool // bytes were lost to a silence
 }
 
-// Start returns a running Proxy in front of target.
+// Start starts a Proxy in front of target.
 func Start(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	p := &Proxy{target: target, listener: l.(*net.TCPListener), changed: make(chan struct{}), sessions: make(map[*session]bool)}
-	p.running.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	return p, nil
 }
 
-// Address is where clients connect.
+// Address returns the address for clients.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends the proxy and all of its connections.
+// Close closes the proxy and resets all of its connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
-	p.wake()
+	p.notifyChange()
 	p.mu.Unlock()
 	p.listener.Close()
 	p.Reset()
-	p.running.Wait()
+	p.goroutines.Wait()
 }
 
-// Retarget sends new connections to another address.
+// Retarget directs new connections to another address.
 func (p *Proxy) Retarget(target string) {
 	p.mu.Lock()
 	p.target = target
@@ -97,11 +98,12 @@
 // Set changes the fault at once.
 func (p *Proxy) Set(fault Fault) { p.SetAfter(fault, 0, 0) }
 
-// SetLate delays new connections.
+// SetDelayed sets the fault to Delayed with the given delay.
 func (p *Proxy) SetLate(delay time.Duration) { p.SetAfter(Late, 0, delay) }
 
-// SetAfter changes the fault; on each open connection so many more bytes of the client pass before a silence begins. When a
-// silence ends, the connections of which bytes were swallowed are reset: their peers have long forgotten them.
+// SetAfter changes the fault. If the new fault is a silence, that many bytes from the client still pass on each open
+// connection before the silence begins. When a silence ends, the connections that lost bytes are reset, as their
+// peers would have given up on them long before.
 func (p *Proxy) SetAfter(fault Fault, bytes int, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,20 +112,20 @@
 	}
 	p.fault, p.delay = fault, delay
 	for s := range p.sessions {
-		s.passes = bytes
-		if !silent(fault) && s.swallowed {
+		s.bytesBeforeSilence = bytes
+		if !isSilent(fault) && s.lossy {
 			s.reset()
 		}
 	}
-	p.wake()
+	p.notifyChange()
 }
 
-// Mute has the connections that are open now fall silent for good, with no error; new ones are not touched.
+// SilenceOpen silences all open connections for good, without an error. New connections are not affected.
 func (p *Proxy) Mute() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.sessions {
-		s.mute = true
+		s.silenced = true
 	}
 }
 
@@ -136,26 +138,27 @@
 	}
 }
 
-// Swallowed is how many connections lost bytes to a silence so far.
+// LossyConnections returns how many connections have lost bytes to a silence so far.
 func (p *Proxy) Swallowed() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.swallowed
+	return p.lossy
 }
 
-func silent(f Fault) bool { return f == Silent || f == NeverUp }
+func isSilent(f Fault) bool { return f == Silent || f == NeverUp }
 
-// wake lets those that wait for a change look again. The caller holds the lock.
-func (p *Proxy) wake() {
+// notifyChange wakes up all goroutines that wait for a change. The caller holds p.mu.
+func (p *Proxy) notifyChange() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// keepShut has no new connection come up until the fault changes: the backlog is full, and the kernel drops what comes.
-func (p *Proxy) keepShut(changed <-chan struct{}) {
-	p.backlog(backlogClosed)
+// blockConnections prevents new connections until changed is closed. It fills the listen backlog, so that the kernel
+// drops connection attempts.
+func (p *Proxy) blockConnections(changed <-chan struct{}) {
+	p.setBacklog(backlogFull)
 	var fillers []net.Conn
-	for range backlogFill {
+	for range backlogFillers {
 		if c, err := net.DialTimeout("tcp", p.Address(), pollInterval); err == nil {
 			fillers = append(fillers, c)
 		}
@@ -164,18 +167,18 @@
 	for _, c := range fillers {
 		c.Close()
 	}
-	p.backlog(backlogOpen)
+	p.setBacklog(backlogOpen)
 }
 
-func (p *Proxy) backlog(size int) {
+func (p *Proxy) setBacklog(size int) {
 	raw, err := p.listener.SyscallConn()
 	if err == nil {
 		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), size) })
 	}
 }
 
-// state is the fault of now and what is closed when it changes.
-func (p *Proxy) state() (fault Fault, delay time.Duration, changed <-chan struct{}, closed bool) {
+// currentFault returns the current fault, and a channel that is closed when it changes.
+func (p *Proxy) currentFault() (fault Fault, delay time.Duration, changed <-chan struct{}, closed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault, p.delay, p.changed, p.closed
@@ -183,15 +186,15 @@
 
 func (p *Proxy) accept() {
 	for {
-		fault, _, changed, closed := p.state()
+		fault, _, changed, closed := p.currentFault()
 		if closed {
 			return
 		}
 		if fault == NeverUp {
-			p.keepShut(changed)
+			p.blockConnections(changed)
 			continue
 		}
-		_ = p.listener.SetDeadline(time.Now().Add(pollInterval)) // so that a change to NeverUp is seen
+		_ = p.listener.SetDeadline(time.Now().Add(pollInterval)) // to notice a change to Unreachable
 		c, err := p.listener.AcceptTCP()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			continue
@@ -200,34 +203,34 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(pollInterval) // no descriptor is left for a moment
+			time.Sleep(pollInterval) // out of file descriptors, retry
 			continue
 		}
-		fault, delay, _, _ := p.state()
+		fault, delay, _, _ := p.currentFault()
 		if fault == Refused {
 			_ = c.SetLinger(0)
 			c.Close()
 			continue
 		}
-		p.running.Go(func() { p.serve(c, fault == Late, delay) })
+		p.goroutines.Go(func() { p.serve(c, fault == Late, delay) })
 	}
 }
 
-// serve carries one connection to its end.
-func (p *Proxy) serve(client *net.TCPConn, late bool, delay time.Duration) {
-	if late {
+// serve forwards one connection until it ends.
+func (p *Proxy) serve(client *net.TCPConn, delayed bool, delay time.Duration) {
+	if delayed {
 		time.Sleep(delay)
 	}
 	p.mu.Lock()
 	target := p.target
 	p.mu.Unlock()
-	up, err := net.Dial("tcp", target)
+	upstream, err := net.Dial("tcp", target)
 	if err != nil {
 		_ = client.SetLinger(0)
 		client.Close()
 		return
 	}
-	s := &session{proxy: p, client: client, server: up.(*net.TCPConn)}
+	s := &session{proxy: p, client: client, server: upstream.(*net.TCPConn)}
 	p.mu.Lock()
 	if p.closed {
 		s.reset()
@@ -235,17 +238,17 @@
 	p.sessions[s] = true
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { s.carry(s.server, s.client, true) })
-	both.Go(func() { s.carry(s.client, s.server, false) })
+	both.Go(func() { s.forward(s.server, s.client, true) })
+	both.Go(func() { s.forward(s.client, s.server, false) })
 	both.Wait()
 	client.Close()
-	up.Close()
+	upstream.Close()
 	p.mu.Lock()
 	delete(p.sessions, s)
 	p.mu.Unlock()
 }
 
-// reset ends both sides with a reset.
+// reset closes both connections with a TCP reset.
 func (s *session) reset() {
 	for _, c := range []*net.TCPConn{s.client, s.server} {
 		_ = c.SetLinger(0)
@@ -253,12 +256,12 @@
 	}
 }
 
-// carry copies one direction until it ends. A silence swallows what comes, and the end too.
-func (s *session) carry(to, from *net.TCPConn, fromClient bool) {
-	buffer := make([]byte, bufferSize)
+// forward copies one direction until it ends. A silence drops the bytes, and the end of the connection too.
+func (s *session) forward(to, from *net.TCPConn, fromClient bool) {
+	buffer := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		if pass := s.passing(n, fromClient); pass > 0 {
+		if pass := s.countPassing(n, fromClient); pass > 0 {
 			if _, err := to.Write(buffer[:pass]); err != nil {
 				s.reset()
 				return
@@ -267,10 +270,10 @@
 		if err == nil {
 			continue
 		}
-		if s.isMute() && !fromClient {
-			return // its client is not told
+		if s.isSilenced() && !fromClient {
+			return // the client must not notice
 		}
-		s.awaitNetwork()
+		s.waitForSilenceEnd()
 		if errors.Is(err, io.EOF) {
 			_ = to.CloseWrite()
 		} else {
@@ -280,36 +283,36 @@
 	}
 }
 
-func (s *session) isMute() bool {
+func (s *session) isSilenced() bool {
 	s.proxy.mu.Lock()
 	defer s.proxy.mu.Unlock()
-	return s.mute
+	return s.silenced
 }
 
-// passing is how many of the bytes get through.
-func (s *session) passing(n int, fromClient bool) int {
+// countPassing returns how many of n bytes are forwarded.
+func (s *session) countPassing(n int, fromClient bool) int {
 	s.proxy.mu.Lock()
 	defer s.proxy.mu.Unlock()
-	if !silent(s.proxy.fault) && !s.mute {
+	if !isSilent(s.proxy.fault) && !s.silenced {
 		return n
 	}
 	pass := 0
-	if fromClient && !s.mute {
-		pass = min(n, s.passes)
-		s.passes -= pass
+	if fromClient && !s.silenced {
+		pass = min(n, s.bytesBeforeSilence)
+		s.bytesBeforeSilence -= pass
 	}
-	if pass < n && !s.swallowed {
-		s.swallowed = true
-		s.proxy.swallowed++
+	if pass < n && !s.lossy {
+		s.lossy = true
+		s.proxy.lossy++
 	}
 	return pass
 }
 
-// awaitNetwork waits until a silence is over: the end of a connection is as silent as its bytes.
-func (s *session) awaitNetwork() {
+// waitForSilenceEnd waits until a silence is over: during it, the end of a connection is not forwarded either.
+func (s *session) waitForSilenceEnd() {
 	for {
-		fault, _, changed, closed := s.proxy.state()
-		if closed || !silent(fault) {
+		fault, _, changed, closed := s.proxy.currentFault()
+		if closed || !isSilent(fault) {
 			return
 		}
 		<-changed
--- a/internal/scale/faultproxy/faultproxy_test.go
+++ b/internal/scale/faultproxy/faultproxy_test.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	soon = 50 * time.Millisecond
-	long = 20 * time.Second
+	shortWait = 50 * time.Millisecond
+	maxWait   = 20 * time.Second
 )
 
-// echo is a server that sends back what it gets.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that sends back what it receives.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,9 +35,9 @@
 	return l.Addr().String()
 }
 
-func proxied(t *testing.T) *Proxy {
+func startProxy(t *testing.T) *Proxy {
 	t.Helper()
-	p, err := Start(echo(t))
+	p, err := Start(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 
 func dial(t *testing.T, p *Proxy) net.Conn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", p.Address(), long)
+	c, err := net.DialTimeout("tcp", p.Address(), maxWait)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,8 +55,8 @@
 	return c
 }
 
-// says writes a line and returns what comes back within the time.
-func says(c net.Conn, line string, within time.Duration) (string, error) {
+// exchange writes a line and returns the line received within the given time.
+func exchange(c net.Conn, line string, within time.Duration) (string, error) {
 	if _, err := io.WriteString(c, line); err != nil {
 		return "", err
 	}
@@ -64,97 +64,97 @@
 	return bufio.NewReader(c).ReadString('\n')
 }
 
-func TestPassesOn(t *testing.T) {
-	c := dial(t, proxied(t))
-	if got, err := says(c, "a\n", long); got != "a\n" {
+func TestForwards(t *testing.T) {
+	c := dial(t, startProxy(t))
+	if got, err := exchange(c, "a\n", maxWait); got != "a\n" {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// What is sent into a silence is gone; when it ends, the connection is reset and a new one serves.
-func TestSilenceSwallowsAndEndsWithAReset(t *testing.T) {
-	p := proxied(t)
+// Bytes sent during a silence are lost. When it ends, the connection is reset and new ones work.
+func TestSilenceDropsBytesAndEndsWithReset(t *testing.T) {
+	p := startProxy(t)
 	c := dial(t, p)
-	says(c, "a\n", long)
+	exchange(c, "a\n", maxWait)
 	p.Set(Silent)
-	if got, err := says(c, "b\n", soon); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if got, err := exchange(c, "b\n", shortWait); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%q, %v", got, err)
 	}
 	if n := p.Swallowed(); n != 1 {
 		t.Errorf("%d connections lost bytes, want 1", n)
 	}
 	p.Set(None)
-	_ = c.SetReadDeadline(time.Now().Add(long))
+	_ = c.SetReadDeadline(time.Now().Add(maxWait))
 	if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("not reset: %v", err)
+		t.Errorf("connection not reset after the silence: %v", err)
 	}
-	if got, err := says(dial(t, p), "c\n", long); got != "c\n" {
+	if got, err := exchange(dial(t, p), "c\n", maxWait); got != "c\n" {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// A silence may begin inside a message.
-func TestSilenceInsideAMessage(t *testing.T) {
-	p := proxied(t)
+// A silence may begin in the middle of a message.
+func TestSilenceWithinMessage(t *testing.T) {
+	p := startProxy(t)
 	c := dial(t, p)
-	says(c, "a\n", long)
+	exchange(c, "a\n", maxWait)
 	p.SetAfter(Silent, 2, 0)
 	io.WriteString(c, "bcd\n")
-	_ = c.SetReadDeadline(time.Now().Add(soon))
-	if got, _ := io.ReadAll(c); len(got) != 0 { // answers are swallowed too
+	_ = c.SetReadDeadline(time.Now().Add(shortWait))
+	if got, _ := io.ReadAll(c); len(got) != 0 { // responses are dropped too
 		t.Errorf("%q came back", got)
 	}
 }
 
-func TestNeverUp(t *testing.T) {
-	p := proxied(t)
+func TestUnreachable(t *testing.T) {
+	p := startProxy(t)
 	p.Set(NeverUp)
-	for end := time.Now().Add(long); ; { // those that came up before the backlog was full
-		c, err := net.DialTimeout("tcp", p.Address(), soon)
+	for end := time.Now().Add(maxWait); ; { // some connections are established before the backlog is full
+		c, err := net.DialTimeout("tcp", p.Address(), shortWait)
 		if err != nil {
 			break
 		}
 		c.Close()
 		if time.Now().After(end) {
-			t.Fatal("connections still come up")
+			t.Fatal("connections are still established")
 		}
 	}
 	p.Set(None)
-	if got, err := says(dial(t, p), "a\n", long); got != "a\n" {
+	if got, err := exchange(dial(t, p), "a\n", maxWait); got != "a\n" {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-func TestRefusedAndReset(t *testing.T) {
-	p := proxied(t)
+func TestRefuseAndReset(t *testing.T) {
+	p := startProxy(t)
 	c := dial(t, p)
-	says(c, "a\n", long)
+	exchange(c, "a\n", maxWait)
 	p.Set(Refused)
-	if refused, err := net.DialTimeout("tcp", p.Address(), long); err == nil { // else it was reset before that
+	if refused, err := net.DialTimeout("tcp", p.Address(), maxWait); err == nil { // otherwise it was reset before Dial returned
 		defer refused.Close()
-		if got, err := says(refused, "b\n", long); err == nil {
+		if got, err := exchange(refused, "b\n", maxWait); err == nil {
 			t.Errorf("answered %q", got)
 		}
 	}
-	if got, err := says(c, "c\n", long); got != "c\n" {
-		t.Errorf("an open connection: %q, %v", got, err)
+	if got, err := exchange(c, "c\n", maxWait); got != "c\n" {
+		t.Errorf("open connection: %q, %v", got, err)
 	}
 	p.Reset()
-	if got, err := says(c, "d\n", long); err == nil {
+	if got, err := exchange(c, "d\n", maxWait); err == nil {
 		t.Errorf("answered %q after a reset", got)
 	}
 }
 
-// Connections may fall silent one by one: new ones to the same server serve.
-func TestMuteTouchesOpenConnectionsOnly(t *testing.T) {
-	p := proxied(t)
+// SilenceOpen silences open connections; new ones to the same server work.
+func TestSilenceOpenAffectsOnlyOpenConnections(t *testing.T) {
+	p := startProxy(t)
 	old := dial(t, p)
-	says(old, "a\n", long)
+	exchange(old, "a\n", maxWait)
 	p.Mute()
-	if got, err := says(old, "b\n", soon); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if got, err := exchange(old, "b\n", shortWait); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%q, %v", got, err)
 	}
-	if got, err := says(dial(t, p), "c\n", long); got != "c\n" {
-		t.Errorf("a new connection: %q, %v", got, err)
+	if got, err := exchange(dial(t, p), "c\n", maxWait); got != "c\n" {
+		t.Errorf("new connection: %q, %v", got, err)
 	}
 }
--- a/internal/scale/linefit/linefit_test.go
+++ b/internal/scale/linefit/linefit_test.go
@@ -13,11 +13,11 @@
 	}
 	line, err = Fit([]float64{0, 1, 2, 3}, []float64{1, -1, -1, 1})
 	if err != nil || math.Abs(line.Residual-1) > 1e-9 {
-		t.Errorf("%+v %v, a residual of 1", line, err)
+		t.Errorf("%+v %v, want a residual of 1", line, err)
 	}
 	two, err := Fit([]float64{100, 1400}, []float64{1, 2})
 	if err != nil || !strings.Contains(two.String(), "two points") {
-		t.Errorf("%v %v, it is to say that it rests on two points", two, err)
+		t.Errorf("%v %v, want a note that the fit uses two points", two, err)
 	}
 	for _, bad := range [][2][]float64{{{1}, {1}}, {{1, 2}, {1}}, {{5, 5}, {1, 2}}} {
 		if line, err := Fit(bad[0], bad[1]); err == nil {
--- a/internal/scale/procstat/procstat.go
+++ b/internal/scale/procstat/procstat.go
@@ -1,4 +1,4 @@
-// Package procstat reads what the Linux kernel accounts to a process.
+// Package procstat reads resource usage of a process from the Linux kernel.
 package procstat
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// clockTicks is the unit of processor time in /proc, in ticks a second (USER_HZ, the same on all Linux systems).
-const clockTicks = 100
+// ticksPerSecond is the unit of processor time in /proc (USER_HZ, 100 on all Linux systems).
+const ticksPerSecond = 100
 
-// Fields of /proc/PID/stat, counted from the one behind the command's closing parenthesis.
+// Fields of /proc/PID/stat, counted from the first one after the command's closing parenthesis.
 const (
 	fieldUserTime   = 11
 	fieldSystemTime = 12
@@ -20,16 +20,16 @@
 	fieldResident   = 21
 )
 
-// Sample is what a process has used up to a moment.
+// Sample is the resource usage of a process at one time.
 type Sample struct {
 	At          time.Time
-	CPU         time.Duration // processor time in user and kernel mode, of all threads
+	CPU         time.Duration // user and kernel time of all threads since the start
 	Resident    int64         // bytes of memory
 	Threads     int
 	Descriptors int
 }
 
-// Read takes a sample of the process with the given id.
+// Read returns the current usage of the process with the given id.
 func Read(pid int) (Sample, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -47,15 +47,15 @@
 	return sample, nil
 }
 
-// parse reads the text of /proc/PID/stat. The command's name may hold spaces and parentheses of its own.
+// parse parses the text of /proc/PID/stat. The command's name may itself contain spaces and parentheses.
 func parse(text []byte) (Sample, error) {
 	end := bytes.LastIndexByte(text, ')')
 	if end < 0 {
-		return Sample{}, fmt.Errorf("no command in %q", text)
+		return Sample{}, fmt.Errorf("no command name in %q", text)
 	}
 	fields := bytes.Fields(text[end+1:])
 	if len(fields) <= fieldResident {
-		return Sample{}, fmt.Errorf("%d fields behind the command", len(fields))
+		return Sample{}, fmt.Errorf("only %d fields after the command name", len(fields))
 	}
 	var values [fieldResident + 1]int64
 	for _, i := range []int{fieldUserTime, fieldSystemTime, fieldThreads, fieldResident} {
@@ -67,7 +67,7 @@
 	}
 	ticks := values[fieldUserTime] + values[fieldSystemTime]
 	return Sample{
-		CPU:      time.Duration(ticks) * time.Second / clockTicks,
+		CPU:      time.Duration(ticks) * time.Second / ticksPerSecond,
 		Resident: values[fieldResident] * int64(os.Getpagesize()),
 		Threads:  int(values[fieldThreads]),
 	}, nil
--- a/internal/scale/procstat/procstat_test.go
+++ b/internal/scale/procstat/procstat_test.go
@@ -20,12 +20,12 @@
 	}
 }
 
-func TestReadOfThisProcess(t *testing.T) {
+func TestReadOwnProcess(t *testing.T) {
 	got, err := Read(os.Getpid())
 	if err != nil || got.Resident <= 0 || got.Threads <= 0 || got.Descriptors < 3 {
 		t.Errorf("%+v %v", got, err)
 	}
 	if _, err := Read(-1); err == nil {
-		t.Error("a process that can't be")
+		t.Error("no error for a process id that cannot exist")
 	}
 }
--- a/internal/scale/toyserver/toyserver.go
+++ b/internal/scale/toyserver/toyserver.go
@@ -1,5 +1,5 @@
-// Package toyserver is the parts that simulated servers are made of: a queue before some places, a memory that forgets the
-// oldest, and the term on what a server bears right after its start.
+// Package toyserver holds building blocks of simulated servers: a queue, an LRU cache for prompt prefixes, and the
+// limit on the work that a server may receive right after its start.
 package toyserver
 
 import (
@@ -8,108 +8,110 @@
 	"time"
 )
 
-// IsReader says whether the server with a number reads, where so large a share of them does: readers are spread evenly over
-// the numbers, and so over whatever else goes by them.
+// IsReader reports whether the server with the given number is a reader, if readers have the given share of all
+// servers. It spreads the readers evenly over the numbers, and so over the cells and zones that are derived from
+// them.
 func IsReader(number int, share float64) bool {
 	return int(float64(number+1)*share) > int(float64(number)*share)
 }
 
-// Queue is requests in the order of their coming before so many places.
+// Queue is a first-in, first-out queue with several units that serve it.
 type Queue struct {
-	free []time.Duration // when each place is free
+	freeAt []time.Duration // when each unit becomes idle
 }
 
-// NewQueue returns a Queue that is empty at a time.
-func NewQueue(places int, now time.Duration) *Queue {
-	q := &Queue{free: make([]time.Duration, places)}
-	for i := range q.free {
-		q.free[i] = now
+// NewQueue returns a Queue whose units are idle from now on.
+func NewQueue(units int, now time.Duration) *Queue {
+	q := &Queue{freeAt: make([]time.Duration, units)}
+	for i := range q.freeAt {
+		q.freeAt[i] = now
 	}
 	return q
 }
 
-// Slot is the place that a request would have.
+// Slot is the turn that a request would get in a Queue.
 type Slot struct {
 	queue *Queue
-	place int
-	// Begins is when its turn comes, if nothing else is taken off before it.
+	unit  int
+	// Start is when service would begin if no other request takes the unit first.
 	Begins time.Duration
 }
 
-// Next is the place of a request that comes now. It is not taken yet.
+// Peek returns the slot that a request arriving now would get. It does not reserve it.
 func (q *Queue) Next(now time.Duration) Slot {
-	place := 0
-	for i := range q.free {
-		if q.free[i] < q.free[place] {
-			place = i
+	unit := 0
+	for i := range q.freeAt {
+		if q.freeAt[i] < q.freeAt[unit] {
+			unit = i
 		}
 	}
-	return Slot{queue: q, place: place, Begins: max(q.free[place], now)}
+	return Slot{queue: q, unit: unit, Begins: max(q.freeAt[unit], now)}
 }
 
-// Take takes the place for so long and returns when the request has been served.
-func (s Slot) Take(long time.Duration) (ends time.Duration) {
-	s.queue.free[s.place] = s.Begins + long
-	return s.queue.free[s.place]
+// Take reserves the slot for the given service time and returns when the service ends.
+func (s Slot) Take(duration time.Duration) (ends time.Duration) {
+	s.queue.freeAt[s.unit] = s.Begins + duration
+	return s.queue.freeAt[s.unit]
 }
 
-// Backlog is the work that is still to be done at a time, summed over the places.
+// Backlog returns the work left at a time, summed over the units.
 func (q *Queue) Backlog(now time.Duration) (work time.Duration) {
-	for _, at := range q.free {
+	for _, at := range q.freeAt {
 		work += max(0, at-now)
 	}
 	return work
 }
 
-// smallBudget is the budget from which on chance is two roots of it; under it, it is three.
-const smallBudget = 30
+// smallColdBudget is the budget below which ColdLimit allows three standard deviations instead of two.
+const smallColdBudget = 30
 
-// ColdLimit is how much work, in requests of mean work, all routers together may send a cold server in a window in which the
-// settings allow it budget: what is over that and this chance pushes it over.
+// ColdLimit returns how much work, in requests of mean work, all routers together may send to a cold server within a
+// window for which the settings allow budget. The margin covers random variation, whose standard deviation is about
+// the square root of the budget.
 func ColdLimit(budget float64) float64 {
-	if budget < smallBudget {
+	if budget < smallColdBudget {
 		return budget + 3*math.Sqrt(budget) + 3
 	}
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// Cache is texts of some tokens that are kept under their keys, up to a size. The one used longest ago goes first.
+// Cache is an LRU cache that holds keys with numbers of tokens, up to a total number of tokens.
 type Cache struct {
 	size, used int
 	entries    map[uint64]*list.Element
-	order      *list.List // the latest first
+	recency    *list.List // most recently used first
 }
 
-type text struct {
+type cacheEntry struct {
 	key    uint64
 	tokens int
 }
 
-// NewCache returns an empty Cache that holds so many tokens.
+// NewCache returns an empty Cache for the given number of tokens.
 func NewCache(size int) *Cache {
-	return &Cache{size: size, entries: make(map[uint64]*list.Element), order: list.New()}
+	return &Cache{size: size, entries: make(map[uint64]*list.Element), recency: list.New()}
 }
 
-// Kept is how many tokens are kept under a key; it counts as a use.
+// Get returns the number of tokens cached under a key, and marks the entry as used.
 func (c *Cache) Kept(key uint64) int {
 	e := c.entries[key]
 	if e == nil {
 		return 0
 	}
-	c.order.MoveToFront(e)
-	return e.Value.(*text).tokens
+	c.recency.MoveToFront(e)
+	return e.Value.(*cacheEntry).tokens
 }
 
-// Keep keeps so many tokens under a key.
+// Put caches a number of tokens under a key, replacing an earlier entry.
 func (c *Cache) Keep(key uint64, tokens int) {
 	if e := c.entries[key]; e != nil {
-		c.used -= e.Value.(*text).tokens
-		c.order.Remove(e)
+		c.used -= e.Value.(*cacheEntry).tokens
+		c.recency.Remove(e)
 	}
-	c.entries[key] = c.order.PushFront(&text{key, tokens})
-	for c.used += tokens; c.used > c.size && c.order.Len() > 0; {
-		old := c.order.Remove(c.order.Back()).(*text)
-		delete(c.entries, old.key)
-		c.used -= old.tokens
+	c.entries[key] = c.recency.PushFront(&cacheEntry{key, tokens})
+	for c.used += tokens; c.used > c.size && c.recency.Len() > 0; {
+		oldest := c.recency.Remove(c.recency.Back()).(*cacheEntry)
+		delete(c.entries, oldest.key)
+		c.used -= oldest.tokens
 	}
 }
--- a/internal/scale/toyserver/toyserver_test.go
+++ b/internal/scale/toyserver/toyserver_test.go
@@ -16,10 +16,10 @@
 		t.Errorf("%v of work left", got)
 	}
 	if s := q.Next(20 * time.Second); s.Begins != 20*time.Second {
-		t.Errorf("an idle queue begins at %v", s.Begins)
+		t.Errorf("idle queue starts at %v", s.Begins)
 	}
 	if got := q.Backlog(20 * time.Second); got != 0 {
-		t.Errorf("%v of work left: a place that was looked at is not taken", got)
+		t.Errorf("%v of work left: Peek must not reserve a unit", got)
 	}
 }
 
@@ -44,10 +44,10 @@
 	}
 	c.Keep(1, 5)
 	if c.Kept(1) != 5 || c.Kept(3) != 4 {
-		t.Errorf("%d, %d: a longer text takes the place of the shorter", c.Kept(1), c.Kept(3))
+		t.Errorf("%d, %d: the longer entry must replace the shorter one", c.Kept(1), c.Kept(3))
 	}
 	c.Keep(9, 11)
 	if c.Kept(9) != 0 || c.used != 0 {
-		t.Errorf("%d tokens of a text that does not fit, %d used", c.Kept(9), c.used)
+		t.Errorf("%d tokens cached of an entry that does not fit, %d used", c.Kept(9), c.used)
 	}
 }
--- a/internal/scale/virtualclock/virtualclock.go
+++ b/internal/scale/virtualclock/virtualclock.go
@@ -1,4 +1,4 @@
-// Package virtualclock plays events in the order of a simulated time. The same events give the same play.
+// Package virtualclock runs events in the order of a simulated time. Runs are deterministic.
 package virtualclock
 
 import (
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Clock is a simulated time and what is still to happen. The zero value stands at 0.
+// Clock is a simulated clock with a queue of events. The zero value is a clock at time 0 without events.
 type Clock struct {
-	Now    time.Duration // not to be set from outside
-	events events
-	added  uint64
+	Now       time.Duration // set by RunUntil
+	events    events
+	nextOrder uint64
 }
 
-// event is something that happens at a time; of those at one time, the one that was added first.
+// event is a function to call at a time. Events of the same time run in the order in which they were added.
 type event struct {
 	at    time.Duration
 	order uint64
@@ -34,18 +34,18 @@
 func (e *events) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
-	(*e)[last] = event{} // lets go of what it holds
+	(*e)[last] = event{} // releases the closure
 	*e = (*e)[:last]
 	return x
 }
 
-// After has something happen so long from now; a time under zero is now.
+// After schedules do to run after wait. A negative wait counts as 0.
 func (c *Clock) After(wait time.Duration, do func()) {
-	c.added++
-	heap.Push(&c.events, event{c.Now + max(0, wait), c.added, do})
+	c.nextOrder++
+	heap.Push(&c.events, event{c.Now + max(0, wait), c.nextOrder, do})
 }
 
-// Until plays what happens up to a time, that time included. The clock stands at the last event then.
+// RunUntil runs all events up to and including the time end. Afterwards Now is the time of the last event that ran.
 func (c *Clock) Until(end time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		e := heap.Pop(&c.events).(event)
--- a/internal/scale/virtualclock/virtualclock_test.go
+++ b/internal/scale/virtualclock/virtualclock_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Events happen in the order of their time, those of one time in the order in which they were added, and those that come up
-// on the way in their place.
-func TestOrder(t *testing.T) {
+// Events run in order of time, and those of the same time in the order in which they were added. This includes events
+// that are added by other events.
+func TestEventOrder(t *testing.T) {
 	var c Clock
 	var got []string
 	note := func(name string) func() { return func() { got = append(got, name) } }
