--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -1,6 +1,6 @@
-// Package hollow stands for a large fleet of workers in one process: all of them are addresses of the loopback network
-// behind one socket, answer at once and keep no memory for a token. They speak the platform's protocol as far as a
-// router uses it, and count what a router sends them, by kind.
+// Package hollow simulates a large fleet of workers in one process. All workers share one listening socket and differ
+// by their loopback address. They respond at once, hold no memory per token, speak the part of the platform's protocol
+// that a router uses, and count what a router sends them, by kind.
 package hollow
 
 import (
@@ -19,66 +19,66 @@
 	"rowanyard/internal/scale/toyserver"
 )
 
-// Most is how many workers there may be: their addresses are 127.1.0.1 and up.
+// MaxWorkers is the maximum number of workers. Their addresses start at 127.1.0.1.
 const Most = 1 << 16
 
-// Kind is what a message is for.
+// Kind is the purpose of a message.
 type Kind int
 
 // The kinds of messages between a router and workers.
 const (
-	Probe   Kind = iota // a worker's load is asked for
-	Release             // what is held for a request is let go
+	Probe   Kind = iota // asks a worker for its load
+	Release             // releases the state held for a request
 	Read                // the first stage of a request: client traffic
 	Write               // the second stage, with its stream: client traffic
-	Other               // what a worker does not know: there should be none
-	kinds
+	Other               // unknown to a worker: there should be none
+	kindCount
 )
 
-var kindNames = [kinds]string{"probe", "release", "read", "write", "other"}
+var kindNames = [kindCount]string{"probe", "release", "read", "write", "other"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Count is messages, each with its answer, and their bytes above TCP.
+// Count counts messages, each including its response, and their bytes above TCP.
 type Count struct{ Messages, In, Out int64 }
 
-// Counts is what a fleet has met up to a moment.
+// Counts holds what a fleet has received and sent since its start.
 type Counts struct {
-	By          [kinds]Count
-	Connections int64 // that were opened
-	Busiest     int   // probes at the worker that got the most
+	By          [kindCount]Count
+	Connections int64 // connections accepted
+	Busiest     int   // probes at the worker that received the most
 }
 
-// Options describe a Fleet.
+// Options configures a Fleet.
 type Options struct {
 	Workers   int
-	Readers   float64       // the share of workers that read
-	Tokens    int           // events of an answer
+	Readers   float64       // share of the workers that are readers
+	Tokens    int           // events of a response
 	TokenTime time.Duration // between two events
 }
 
-// Fleet is workers in this process.
+// Fleet is a set of simulated workers.
 type Fleet struct {
 	options  Options
 	listener net.Listener
 	port     string
 
-	counts      [kinds]struct{ messages, in, out atomic.Int64 }
+	counts      [kindCount]struct{ messages, in, out atomic.Int64 }
 	connections atomic.Int64
 	probes      []atomic.Int64 // by worker
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	done  sync.WaitGroup
+	mu         sync.Mutex
+	conns      map[net.Conn]bool
+	goroutines sync.WaitGroup
 }
 
-// Start starts a Fleet.
+// Start starts a Fleet on a port that the kernel chooses.
 func Start(o Options) (*Fleet, error) {
 	switch {
 	case o.Workers < 2 || o.Workers > Most:
-		return nil, fmt.Errorf("%d workers: there may be 2 to %d", o.Workers, Most)
+		return nil, fmt.Errorf("%d workers: must be between 2 and %d", o.Workers, Most)
 	case !(o.Readers > 0 && o.Readers < 1):
-		return nil, fmt.Errorf("a share of %v that reads: over 0 and under 1 makes sense", o.Readers)
+		return nil, fmt.Errorf("share of readers %v: must be greater than 0 and less than 1", o.Readers)
 	}
 	o.Tokens = max(1, o.Tokens)
 	l, err := net.Listen("tcp", "0.0.0.0:0")
@@ -87,11 +87,11 @@
 	}
 	_, port, _ := net.SplitHostPort(l.Addr().String())
 	f := &Fleet{options: o, listener: l, port: port, probes: make([]atomic.Int64, o.Workers), conns: make(map[net.Conn]bool)}
-	f.done.Go(f.accept)
+	f.goroutines.Go(f.accept)
 	return f, nil
 }
 
-// Close ends the Fleet and its connections.
+// Close closes the listener and all connections, and waits until their goroutines have ended.
 func (f *Fleet) Close() {
 	f.listener.Close()
 	f.mu.Lock()
@@ -99,15 +99,15 @@
 		c.Close()
 	}
 	f.mu.Unlock()
-	f.done.Wait()
+	f.goroutines.Wait()
 }
 
-// Address is where the worker with a number is reached.
+// Address returns the address of the worker with the given number.
 func (f *Fleet) Address(worker int) string {
 	return net.JoinHostPort(net.IPv4(127, 1+byte(worker>>16), byte(worker>>8), byte(worker)).String(), f.port)
 }
 
-// worker is the number of the worker at an address, -1 for none.
+// worker returns the number of the worker at an address, or -1 if there is none.
 func (f *Fleet) worker(at net.Addr) int {
 	tcp, ok := at.(*net.TCPAddr)
 	if !ok {
@@ -124,15 +124,15 @@
 	return n
 }
 
-// IsReader says whether the worker with a number reads.
+// IsReader reports whether the worker with the given number is a reader.
 func (f *Fleet) IsReader(worker int) bool { return toyserver.IsReader(worker, f.options.Readers) }
 
-// Counts tells what the Fleet has met so far.
+// Counts returns the counts since the start.
 func (f *Fleet) Counts() Counts {
 	c := Counts{Connections: f.connections.Load()}
 	for k := range f.counts {
-		at := &f.counts[k]
-		c.By[k] = Count{Messages: at.messages.Load(), In: at.in.Load(), Out: at.out.Load()}
+		count := &f.counts[k]
+		c.By[k] = Count{Messages: count.messages.Load(), In: count.in.Load(), Out: count.out.Load()}
 	}
 	for i := range f.probes {
 		c.Busiest = max(c.Busiest, int(f.probes[i].Load()))
@@ -140,7 +140,7 @@
 	return c
 }
 
-// Since is what was met between two Counts. The busiest worker is that of all time.
+// Since returns the counts between two snapshots, except MaxProbes, which covers the time since the start.
 func (c Counts) Since(before Counts) Counts {
 	c.Connections -= before.Connections
 	for k := range c.By {
@@ -158,14 +158,14 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // no descriptor is left for a moment
+			time.Sleep(10 * time.Millisecond) // out of file descriptors, retry
 			continue
 		}
 		f.connections.Add(1)
 		f.mu.Lock()
 		f.conns[c] = true
 		f.mu.Unlock()
-		f.done.Go(func() {
+		f.goroutines.Go(func() {
 			defer func() {
 				c.Close()
 				f.mu.Lock()
@@ -177,31 +177,31 @@
 	}
 }
 
-// counted counts the bytes of a connection. One goroutine uses it.
-type counted struct {
+// countingConn counts the bytes of a connection. It is used by one goroutine only.
+type countingConn struct {
 	net.Conn
 	in, out int64
 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.in += int64(n)
 	return n, err
 }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.out += int64(n)
 	return n, err
 }
 
-// serve answers one request after the other on a connection.
+// serve handles the requests of a connection one after the other.
 func (f *Fleet) serve(conn net.Conn) {
 	worker := f.worker(conn.LocalAddr())
 	if worker < 0 {
 		return
 	}
-	c := &counted{Conn: conn}
+	c := &countingConn{Conn: conn}
 	in := bufio.NewReaderSize(c, 4<<10)
 	for {
 		before := *c
@@ -216,7 +216,7 @@
 		if kind == Probe {
 			f.probes[worker].Add(1)
 		}
-		err = f.answer(c, kind)
+		err = f.respond(c, kind)
 		at := &f.counts[kind]
 		at.messages.Add(1)
 		at.in.Add(c.in - before.in)
@@ -227,7 +227,7 @@
 	}
 }
 
-// kind says what a request to a worker is for.
+// kind returns the purpose of a request to a worker.
 func (f *Fleet) kind(r *http.Request, worker int) Kind {
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/stats":
@@ -242,33 +242,33 @@
 	return Write
 }
 
-// event is one event of an answer, as long as one that brings a word or two.
-const event = `data: {"choices":[{"index":0,"delta":{"content":"oqvh "},"finish_reason":null}]}` + "\n\n"
+// streamEvent is one event of a response, of the length of an event that carries a word or two.
+const streamEvent = `data: {"choices":[{"index":0,"delta":{"content":"oqvh "},"finish_reason":null}]}` + "\n\n"
 
-// answer writes the answer to a request of a kind.
-func (f *Fleet) answer(c *counted, kind Kind) error {
+// respond writes the response to a request of the given kind.
+func (f *Fleet) respond(c *countingConn, kind Kind) error {
 	switch kind {
 	case Probe:
-		return whole(c, http.StatusOK, "cpu_share=0.10,pending=0,x0=0.10,x1=0")
+		return writeResponse(c, http.StatusOK, "cpu_share=0.10,pending=0,x0=0.10,x1=0")
 	case Release:
 		_, err := io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
 		return err
 	case Read:
-		return whole(c, http.StatusAccepted, `{"cached_tokens":0}`)
+		return writeResponse(c, http.StatusAccepted, `{"cached_tokens":0}`)
 	case Write:
 		return f.stream(c)
 	}
-	return whole(c, http.StatusNotFound, "")
+	return writeResponse(c, http.StatusNotFound, "")
 }
 
-func whole(c *counted, code int, text string) error {
+func writeResponse(c *countingConn, code int, text string) error {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s", code, http.StatusText(code), len(text), text)
 	return err
 }
 
-// stream writes an answer of as many events as the options say.
-func (f *Fleet) stream(c *counted) error {
-	chunk := strconv.FormatInt(int64(len(event)), 16) + "\r\n" + event + "\r\n"
+// stream writes a response of Options.Tokens events.
+func (f *Fleet) stream(c *countingConn) error {
+	chunk := strconv.FormatInt(int64(len(streamEvent)), 16) + "\r\n" + streamEvent + "\r\n"
 	const done = "data: [DONE]\n\n"
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk); err != nil {
 		return err
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -14,8 +14,8 @@
 	"rowanyard/internal/httpfront"
 )
 
-// The workers answer a router's own client, and what it sends is counted by kind.
-func TestWorkersSpeakToTheRoutersClient(t *testing.T) {
+// The workers respond to the router's own client, and the messages are counted by kind.
+func TestRouterClientProtocol(t *testing.T) {
 	const workers = 600
 	f, err := Start(Options{Workers: workers, Readers: 0.25, Tokens: 3})
 	if err != nil {
@@ -68,12 +68,12 @@
 		t.Errorf("%+v", counts)
 	}
 	if since := f.Counts().Since(counts); since.By[Probe].Messages != 0 || since.Connections != 0 {
-		t.Errorf("nothing has come since: %+v", since)
+		t.Errorf("counts since the last snapshot, want none: %+v", since)
 	}
 }
 
-// An address behind the last worker's is nobody's.
-func TestThereAreNoMoreWorkersThanWereAskedFor(t *testing.T) {
+// An address after that of the last worker does not respond, and invalid options are rejected.
+func TestAddressesBeyondLastWorkerDoNotAnswer(t *testing.T) {
 	f, err := Start(Options{Workers: 2, Readers: 0.5})
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	defer stop()
 	c, err := new(net.Dialer).DialContext(ctx, "tcp", f.Address(2))
 	if err != nil {
-		return // nor is anybody there
+		return // not even reachable
 	}
 	defer c.Close()
 	io.WriteString(c, "GET /stats HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/internal/scale/listrun/listrun.go
+++ b/internal/scale/listrun/listrun.go
@@ -1,5 +1,5 @@
-// Package listrun measures how lists of workers and their changes reach all routers: one real router and hollow watchers at
-// one discovery.
+// Package listrun measures how changes of the list of workers reach all routers. One router is real; the others are
+// simulated by package watchers at the same discovery service.
 package listrun
 
 import (
@@ -16,43 +16,43 @@
 	"rowanyard/internal/scale/watchers"
 )
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
-	Program  string // the router's
-	Routers  int    // the real one and the hollow ones
+	Program  string // path of the router's executable
+	Routers  int    // the real one and the simulated ones
 	Workers  int
 	Readers  float64
 	Zones    int
-	Changes  int           // of a burst, one entry each
-	Steady   int           // changes one by one, Interval apart
-	Interval time.Duration // between two of them
-	Idle     time.Duration // of the measurement without a change
+	Changes  int           // in the burst, one entry each
+	Steady   int           // changes one by one, at intervals of Interval
+	Interval time.Duration // between the starts of two of them
+	Idle     time.Duration // length of the measurement without changes
 	Seed     uint64
 }
 
-// Step is what one kind of change cost.
+// Step holds the measurements of one kind of change.
 type Step struct {
 	Name      string
-	Changes   int           // versions
-	Long      time.Duration // from the first change until the last router had the last one
-	Delay50   time.Duration // from a change until a hollow router had it or a later one
-	DelayLast time.Duration // ... until the last of them had
-	RealDelay time.Duration // from the last change until the real router had it, at the most
-	Mean      float64       // bytes that a hollow router received
-	Most      int64
-	Worst5    float64       // bytes a second that a router received in the worst five seconds, in the mean over routers
-	RealCPU   time.Duration // of the real router
-	RealBytes int64
+	Changes   int           // number of versions published
+	Long      time.Duration // from the first change until the last router received the last one
+	Delay50   time.Duration // median time from a change until a simulated router received it or a later one
+	DelayLast time.Duration // ... until the last of them received it
+	RealDelay time.Duration // longest time from a change until the real router received it
+	Mean      float64       // bytes received by a simulated router
+	Most      int64         // bytes received by the simulated router that received the most
+	Worst5    float64       // bytes per second received in the busiest five seconds, mean over the simulated routers
+	RealCPU   time.Duration // processor time of the real router
+	RealBytes int64         // bytes received by the real router from discovery
 }
 
-// limits of waiting.
+// Timeouts and intervals of the measurement.
 const (
-	changeWait = time.Minute
-	worstSpan  = 5 * time.Second
-	lookStep   = 2 * time.Millisecond
+	changeTimeout = time.Minute
+	peakWindow    = 5 * time.Second
+	pollInterval  = 2 * time.Millisecond
 )
 
-// run is a run under way.
+// run holds the state of a run.
 type run struct {
 	Options
 	registry *registry.Registry
@@ -62,7 +62,7 @@
 	random   *rand.Rand
 }
 
-// Run measures all kinds of changes, one after the other.
+// Run measures all kinds of changes one after the other. On an error it also returns the steps that were completed.
 func Run(ctx context.Context, o Options) (steps []Step, err error) {
 	d, err := onerouter.Deploy(ctx, onerouter.Options{Program: o.Program, Routers: o.Routers, Workers: o.Workers, Readers: o.Readers,
 		Zones: o.Zones, MemoryMB: onerouter.DefaultMemory, Sockets: onerouter.DefaultSockets, Seed: o.Seed})
@@ -71,16 +71,16 @@
 	}
 	defer func() { err = errors.Join(err, d.Close()) }()
 	r := &run{Options: o, registry: d.Registry, router: d.Router, hosts: d.Registry.Hosts(), random: rand.New(rand.NewPCG(o.Seed, 0))}
-	hollowDoor, err := r.registry.Open()
+	endpoint, err := r.registry.Open()
 	if err != nil {
 		return nil, err
 	}
-	r.group = watchers.Start(o.Routers-1, hollowDoor.Address, 1)
+	r.group = watchers.Start(o.Routers-1, endpoint.Address, 1)
 	defer r.group.Close()
-	if _, err := r.change(ctx, r.flip()); err != nil { // all watches are open once it has come
+	if _, err := r.applyChange(ctx, r.touchRandomWorker()); err != nil { // once it has arrived, all watches are open
 		return nil, err
 	}
-	for _, step := range []func(context.Context) (Step, error){r.idle, r.steady, r.burst, r.zoneLost, r.zoneBack, r.restart} {
+	for _, step := range []func(context.Context) (Step, error){r.idle, r.oneByOne, r.burst, r.zoneLost, r.zoneBack, r.restartAll} {
 		s, err := step(ctx)
 		if err != nil {
 			return steps, fmt.Errorf("%s: %w", s.Name, err)
@@ -90,18 +90,18 @@
 	return steps, nil
 }
 
-// flip changes one entry.
-func (r *run) flip() []httpfront.Entry {
+// touchRandomWorker returns a changed entry for one random worker.
+func (r *run) touchRandomWorker() []httpfront.Entry {
 	h := &r.hosts[r.random.IntN(len(r.hosts))]
 	h.BornMs++
 	return []httpfront.Entry{*h}
 }
 
-// change makes a change and waits until everybody has it.
-func (r *run) change(ctx context.Context, hosts []httpfront.Entry) (delays []time.Duration, err error) {
+// applyChange publishes a change and waits until all simulated routers have received it.
+func (r *run) applyChange(ctx context.Context, hosts []httpfront.Entry) (delays []time.Duration, err error) {
 	at := time.Now()
 	seq := r.registry.Change(hosts...)
-	ctx, stop := context.WithTimeout(ctx, changeWait)
+	ctx, stop := context.WithTimeout(ctx, changeTimeout)
 	defer stop()
 	times, err := r.group.Wait(ctx, seq)
 	for _, t := range times {
@@ -110,19 +110,19 @@
 	return delays, err
 }
 
-// measured plays a step and fills in what it cost.
-func (r *run) measured(name string, do func(s *Step) error) (Step, error) {
+// measureStep runs a step and records its cost.
+func (r *run) measureStep(name string, measure func(s *Step) error) (Step, error) {
 	s := Step{Name: name}
 	before, err := r.router.Sample()
 	if err != nil {
 		return s, err
 	}
 	bytes := r.group.Bytes()
-	worst := watchRate(r.group)
-	began := time.Now()
-	err = do(&s)
-	s.Long = time.Since(began)
-	s.Worst5 = worst()
+	peakRate := measurePeakRate(r.group)
+	startedAt := time.Now()
+	err = measure(&s)
+	s.Long = time.Since(startedAt)
+	s.Worst5 = peakRate()
 	if err != nil {
 		return s, err
 	}
@@ -133,16 +133,16 @@
 	s.RealCPU = after.Process.CPU - before.Process.CPU
 	s.RealBytes = after.Discovery.In - before.Discovery.In
 	for i, n := range r.group.Bytes() {
-		got := n - bytes[i]
-		s.Mean += float64(got) / float64(r.Routers-1)
-		s.Most = max(s.Most, got)
+		received := n - bytes[i]
+		s.Mean += float64(received) / float64(r.Routers-1)
+		s.Most = max(s.Most, received)
 	}
 	return s, nil
 }
 
-// watchRate looks at what routers receive each second; the function that it returns ends that and tells the worst five
-// seconds, as a rate.
-func watchRate(g *watchers.Group) func() float64 {
+// measurePeakRate samples every second how much the watchers receive. The returned function stops the sampling and
+// returns the mean rate of the busiest five seconds.
+func measurePeakRate(g *watchers.Group) func() float64 {
 	stop, done := make(chan struct{}), make(chan float64)
 	total := func() (sum float64) {
 		all := g.Bytes()
@@ -155,7 +155,7 @@
 		tick := time.NewTicker(time.Second)
 		defer tick.Stop()
 		totals := []float64{total()}
-		worst := 0.0
+		peak := 0.0
 		for {
 			ended := false
 			select {
@@ -164,10 +164,10 @@
 				ended = true
 			}
 			totals = append(totals, total())
-			first := max(0, len(totals)-1-int(worstSpan/time.Second))
-			worst = max(worst, (totals[len(totals)-1]-totals[first])/worstSpan.Seconds())
+			first := max(0, len(totals)-1-int(peakWindow/time.Second))
+			peak = max(peak, (totals[len(totals)-1]-totals[first])/peakWindow.Seconds())
 			if ended {
-				done <- worst
+				done <- peak
 				return
 			}
 		}
@@ -175,42 +175,42 @@
 	return func() float64 { close(stop); return <-done }
 }
 
-// delayed books the delays of changes.
-func (s *Step) delayed(delays []time.Duration) {
+// setDelays sets the delays of the step from those of single routers.
+func (s *Step) setDelays(delays []time.Duration) {
 	slices.Sort(delays)
 	s.Delay50, s.DelayLast = delays[len(delays)/2], delays[len(delays)-1]
 }
 
-// untilReal waits until the real router has received all that a hollow one has, and returns how long that took.
-func (r *run) untilReal(ctx context.Context, from time.Time, seq int64) (time.Duration, error) {
-	for time.Since(from) < changeWait {
+// waitForRealRouter waits until the real router has received version seq, and returns the time since from.
+func (r *run) waitForRealRouter(ctx context.Context, from time.Time, seq int64) (time.Duration, error) {
+	for time.Since(from) < changeTimeout {
 		if r.router.Version() >= seq {
 			return time.Since(from), nil
 		}
-		if err := onerouter.Pause(ctx, lookStep); err != nil {
+		if err := onerouter.Pause(ctx, pollInterval); err != nil {
 			return 0, err
 		}
 	}
-	return 0, fmt.Errorf("the real router has not had version %d", seq)
+	return 0, fmt.Errorf("the real router did not receive version %d in time", seq)
 }
 
-// idle is a watch on which nothing changes.
+// idle measures watches without changes.
 func (r *run) idle(ctx context.Context) (Step, error) {
-	return r.measured("no change", func(*Step) error { return onerouter.Pause(ctx, r.Idle) })
+	return r.measureStep("no change", func(*Step) error { return onerouter.Pause(ctx, r.Idle) })
 }
 
-// steady is changes one by one.
-func (r *run) steady(ctx context.Context) (Step, error) {
-	return r.measured("one by one", func(s *Step) error {
+// oneByOne measures changes that are made one at a time.
+func (r *run) oneByOne(ctx context.Context) (Step, error) {
+	return r.measureStep("one by one", func(s *Step) error {
 		var all []time.Duration
 		for range r.Steady {
 			at := time.Now()
-			delays, err := r.change(ctx, r.flip())
+			delays, err := r.applyChange(ctx, r.touchRandomWorker())
 			if err != nil {
 				return err
 			}
 			all = append(all, delays...)
-			took, err := r.untilReal(ctx, at, r.registry.Version())
+			took, err := r.waitForRealRouter(ctx, at, r.registry.Version())
 			if err != nil {
 				return err
 			}
@@ -220,36 +220,37 @@
 			}
 		}
 		s.Changes = r.Steady
-		s.delayed(all)
+		s.setDelays(all)
 		return nil
 	})
 }
 
-// burst is changes all at once.
+// burst measures many changes made at once.
 func (r *run) burst(ctx context.Context) (Step, error) {
-	return r.measured("burst", func(s *Step) error {
+	return r.measureStep("burst", func(s *Step) error {
 		for range r.Changes - 1 {
-			r.registry.Change(r.flip()...)
+			r.registry.Change(r.touchRandomWorker()...)
 		}
 		s.Changes = r.Changes
-		return r.last(ctx, s, r.flip())
+		return r.applyLastChange(ctx, s, r.touchRandomWorker())
 	})
 }
 
-// last makes a change and waits until everybody, the real router too, has it.
-func (r *run) last(ctx context.Context, s *Step, hosts []httpfront.Entry) error {
+// applyLastChange publishes the last change of a step and waits until all routers, including the real one, have
+// received it.
+func (r *run) applyLastChange(ctx context.Context, s *Step, hosts []httpfront.Entry) error {
 	at := time.Now()
-	delays, err := r.change(ctx, hosts)
+	delays, err := r.applyChange(ctx, hosts)
 	if err != nil {
 		return err
 	}
-	s.delayed(delays)
-	s.RealDelay, err = r.untilReal(ctx, at, r.registry.Version())
+	s.setDelays(delays)
+	s.RealDelay, err = r.waitForRealRouter(ctx, at, r.registry.Version())
 	return err
 }
 
-// zone lists the workers of a zone with a state.
-func (r *run) zone(health string) []httpfront.Entry {
+// firstZone returns the entries of all workers in the first worker's zone, with the given health.
+func (r *run) firstZone(health string) []httpfront.Entry {
 	var all []httpfront.Entry
 	for _, h := range r.hosts {
 		if h.Site == r.hosts[0].Site {
@@ -261,25 +262,25 @@
 }
 
 func (r *run) zoneLost(ctx context.Context) (Step, error) {
-	return r.measured("zone lost", func(s *Step) error {
+	return r.measureStep("zone lost", func(s *Step) error {
 		s.Changes = 1
-		return r.last(ctx, s, r.zone("removed"))
+		return r.applyLastChange(ctx, s, r.firstZone("removed"))
 	})
 }
 
 func (r *run) zoneBack(ctx context.Context) (Step, error) {
-	return r.measured("zone back", func(s *Step) error {
+	return r.measureStep("zone back", func(s *Step) error {
 		s.Changes = 1
-		return r.last(ctx, s, r.zone("up"))
+		return r.applyLastChange(ctx, s, r.firstZone("up"))
 	})
 }
 
-// restart is all routers at once that ask for the whole list. The real one goes on.
-func (r *run) restart(ctx context.Context) (Step, error) {
-	return r.measured("all restart", func(s *Step) error {
+// restartAll measures all simulated routers requesting the whole list at once. The real one keeps running.
+func (r *run) restartAll(ctx context.Context) (Step, error) {
+	return r.measureStep("all restart", func(s *Step) error {
 		at := time.Now()
 		r.group.Restart()
-		ctx, stop := context.WithTimeout(ctx, changeWait)
+		ctx, stop := context.WithTimeout(ctx, changeTimeout)
 		defer stop()
 		times, err := r.group.Wait(ctx, r.registry.Version())
 		if err != nil {
@@ -289,7 +290,7 @@
 		for _, t := range times {
 			delays = append(delays, t.Sub(at))
 		}
-		s.delayed(delays)
+		s.setDelays(delays)
 		return nil
 	})
 }
--- a/internal/scale/onerouter/config.go
+++ b/internal/scale/onerouter/config.go
@@ -1,6 +1,6 @@
 package onerouter
 
-// This file writes the files that the router is started with.
+// Files that the router reads at its start.
 
 import (
 	"encoding/json"
@@ -10,24 +10,24 @@
 	"rowanyard/internal/httpfront"
 )
 
-// config is the router's configuration file.
+// config is the content of the router's configuration file.
 type config struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
 	Seed      string          `json:"seed"`
-	Limits    limits          `json:"limits"`
+	Limits    routerLimits    `json:"limits"`
 	Known     httpfront.List  `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
-type limits struct {
+type routerLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// operatorFile is the operator's file.
+// operatorFile is the content of the operator's file.
 type operatorFile struct {
 	Settings struct {
 		Reload bool `json:"reload"`
@@ -37,13 +37,13 @@
 	} `json:"metrics"`
 }
 
-func (r *Process) configFile() string   { return filepath.Join(r.folder, "config.json") }
-func (r *Process) operatorFile() string { return filepath.Join(r.folder, "operator.json") }
+func (r *Process) configFile() string   { return filepath.Join(r.dir, "config.json") }
+func (r *Process) operatorFile() string { return filepath.Join(r.dir, "operator.json") }
 
-// writeConfig writes the router's configuration in place of the one before.
+// writeConfig writes the router's configuration file, replacing an earlier one.
 func (r *Process) writeConfig() error { return writeJSON(r.configFile(), r.config) }
 
-// writeOperatorFile writes the operator's file, with an address for metrics if they are asked for.
+// writeOperatorFile writes the operator's file, with an address for metrics if Options.Scrape is set.
 func (r *Process) writeOperatorFile(o Options) (err error) {
 	var f operatorFile
 	f.Settings.Reload = o.Reload
@@ -56,7 +56,7 @@
 	return writeJSON(r.operatorFile(), f)
 }
 
-// writeJSON writes a value as a file that only this user reads.
+// writeJSON writes a value as JSON to a file that only this user can read.
 func writeJSON(path string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/scale/onerouter/deployment.go
+++ b/internal/scale/onerouter/deployment.go
@@ -10,14 +10,14 @@
 	"rowanyard/internal/scale/registry"
 )
 
-// Deployment is one real router before hollow workers, and the discovery that lists them.
+// Deployment is one real router, simulated workers, and the discovery service that lists them.
 type Deployment struct {
 	Registry *registry.Registry
 	Router   *Process
 	fleet    *hollow.Fleet
 }
 
-// Deploy starts everything and waits until the router is ready.
+// Deploy starts a deployment and waits until the router is ready.
 func Deploy(ctx context.Context, o Options) (*Deployment, error) {
 	fleet, err := hollow.Start(hollow.Options{Workers: o.Workers, Readers: o.Readers, Tokens: o.Tokens, TokenTime: o.TokenTime})
 	if err != nil {
@@ -30,34 +30,34 @@
 	return d, nil
 }
 
-// startRouter starts the router at an address of discovery that is its own.
+// startRouter starts the router with its own endpoint of discovery, so that its traffic is counted separately.
 func (d *Deployment) startRouter(ctx context.Context, o Options) error {
-	door, err := d.Registry.Open()
+	endpoint, err := d.Registry.Open()
 	if err != nil {
 		return err
 	}
-	d.Router, err = Start(ctx, o, d.fleet, door, d.Registry.Hosts())
+	d.Router, err = Start(ctx, o, d.fleet, endpoint, d.Registry.Hosts())
 	return err
 }
 
-// Play plays the clients of a run, and whoever asks for metrics. The function that it returns ends that and tells how the
-// clients fared; it may be called again.
+// StartLoad starts the clients and, if configured, the scrapes of metrics. The returned function stops both and
+// returns the outcomes of the requests; it may be called more than once.
 func (d *Deployment) Play(ctx context.Context, o Options) (end func() load.Result) {
-	playing, stop := context.WithCancel(ctx)
-	played := make(chan load.Result, 1)
+	loadCtx, stop := context.WithCancel(ctx)
+	result := make(chan load.Result, 1)
 	go func() {
-		played <- load.Run(playing, load.Options{Address: d.Router.address, Rate: o.Rate, Seed: o.Seed, Class: className, Prompt: o.Prompt})
+		result <- load.Run(loadCtx, load.Options{Address: d.Router.address, Rate: o.Rate, Seed: o.Seed, Class: className, Prompt: o.Prompt})
 	}()
 	if o.Scrape > 0 {
-		go d.Router.scraper.run(playing, o.Scrape)
+		go d.Router.scraper.run(loadCtx, o.Scrape)
 	}
 	return sync.OnceValue(func() load.Result {
 		stop()
-		return <-played
+		return <-result
 	})
 }
 
-// Close ends everything.
+// Close stops everything.
 func (d *Deployment) Close() (err error) {
 	if d.Router != nil {
 		err = d.Router.End()
--- a/internal/scale/onerouter/onerouter.go
+++ b/internal/scale/onerouter/onerouter.go
@@ -1,5 +1,6 @@
-// Package onerouter measures one real router, a process of its own, before a fleet of hollow workers and a discovery: the
-// processor time, memory and descriptors that the kernel accounts to it, and the bytes and messages that pass, by kind.
+// Package onerouter measures one real router process among simulated workers and a discovery service: the processor
+// time, memory and descriptors that the kernel accounts to the process, and the bytes and messages that it exchanges,
+// by kind.
 package onerouter
 
 import (
@@ -15,61 +16,61 @@
 	"rowanyard/internal/standin"
 )
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
-	Program   string // the router's
-	Routers   int    // that the settings tell of
+	Program   string // path of the router's executable
+	Routers   int    // number of routers in the settings
 	Workers   int
-	Readers   float64 // the share of workers that read
+	Readers   float64 // share of the workers that are readers
 	Zones     int
-	NoProbes  bool    // workers do not answer probes, so that none are sent
-	Rate      float64 // requests a second
-	Tokens    int     // events of an answer
+	NoProbes  bool    // the settings say that workers do not answer probes, so that none are sent
+	Rate      float64 // requests per second
+	Tokens    int     // events of a response
 	TokenTime time.Duration
 	Prompt    int           // bytes of a prompt
-	Settle    time.Duration // before the measurement
-	Window    time.Duration // of the measurement; in a result, as long as it was
-	MemoryMB  float64       // limits that the router is told
+	Settle    time.Duration // time under load before the measurement
+	Window    time.Duration // length of the measurement; in a Result, the actual length
+	MemoryMB  float64       // limits in the router's configuration
 	Sockets   int
-	Listen    string        // where the router listens, "" = any free port
-	Reload    bool          // it takes changed settings at SIGHUP, see Process.Reload
-	Scrape    time.Duration // between two scrapes of its metrics, 0: they are off
+	Listen    string        // listen address of the router; "" selects any free port
+	Reload    bool          // let the router reload its settings on SIGHUP, see Process.Reload
+	Scrape    time.Duration // time between two scrapes of the router's metrics; 0 turns metrics off
 	Seed      uint64
 }
 
-// Result is what was measured in the window.
+// Result holds the measurements of a run.
 type Result struct {
 	Options
-	CPU         time.Duration // processor time
-	Resident    int64         // bytes, at the end
+	CPU         time.Duration // processor time of the router in the window
+	Resident    int64         // bytes of memory at the end
 	Threads     int
-	Descriptors int           // open, at the end
-	Met         hollow.Counts // by the workers
-	Discovery   Flow          // from the router's point of view
+	Descriptors int           // open at the end
+	Met         hollow.Counts // messages and connections at the workers
+	Discovery   Flow          // bytes exchanged with discovery
 	Scrapes     Scrapes
-	Log         int64
-	Load        load.Result // of the whole run
-	Ready       time.Duration
+	Log         int64         // bytes of the router's log
+	Load        load.Result   // over the whole run
+	Ready       time.Duration // from the router's start until it was ready
 }
 
-// Flow is bytes to and from the router, above TCP.
+// Flow counts bytes received and sent by the router, above TCP.
 type Flow struct{ In, Out int64 }
 
-// PerSecond is a count of the window as a rate.
+// PerSecond returns a count of the window as a rate.
 func (r Result) PerSecond(n int64) float64 { return float64(n) / r.Window.Seconds() }
 
-// What a router is told of its limits unless there is a reason for others.
+// Default limits in the router's configuration.
 const (
 	DefaultMemory  = 192 // MB
 	DefaultSockets = 1024
 )
 
 const (
-	className = "draft-reply"
-	blockSize = 5 // workers
+	className       = "draft-reply"
+	workersPerBlock = 5
 )
 
-// Entries lists the workers of a fleet as discovery does.
+// Entries returns the entries of a fleet's workers in the list of discovery.
 func Entries(f *hollow.Fleet, workers, zones int) []httpfront.Entry {
 	all := make([]httpfront.Entry, workers)
 	for i := range all {
@@ -77,7 +78,7 @@
 		if f.IsReader(i) {
 			class = "reader"
 		}
-		block := i / blockSize
+		block := i / workersPerBlock
 		all[i] = httpfront.Entry{Host: fmt.Sprintf("worker-%05d", i), Dial: f.Address(i), Site: zoneName(block % zones), Class: class,
 			Block: block, Health: "up", Share: 1}
 	}
@@ -86,7 +87,8 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// Settings is the settings object of a deployment of that size, in which servers answer probes or do not.
+// Settings returns the settings of a deployment with the given numbers of routers and zones. probes says whether
+// workers answer probes.
 func Settings(routers, zones int, probes bool) (json.RawMessage, error) {
 	var set map[string]any
 	if err := json.Unmarshal(standin.Settings(), &set); err != nil {
@@ -99,13 +101,13 @@
 	set["n_instances"], set["zones"] = routers, names
 	limits, ok := set["limits"].(map[string]any)
 	if !ok {
-		return nil, errors.New("the settings have no limits")
+		return nil, errors.New("the settings have no limits object")
 	}
 	limits["probing"] = probes
 	return json.Marshal(set)
 }
 
-// Run plays one run.
+// Run starts a deployment, puts load on the router, and returns the measurements.
 func Run(ctx context.Context, o Options) (result Result, err error) {
 	d, err := Deploy(ctx, o)
 	if err != nil {
@@ -113,8 +115,8 @@
 	}
 	defer func() { err = errors.Join(err, d.Close()) }()
 	result = Result{Options: o, Ready: d.Router.Ready}
-	end := d.Play(ctx, o)
-	defer end()
+	stopLoad := d.Play(ctx, o)
+	defer stopLoad()
 	if err := Pause(ctx, o.Settle); err != nil {
 		return Result{}, err
 	}
@@ -129,12 +131,12 @@
 	if err != nil {
 		return Result{}, err
 	}
-	result.Load = end()
-	result.between(before, after)
+	result.Load = stopLoad()
+	result.setUsage(before, after)
 	return result, nil
 }
 
-// Pause waits for so long, or until ctx ends.
+// Sleep waits for the given time. It returns early with an error if ctx ends.
 func Pause(ctx context.Context, wait time.Duration) error {
 	select {
 	case <-time.After(wait):
@@ -144,8 +146,8 @@
 	}
 }
 
-// between fills in what was used between two moments.
-func (r *Result) between(a, b Moment) {
+// setUsage sets the measurements from snapshots at the start and the end of the window.
+func (r *Result) setUsage(a, b Moment) {
 	r.Window = b.Process.At.Sub(a.Process.At)
 	r.CPU = b.Process.CPU - a.Process.CPU
 	r.Resident, r.Threads, r.Descriptors = b.Process.Resident, b.Process.Threads, b.Process.Descriptors
--- a/internal/scale/onerouter/process.go
+++ b/internal/scale/onerouter/process.go
@@ -25,91 +25,91 @@
 )
 
 const (
-	readyWait = 30 * time.Second // a router that is not ready by then has failed
-	readyLook = 5 * time.Millisecond
-	endWait   = 20 * time.Second // one that has not ended by then is killed
-	lastWords = 4 << 10          // bytes of the log that are kept for an error
+	readyTimeout      = 30 * time.Second // a router that is not ready by then has failed to start
+	readyPollInterval = 5 * time.Millisecond
+	stopTimeout       = 20 * time.Second // a router that has not exited this long after SIGTERM is killed
+	logTailBytes      = 4 << 10          // end of the log that is kept for error messages
 
-	reloadWait = 10 * time.Second // settings that are not taken by then are not taken
-	reloadLook = 100 * time.Microsecond
+	reloadTimeout      = 10 * time.Second // a reload that has not been logged by then has failed
+	reloadPollInterval = 100 * time.Microsecond
 )
 
-// Process is the router that is measured, among what it is measured with.
+// Process is the measured router, with the components whose counts belong to it.
 type Process struct {
-	fleet   *hollow.Fleet
-	door    *registry.Door
-	command *exec.Cmd
-	address string
-	folder  string
-	config  config
-	scraper scraper
-	log     logCounter
-	began   time.Time
-	ended   chan struct{} // closed once the process has ended
-
-	Ready time.Duration // from the start until it wanted clients
+	fleet     *hollow.Fleet
+	endpoint  *registry.Door
+	command   *exec.Cmd
+	address   string
+	dir       string
+	config    config
+	scraper   scraper
+	log       logCounter
+	startedAt time.Time
+	exited    chan struct{} // closed once the process has exited
+
+	Ready time.Duration // from the start until the router was ready
 }
 
-// logged is what a router's log has told so far.
-type logged struct {
+// logCounts holds what has been learned from the router's log so far.
+type logCounts struct {
 	bytes    int64
-	version  int64 // of the latest list
-	settings int64 // changes of the settings that were taken
+	version  int64 // version of the latest list taken
+	settings int64 // number of changes of the settings taken
 }
 
-// logCounter counts what the router logs and keeps its last words.
+// logCounter parses and counts the router's log, and keeps its end.
 type logCounter struct {
-	mu   sync.Mutex
-	told logged
-	last bytes.Buffer
+	mu      sync.Mutex
+	current logCounts
+	tail    bytes.Buffer
 }
 
 func (l *logCounter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told.bytes += int64(len(p))
-	l.last.Write(p)
-	for _, found := range listed.FindAllSubmatch(p, -1) {
+	l.current.bytes += int64(len(p))
+	l.tail.Write(p)
+	for _, found := range listTaken.FindAllSubmatch(p, -1) {
 		if seq, err := strconv.ParseInt(string(found[1]), 10, 64); err == nil {
-			l.told.version = seq
+			l.current.version = seq
 		}
 	}
-	l.told.settings += int64(bytes.Count(p, newSettings))
-	if over := l.last.Len() - lastWords; over > 0 {
-		l.last.Next(over)
+	l.current.settings += int64(bytes.Count(p, settingsTaken))
+	if over := l.tail.Len() - logTailBytes; over > 0 {
+		l.tail.Next(over)
 	}
 	return len(p), nil
 }
 
-func (l *logCounter) counts() logged {
+func (l *logCounter) counts() logCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.told
+	return l.current
 }
 
-// lastLine is the last whole line of the log.
+// lastLine returns the last line of the log.
 func (l *logCounter) lastLine() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	lines := strings.Split(strings.TrimSpace(l.last.String()), "\n")
+	lines := strings.Split(strings.TrimSpace(l.tail.String()), "\n")
 	return lines[len(lines)-1]
 }
 
-// Start starts a router's process that knows the given hosts, and waits until it is ready.
-func Start(ctx context.Context, o Options, fleet *hollow.Fleet, door *registry.Door, hosts []httpfront.Entry) (*Process, error) {
-	r, err := start(o, hosts, door.Address)
+// Start starts a router process that knows the given hosts, and waits until it is ready.
+func Start(ctx context.Context, o Options, fleet *hollow.Fleet, endpoint *registry.Door, hosts []httpfront.Entry) (*Process, error) {
+	r, err := startProcess(o, hosts, endpoint.Address)
 	if err != nil {
 		return nil, err
 	}
-	r.fleet, r.door = fleet, door
-	if r.Ready, err = r.ready(ctx); err != nil {
+	r.fleet, r.endpoint = fleet, endpoint
+	if r.Ready, err = r.waitReady(ctx); err != nil {
 		return nil, errors.Join(err, r.End())
 	}
 	return r, nil
 }
 
-// start starts the process.
-func start(o Options, hosts []httpfront.Entry, discovery string) (*Process, error) {
+// startProcess writes the files of a router and starts its process.
+func startProcess(o Options, hosts []httpfront.Entry, discovery string) (*Process, error) {
 	address, err := freeAddress(o.Listen)
 	if err != nil {
 		return nil, err
@@ -118,28 +118,28 @@
 	if err != nil {
 		return nil, err
 	}
-	folder, err := os.MkdirTemp("", "scaletest")
+	dir, err := os.MkdirTemp("", "scaletest")
 	if err != nil {
 		return nil, err
 	}
-	r := &Process{command: exec.Command(o.Program), address: address, folder: folder, ended: make(chan struct{}), config: config{
+	r := &Process{command: exec.Command(o.Program), address: address, dir: dir, exited: make(chan struct{}), config: config{
 		Name: "measured", Listen: address, Discovery: discovery, Seed: fmt.Sprintf("%x", o.Seed),
-		Limits:   limits{Cores: 1, MemoryMB: o.MemoryMB, Sockets: o.Sockets},
+		Limits:   routerLimits{Cores: 1, MemoryMB: o.MemoryMB, Sockets: o.Sockets},
 		Known:    httpfront.List{Seq: 1, Whole: true, Hosts: hosts},
 		Settings: settings,
 	}}
-	if err := r.begin(o); err != nil {
-		return nil, errors.Join(err, os.RemoveAll(folder))
+	if err := r.launch(o); err != nil {
+		return nil, errors.Join(err, os.RemoveAll(dir))
 	}
 	go func() {
-		_ = r.command.Wait() // its exit status says no more than its log
-		close(r.ended)
+		_ = r.command.Wait() // the log says more than the exit status
+		close(r.exited)
 	}()
 	return r, nil
 }
 
-// begin writes the router's files and starts it.
-func (r *Process) begin(o Options) error {
+// launch writes the router's files and starts the process.
+func (r *Process) launch(o Options) error {
 	if err := r.writeConfig(); err != nil {
 		return err
 	}
@@ -151,11 +151,11 @@
 		r.command.Env = append(r.command.Env, "ROWANYARD_OPERATOR="+r.operatorFile())
 	}
 	r.command.Stderr = &r.log
-	r.began = time.Now()
+	r.startedAt = time.Now()
 	return r.command.Start()
 }
 
-// Reload gives the router other settings and returns when it says that it has taken them.
+// Reload gives the router other settings and waits until it logs that it has taken them.
 func (r *Process) Reload(ctx context.Context, settings json.RawMessage) error {
 	before := r.log.counts().settings
 	r.config.Settings = settings
@@ -163,21 +163,22 @@
 		return err
 	}
 	if err := r.command.Process.Signal(syscall.SIGHUP); err != nil {
-		return fmt.Errorf("the router has ended: %w", err)
+		return fmt.Errorf("the router has exited: %w", err)
 	}
-	ctx, stop := context.WithTimeout(ctx, reloadWait)
+	ctx, stop := context.WithTimeout(ctx, reloadTimeout)
 	defer stop()
 	for r.log.counts().settings == before {
-		if err := Pause(ctx, reloadLook); err != nil {
-			return fmt.Errorf("the router has not taken its new settings: %w: %s", err, r.log.lastLine())
+		if err := Pause(ctx, reloadPollInterval); err != nil {
+			return fmt.Errorf("the router did not apply its new settings: %w: %s", err, r.log.lastLine())
 		}
 	}
 	return nil
 }
 
-// freeAddress is an address at which nobody listens: the one that was asked for, or any.
-func freeAddress(asked string) (string, error) {
-	l, err := net.Listen("tcp", cmp.Or(asked, "127.0.0.1:0"))
+// freeAddress returns the wanted address, or one with any free port if it is empty, after checking that nothing
+// listens there.
+func freeAddress(wanted string) (string, error) {
+	l, err := net.Listen("tcp", cmp.Or(wanted, "127.0.0.1:0"))
 	if err != nil {
 		return "", err
 	}
@@ -185,64 +186,64 @@
 	return l.Addr().String(), nil
 }
 
-// ready waits until the router wants clients, and tells how long that took.
-func (r *Process) ready(ctx context.Context) (time.Duration, error) {
+// waitReady waits until the router is ready, and returns how long that took.
+func (r *Process) waitReady(ctx context.Context) (time.Duration, error) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for time.Since(r.began) < readyWait {
+	for time.Since(r.startedAt) < readyTimeout {
 		if res, err := client.Get("http://" + r.address + "/health/ready"); err == nil {
 			res.Body.Close()
 			if res.StatusCode == http.StatusOK {
-				return time.Since(r.began), nil
+				return time.Since(r.startedAt), nil
 			}
 		}
 		select {
-		case <-r.ended:
-			return 0, fmt.Errorf("the router ended at its start: %s", r.log.lastLine())
+		case <-r.exited:
+			return 0, fmt.Errorf("the router exited during startup: %s", r.log.lastLine())
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(readyLook):
+		case <-time.After(readyPollInterval):
 		}
 	}
-	return 0, fmt.Errorf("the router is not ready after %v: %s", readyWait, r.log.lastLine())
+	return 0, fmt.Errorf("the router is not ready after %v: %s", readyTimeout, r.log.lastLine())
 }
 
-// Moment is all counts at one moment.
+// Snapshot holds all counts at one time.
 type Moment struct {
 	Process   procstat.Sample
 	Workers   hollow.Counts
 	Discovery Flow
 	Scrapes   Scrapes
-	Log       int64 // bytes
+	Log       int64 // bytes of the router's log
 }
 
-// Sample takes all counts.
+// Sample returns all current counts.
 func (r *Process) Sample() (Moment, error) {
 	process, err := procstat.Read(r.command.Process.Pid)
 	if err != nil {
-		return Moment{}, fmt.Errorf("the router has ended: %w: %s", err, r.log.lastLine())
+		return Moment{}, fmt.Errorf("the router has exited: %w: %s", err, r.log.lastLine())
 	}
-	toDiscovery, fromDiscovery := r.door.Bytes()
+	toDiscovery, fromDiscovery := r.endpoint.Bytes()
 	return Moment{Process: process, Workers: r.fleet.Counts(), Log: r.log.counts().bytes, Scrapes: r.scraper.counts(),
 		Discovery: Flow{In: fromDiscovery, Out: toDiscovery}}, nil
 }
 
-// listed is how the router's log tells of a list.
-var listed = regexp.MustCompile(`msg="worker list".* seq=(\d+)`)
+// listTaken matches the log line of a router that has taken a list.
+var listTaken = regexp.MustCompile(`msg="worker list".* seq=(\d+)`)
 
-// newSettings is how the router's log tells of settings that it has taken.
-var newSettings = []byte(`msg="new settings" `)
+// settingsTaken occurs in the log line of a router that has taken changed settings.
+var settingsTaken = []byte(`msg="new settings" `)
 
-// Version is the latest version of the list that the router says it has taken, 0 = none.
+// ListVersion returns the latest version of the list that the router has logged, or 0 if there is none.
 func (r *Process) Version() int64 { return r.log.counts().version }
 
-// End ends the process.
+// Stop stops the process and removes its files.
 func (r *Process) End() error {
 	_ = r.command.Process.Signal(syscall.SIGTERM) // it may have ended
 	select {
-	case <-r.ended:
-	case <-time.After(endWait):
+	case <-r.exited:
+	case <-time.After(stopTimeout):
 		_ = r.command.Process.Kill()
-		<-r.ended
+		<-r.exited
 	}
-	return os.RemoveAll(r.folder)
+	return os.RemoveAll(r.dir)
 }
--- a/internal/scale/onerouter/scrape.go
+++ b/internal/scale/onerouter/scrape.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Scrapes is what whoever asks for metrics has got.
+// Scrapes counts scrapes of the router's metrics.
 type Scrapes struct {
 	Good, Failed int64
-	Bytes        int64 // of the good ones' bodies
+	Bytes        int64 // of the bodies of successful scrapes
 }
 
-// since is what came after other counts.
+// since returns the difference to earlier counts.
 func (s Scrapes) since(before Scrapes) Scrapes {
 	return Scrapes{Good: s.Good - before.Good, Failed: s.Failed - before.Failed, Bytes: s.Bytes - before.Bytes}
 }
 
-// scraper asks a router for its metrics.
+// scraper requests a router's metrics.
 type scraper struct {
 	address             string
 	good, failed, bytes atomic.Int64
@@ -30,7 +30,7 @@
 	return Scrapes{Good: s.good.Load(), Failed: s.failed.Load(), Bytes: s.bytes.Load()}
 }
 
-// run scrapes so often, over a connection that is kept, until ctx ends.
+// run scrapes at the given interval over a kept connection until ctx ends.
 func (s *scraper) run(ctx context.Context, every time.Duration) {
 	client := &http.Client{Timeout: every, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -51,19 +51,19 @@
 	}
 }
 
-// scrape asks once and returns the size of the answer.
+// scrape requests the metrics once and returns the size of the body.
 func (s *scraper) scrape(ctx context.Context, client *http.Client) (int64, error) {
-	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.address+"/metrics", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.address+"/metrics", nil)
 	if err != nil {
 		return 0, err
 	}
-	answer, err := client.Do(ask)
+	res, err := client.Do(req)
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return 0, fmt.Errorf("metrics: %s", answer.Status)
+	defer res.Body.Close()
+	if res.StatusCode != http.StatusOK {
+		return 0, fmt.Errorf("metrics: %s", res.Status)
 	}
-	return io.Copy(io.Discard, answer.Body)
+	return io.Copy(io.Discard, res.Body)
 }
--- a/internal/scale/registry/registry.go
+++ b/internal/scale/registry/registry.go
@@ -1,5 +1,6 @@
-// Package registry is a discovery for scale tests: it serves the list of workers and its changes to any number of watchers,
-// in the platform's protocol, and counts the bytes that they cost. Changes can be made one by one or many at once.
+// Package registry is a discovery service for scale tests. It serves the list of workers and its changes to any
+// number of watchers, in the platform's protocol, and counts the bytes sent to them. Changes can be published one at
+// a time or many at once.
 package registry
 
 import (
@@ -17,29 +18,29 @@
 )
 
 const (
-	path      = "/registry/instances"
-	lifeSign  = 2 * time.Second // an empty line comes so often where nothing changes
-	keptSteps = 4096            // versions whose changes are kept; who is further behind gets the whole list
+	watchPath         = "/registry/instances"
+	keepaliveInterval = 2 * time.Second // interval of the empty lines that are sent while nothing changes
+	maxChanges        = 4096            // versions whose changes are kept; a watcher further behind gets the whole list
 )
 
-// Registry is a running discovery.
+// Registry is a running discovery service.
 type Registry struct {
-	mu      sync.Mutex
-	hosts   map[string]httpfront.Entry
-	seq     int64
-	steps   []step        // the latest changes, the oldest first
-	changed chan struct{} // closed and replaced at each change
-	doors   []*Door
-	stop    chan struct{}
+	mu        sync.Mutex
+	hosts     map[string]httpfront.Entry
+	seq       int64
+	history   []change      // the latest changes, oldest first
+	changed   chan struct{} // closed and replaced on each change
+	endpoints []*Door
+	stop      chan struct{}
 }
 
-// step is one change.
-type step struct {
+// change is one version and the entries that it set.
+type change struct {
 	seq   int64
 	hosts []httpfront.Entry
 }
 
-// New returns a Registry that lists the given workers.
+// New returns a Registry that lists the given workers as version 1.
 func New(hosts []httpfront.Entry) *Registry {
 	r := &Registry{hosts: make(map[string]httpfront.Entry), seq: 1, changed: make(chan struct{}), stop: make(chan struct{})}
 	for _, h := range hosts {
@@ -48,17 +49,17 @@
 	return r
 }
 
-// Door is an address of a Registry with a count of its own of the bytes that pass.
+// Endpoint is an address of a Registry that counts its own bytes.
 type Door struct {
 	Address string
 	in, out atomic.Int64
 	server  *http.Server
 }
 
-// Bytes is what has come in and gone out, above TCP.
+// Bytes returns the bytes received and sent so far, above TCP.
 func (d *Door) Bytes() (in, out int64) { return d.in.Load(), d.out.Load() }
 
-// Open opens a Door.
+// AddEndpoint starts serving the Registry at a new address.
 func (r *Registry) Open() (*Door, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,23 +68,23 @@
 	d := &Door{Address: l.Addr().String()}
 	d.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	r.mu.Lock()
-	r.doors = append(r.doors, d)
+	r.endpoints = append(r.endpoints, d)
 	r.mu.Unlock()
 	go d.server.Serve(&countingListener{l, d})
 	return d, nil
 }
 
-// Close ends all watches and Doors.
+// Close ends all watches and closes all Endpoints.
 func (r *Registry) Close() {
 	close(r.stop)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, d := range r.doors {
+	for _, d := range r.endpoints {
 		d.server.Close()
 	}
 }
 
-// Change sets entries and returns the version that has them. One that is "removed" leaves the list.
+// Update sets entries and returns the version that contains them. An entry whose health is "removed" leaves the list.
 func (r *Registry) Change(hosts ...httpfront.Entry) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,23 +96,23 @@
 		}
 	}
 	r.seq++
-	r.steps = append(r.steps, step{r.seq, hosts})
-	if len(r.steps) > keptSteps {
-		r.steps = slices.Delete(r.steps, 0, len(r.steps)-keptSteps)
+	r.history = append(r.history, change{r.seq, hosts})
+	if len(r.history) > maxChanges {
+		r.history = slices.Delete(r.history, 0, len(r.history)-maxChanges)
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
 	return r.seq
 }
 
-// Version is the version of the list.
+// Version returns the current version of the list.
 func (r *Registry) Version() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.seq
 }
 
-// Hosts lists the workers in the order of their names.
+// Hosts returns the workers sorted by name.
 func (r *Registry) Hosts() []httpfront.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,21 +133,21 @@
 	return all
 }
 
-// after is what a watcher that has a version gets next: what has changed since, or else the whole list. more is closed once
-// there is more.
-func (r *Registry) after(seq int64) (l httpfront.List, more <-chan struct{}) {
+// updatesSince returns what a watcher that has version seq needs next: the changes since, or the whole list if they
+// are not kept any more. more is closed on the next change.
+func (r *Registry) updatesSince(seq int64) (l httpfront.List, more <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l.Seq, more = r.seq, r.changed
 	if seq == r.seq {
 		return l, more
 	}
-	known := seq > 0 && seq < r.seq && len(r.steps) > 0 && r.steps[0].seq <= seq+1
+	known := seq > 0 && seq < r.seq && len(r.history) > 0 && r.history[0].seq <= seq+1
 	if !known {
 		l.Whole, l.Hosts = true, r.list()
 		return l, more
 	}
-	for _, s := range r.steps {
+	for _, s := range r.history {
 		if s.seq > seq {
 			l.Hosts = append(l.Hosts, s.hosts...)
 		}
@@ -154,14 +155,14 @@
 	return l, more
 }
 
-// serve answers one call.
+// serve handles one request for the list or a watch.
 func (r *Registry) serve(w http.ResponseWriter, q *http.Request) {
-	if q.URL.Path != path || q.Method != http.MethodGet {
+	if q.URL.Path != watchPath || q.Method != http.MethodGet {
 		http.NotFound(w, q)
 		return
 	}
 	if q.URL.Query().Get("watch") == "" {
-		l, _ := r.after(0)
+		l, _ := r.updatesSince(0)
 		_ = json.NewEncoder(w).Encode(l)
 		return
 	}
@@ -173,13 +174,13 @@
 	r.watch(w, q, seq)
 }
 
-// watch tells one watcher of all changes until it leaves.
+// watch sends all changes after seq to one watcher until it disconnects or the Registry is closed.
 func (r *Registry) watch(w http.ResponseWriter, q *http.Request, seq int64) {
 	control := http.NewResponseController(w)
-	idle := time.NewTicker(lifeSign)
-	defer idle.Stop()
+	keepalive := time.NewTicker(keepaliveInterval)
+	defer keepalive.Stop()
 	for {
-		l, more := r.after(seq)
+		l, changed := r.updatesSince(seq)
 		if len(l.Hosts) > 0 || l.Whole {
 			if json.NewEncoder(w).Encode(l) != nil || control.Flush() != nil {
 				return
@@ -187,8 +188,8 @@
 			seq = l.Seq
 		}
 		select {
-		case <-more:
-		case <-idle.C:
+		case <-changed:
+		case <-keepalive.C:
 			if _, err := w.Write([]byte("\n")); err != nil || control.Flush() != nil {
 				return
 			}
@@ -200,10 +201,10 @@
 	}
 }
 
-// countingListener counts the bytes of all its connections at a Door.
+// countingListener counts the bytes of all its connections at an Endpoint.
 type countingListener struct {
 	net.Listener
-	door *Door
+	endpoint *Door
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -211,22 +212,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countingConn{c, l.door}, nil
+	return &countingConn{c, l.endpoint}, nil
 }
 
 type countingConn struct {
 	net.Conn
-	door *Door
+	endpoint *Door
 }
 
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.door.in.Add(int64(n))
+	c.endpoint.in.Add(int64(n))
 	return n, err
 }
 
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.door.out.Add(int64(n))
+	c.endpoint.out.Add(int64(n))
 	return n, err
 }
--- a/internal/scale/settingsrun/settingsrun.go
+++ b/internal/scale/settingsrun/settingsrun.go
@@ -1,5 +1,5 @@
-// Package settingsrun measures how soon one real router has changed settings in force, and what a change costs it and its
-// clients.
+// Package settingsrun measures how soon one real router applies changed settings, and what such changes cost the
+// router and its clients.
 package settingsrun
 
 import (
@@ -14,23 +14,23 @@
 	"rowanyard/internal/scale/onerouter"
 )
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
 	onerouter.Options
-	Changes  int           // one after the other
-	Interval time.Duration // between the beginnings of two of them
+	Changes  int           // number of changes, made one after the other
+	Interval time.Duration // between the starts of two changes
 }
 
-// Result is what was measured.
+// Result holds the measurements of a run.
 type Result struct {
-	Delays  []time.Duration // from writing the file until the router says that it has taken the settings, the shortest first
-	Window  time.Duration   // of the changes
-	CPU     time.Duration   // of the router, over the window
-	Without time.Duration   // ... over a window as long without changes
-	Load    load.Result     // of the whole run
+	Delays  []time.Duration // from writing the file until the router logs that it has applied the settings, shortest first
+	Window  time.Duration   // duration of all changes together
+	CPU     time.Duration   // processor time of the router in the window
+	Without time.Duration   // ... in a window of the same length without changes
+	Load    load.Result     // over the whole run
 }
 
-// Run measures.
+// Run starts a router under load, changes its settings, and returns the measurements.
 func Run(ctx context.Context, o Options) (result Result, err error) {
 	o.Reload = true
 	d, err := onerouter.Deploy(ctx, o.Options)
@@ -38,23 +38,23 @@
 		return Result{}, err
 	}
 	defer func() { err = errors.Join(err, d.Close()) }()
-	end := d.Play(ctx, o.Options)
-	defer end()
+	stopLoad := d.Play(ctx, o.Options)
+	defer stopLoad()
 	if err := onerouter.Pause(ctx, o.Settle); err != nil {
 		return Result{}, err
 	}
-	result.CPU, result.Window, err = used(d.Router, func() error { return o.change(ctx, d.Router, &result) })
+	result.CPU, result.Window, err = measureCPU(d.Router, func() error { return o.changeSettings(ctx, d.Router, &result) })
 	if err != nil {
 		return Result{}, err
 	}
-	result.Without, _, err = used(d.Router, func() error { return onerouter.Pause(ctx, result.Window) })
-	result.Load = end()
+	result.Without, _, err = measureCPU(d.Router, func() error { return onerouter.Pause(ctx, result.Window) })
+	result.Load = stopLoad()
 	slices.Sort(result.Delays)
 	return result, err
 }
 
-// used is the processor time that the router takes meanwhile, and how long that is.
-func used(router *onerouter.Process, do func() error) (cpu, long time.Duration, err error) {
+// measureCPU returns the processor time that the router uses while do runs, and how long do takes.
+func measureCPU(router *onerouter.Process, do func() error) (cpu, elapsed time.Duration, err error) {
 	before, err := router.Sample()
 	if err != nil {
 		return 0, 0, err
@@ -66,26 +66,27 @@
 	return after.Process.CPU - before.Process.CPU, after.Process.At.Sub(before.Process.At), err
 }
 
-// change changes the settings so many times.
-func (o Options) change(ctx context.Context, router *onerouter.Process, result *Result) error {
+// changeSettings changes the settings Options.Changes times and records the delays.
+func (o Options) changeSettings(ctx context.Context, router *onerouter.Process, result *Result) error {
 	for n := range o.Changes {
 		settings, err := o.settings(n)
 		if err != nil {
 			return err
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		if err := router.Reload(ctx, settings); err != nil {
 			return fmt.Errorf("change %d: %w", n+1, err)
 		}
-		result.Delays = append(result.Delays, time.Since(began))
-		if err := onerouter.Pause(ctx, o.Interval-time.Since(began)); err != nil {
+		result.Delays = append(result.Delays, time.Since(startedAt))
+		if err := onerouter.Pause(ctx, o.Interval-time.Since(startedAt)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// settings are those of the n-th change: another number of routers, so that each differs from the one before.
+// settings returns the settings of the n-th change. The number of routers alternates, so that they differ from the
+// previous ones.
 func (o Options) settings(n int) (json.RawMessage, error) {
 	return onerouter.Settings(o.Routers+1+n%2, o.Zones, !o.NoProbes)
 }
--- a/internal/scale/watchers/watchers_test.go
+++ b/internal/scale/watchers/watchers_test.go
@@ -14,7 +14,7 @@
 	return httpfront.Entry{Host: fmt.Sprintf("w%d", n), Dial: "127.0.0.1:1", Site: "here", Class: "reader", Health: health, Share: 1}
 }
 
-// All watchers get each change, and the whole list once they have restarted.
+// All watchers receive each change, and the whole list after a restart.
 func TestWatchersFollowTheRegistry(t *testing.T) {
 	const count, hosts = 20, 300
 	var list []httpfront.Entry
@@ -23,11 +23,11 @@
 	}
 	r := registry.New(list)
 	defer r.Close()
-	door, err := r.Open()
+	endpoint, err := r.Open()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := Start(count, door.Address, 1)
+	g := Start(count, endpoint.Address, 1)
 	defer g.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
@@ -38,7 +38,7 @@
 	}
 	for i, n := range g.Bytes() {
 		if n == 0 || n > 20_000 {
-			t.Errorf("watcher %d: %d bytes for five changes of one entry each", i, n)
+			t.Errorf("watcher %d: received %d bytes for five changes of one entry each", i, n)
 		}
 	}
 	before := g.Bytes()
@@ -49,20 +49,20 @@
 	}
 	for i, n := range g.Bytes() {
 		if n-before[i] < hosts*50 {
-			t.Errorf("watcher %d: %d bytes for the whole list", i, n-before[i])
+			t.Errorf("watcher %d: received %d bytes for the whole list", i, n-before[i])
 		}
 	}
 	if n := len(r.Hosts()); n != hosts-1 {
-		t.Errorf("%d listed, one of %d was removed", n, hosts)
+		t.Errorf("%d workers listed after one of %d was removed", n, hosts)
 	}
 }
 
-func TestVersion(t *testing.T) {
-	if seq, err := version([]byte(`{"seq":41,"whole":true`)); err != nil || seq != 41 {
+func TestParseVersion(t *testing.T) {
+	if seq, err := parseVersion([]byte(`{"seq":41,"whole":true`)); err != nil || seq != 41 {
 		t.Errorf("%d %v", seq, err)
 	}
 	for _, bad := range []string{"", "{}", `{"seq":`, `{"seq":x,`} {
-		if seq, err := version([]byte(bad)); err == nil {
+		if seq, err := parseVersion([]byte(bad)); err == nil {
 			t.Errorf("%q: %d", bad, seq)
 		}
 	}
