--- a/cmd/scaletest/arguments.go
+++ b/cmd/scaletest/arguments.go
@@ -6,33 +6,33 @@
 	"rowanyard/internal/scale/hollow"
 )
 
-// This file has the limits of arguments that several commands take.
+// Checks of flags that several subcommands have.
 
 const (
-	mostRate        = 10_000
-	spareDescriptor = 64 // of this process beside connections
+	maxRate          = 10_000
+	spareDescriptors = 64 // file descriptors of this process that are not connections
 )
 
-// checkWorkers refuses a number of workers that can't be started.
+// checkWorkers checks the number of workers.
 func checkWorkers(workers int) error {
 	if workers < 2 || workers > hollow.Most {
-		return fmt.Errorf("--workers: %d, there may be 2 to %d", workers, hollow.Most)
+		return fmt.Errorf("--workers: %d, must be between 2 and %d", workers, hollow.Most)
 	}
 	return nil
 }
 
-// checkReaders refuses a share of readers with which a role has none.
+// checkReaders checks the share of readers: there must be readers and writers.
 func checkReaders(share float64) error {
 	if !(share > 0 && share < 1) {
-		return fmt.Errorf("--readers: %g, a share lies between 0 and 1", share)
+		return fmt.Errorf("--readers: %g, must be between 0 and 1", share)
 	}
 	return nil
 }
 
-// checkRate refuses a rate of requests that can't be played. flag is how it was given.
+// checkRate checks a rate of requests that was given with the named flag.
 func checkRate(flag string, rate float64) error {
-	if !(rate >= 0 && rate <= mostRate) {
-		return fmt.Errorf("%s: %g, there may be 0 to %d a second", flag, rate, mostRate)
+	if !(rate >= 0 && rate <= maxRate) {
+		return fmt.Errorf("%s: %g, must be between 0 and %d per second", flag, rate, maxRate)
 	}
 	return nil
 }
--- a/cmd/scaletest/fleet.go
+++ b/cmd/scaletest/fleet.go
@@ -10,21 +10,21 @@
 	"rowanyard/internal/scale/fleetsim"
 )
 
-// fleetCommand plays all routers' decision modules on a virtual clock.
+// fleetCommand simulates all routers' decision modules and the servers on a virtual clock.
 type fleetCommand struct {
-	Routers int           `help:"Routers." default:"${routers}"`
-	Servers int           `help:"Servers." default:"${servers}"`
-	Rate    float64       `help:"Requests a second over all routers." default:"${rate}"`
+	Routers int           `help:"Number of routers." default:"${routers}"`
+	Servers int           `help:"Number of servers." default:"${servers}"`
+	Rate    float64       `help:"Requests per second over all routers." default:"${rate}"`
 	Readers float64       `help:"Share of servers that read prompts." default:"${readers}"`
-	Regions int           `help:"Regions." default:"${regions}"`
-	Zones   int           `help:"Zones in all." default:"${zones}"`
-	Tenants int           `help:"Tenants." default:"${tenants}"`
-	Tokens  int           `help:"Tokens of an answer." default:"${tokens}"`
-	WarmUp  time.Duration `help:"Time before anything is counted." default:"${warm_up}"`
-	Measure time.Duration `help:"Time of the steady measurement." default:"${measure}"`
-	After   time.Duration `help:"Time after an event." default:"${aftermath}"`
-	Event   string        `help:"What happens: none, rack, zone or region." default:"${event}"`
-	Seed    uint64        `help:"Seed of the play." default:"1"`
+	Regions int           `help:"Number of regions." default:"${regions}"`
+	Zones   int           `help:"Number of zones in all regions together." default:"${zones}"`
+	Tenants int           `help:"Number of tenants." default:"${tenants}"`
+	Tokens  int           `help:"Mean number of tokens of a response." default:"${tokens}"`
+	WarmUp  time.Duration `help:"Simulated warm-up time before the measurement." default:"${warm_up}"`
+	Measure time.Duration `help:"Simulated time of the measurement before an event." default:"${measure}"`
+	After   time.Duration `help:"Simulated time after the start of an event." default:"${aftermath}"`
+	Event   string        `help:"Event to simulate: none, rack, zone or region." default:"${event}"`
+	Seed    uint64        `help:"Seed of the simulation." default:"1"`
 }
 
 func (c *fleetCommand) options() fleetsim.Options {
@@ -35,18 +35,18 @@
 	return o
 }
 
-// Validate implements kong's check.
+// Validate implements kong's validation hook.
 func (c *fleetCommand) Validate() error { return c.options().Check() }
 
-// Run plays the fleet.
+// Run runs the simulation and writes a table of its phases.
 func (c *fleetCommand) Run(_ context.Context, out io.Writer) error {
-	began := time.Now()
+	startedAt := time.Now()
 	phases, err := fleetsim.Play(c.options())
 	if err != nil {
 		return err
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "phase\tseconds\trequests\tserved\tbroken\tfirst token p50 ms\tp95 ms\tfound kept\tattempts/request\tprobes/request\tworst reader\tworst writer\tprobes/s at a server\tmost\tcold worst\t")
+	fmt.Fprintln(table, "phase\tseconds\trequests\tserved\tbroken streams\tfirst token p50 ms\tp95 ms\tprompt cache hits\tattempts/request\tprobes/request\tpeak reader load\tpeak writer load\tprobes/s per server\tmax probes/s\tpeak cold load\t")
 	for _, p := range phases {
 		fmt.Fprintf(table, "%s\t%g-%g\t%d\t%.4f\t%d\t%.0f\t%.0f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", p.Name, p.From.Seconds(), p.Until.Seconds(),
 			p.Came, p.Served, p.Broken, milliseconds(p.First50), milliseconds(p.First95), p.Found, p.Attempts, p.Probes,
@@ -55,8 +55,8 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%d routers, %d servers, %g requests/s, event %s, seed %d: played in %.0f s\n",
-		c.Routers, c.Servers, c.Rate, c.Event, c.Seed, time.Since(began).Seconds())
+	_, err = fmt.Fprintf(out, "%d routers, %d servers, %g requests/s, event %s, seed %d: simulated in %.0f s\n",
+		c.Routers, c.Servers, c.Rate, c.Event, c.Seed, time.Since(startedAt).Seconds())
 	return err
 }
 
--- a/cmd/scaletest/main.go
+++ b/cmd/scaletest/main.go
@@ -1,4 +1,5 @@
-// Command scaletest measures how routers grow with the fleet round them, on one machine: see docs/CAPACITY.md.
+// Command scaletest measures how the cost of a router grows with the size of the fleet, on one machine. See
+// docs/CAPACITY.md.
 package main
 
 import (
@@ -15,15 +16,15 @@
 	"rowanyard/internal/scale/fleetsim"
 )
 
-// exitBadInput is the exit status for input, or a machine, that makes no run possible.
-const exitBadInput = 2
+// exitError is the exit status for invalid arguments and for runs that fail.
+const exitError = 2
 
-// commandLine is what the command takes.
+// commandLine defines the subcommands.
 type commandLine struct {
-	Router    routerCommand    `cmd:"" help:"One real router before hollow workers: processor time, memory, descriptors and traffic."`
-	Discovery discoveryCommand `cmd:"" help:"How changes of the list of workers reach all routers: one real router and hollow watchers."`
-	Settings  settingsCommand  `cmd:"" help:"How soon changes of the settings are in force at a real router, and what they cost it."`
-	Fleet     fleetCommand     `cmd:"" help:"All routers' decision modules before simulated servers on a virtual clock."`
+	Router    routerCommand    `cmd:"" help:"Measure one real router with simulated workers: processor time, memory, descriptors and traffic."`
+	Discovery discoveryCommand `cmd:"" help:"Measure how changes of the list of workers reach all routers: one real router and simulated watchers."`
+	Settings  settingsCommand  `cmd:"" help:"Measure how soon a real router applies changed settings, and what that costs."`
+	Fleet     fleetCommand     `cmd:"" help:"Simulate all routers' decision modules and the servers on a virtual clock."`
 }
 
 func main() {
@@ -31,14 +32,14 @@
 	defer stop()
 	if err := execute(ctx, os.Args[1:], os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "scaletest:", err)
-		os.Exit(exitBadInput)
+		os.Exit(exitError)
 	}
 }
 
-// errHelp says that help was asked for, and given.
+// errHelp reports that help was requested and printed.
 var errHelp = errors.New("help")
 
-// defaults are the planned size, for the arguments of all commands.
+// defaults returns the default values of the flags of all subcommands, for the planned fleet size.
 func defaults() kong.Vars {
 	plan := fleetsim.Default()
 	vars := kong.Vars{}
@@ -50,27 +51,27 @@
 	return vars
 }
 
-// execute runs what the arguments say.
+// execute parses the arguments and runs the chosen subcommand.
 func execute(ctx context.Context, args []string, out io.Writer) error {
 	var c commandLine
-	helped := false
+	helpShown := false
 	parser, err := kong.New(&c, kong.Name("scaletest"), kong.Description("Scale tests of the router."), defaults(), kong.Writers(out, io.Discard),
-		kong.Exit(func(int) { helped = true; panic(errHelp) }), kong.BindTo(ctx, (*context.Context)(nil)), kong.BindTo(out, (*io.Writer)(nil)))
+		kong.Exit(func(int) { helpShown = true; panic(errHelp) }), kong.BindTo(ctx, (*context.Context)(nil)), kong.BindTo(out, (*io.Writer)(nil)))
 	if err != nil {
 		return err
 	}
-	chosen, err := parse(parser, args)
-	if helped || err != nil {
+	command, err := parse(parser, args)
+	if helpShown || err != nil {
 		return err
 	}
-	return chosen.Run()
+	return command.Run()
 }
 
-// parse reads the arguments. Where help was asked for there is nothing to run.
-func parse(parser *kong.Kong, args []string) (chosen *kong.Context, err error) {
+// parse parses the arguments. If help was requested, it prints the help and returns no subcommand to run.
+func parse(parser *kong.Kong, args []string) (command *kong.Context, err error) {
 	defer func() {
-		if said := recover(); said != nil && said != errHelp {
-			panic(said)
+		if recovered := recover(); recovered != nil && recovered != errHelp {
+			panic(recovered)
 		}
 	}()
 	return parser.Parse(args)
--- a/cmd/scaletest/main_test.go
+++ b/cmd/scaletest/main_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// run runs the command with arguments.
+// run executes the command with the given arguments.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -18,8 +18,8 @@
 	return out.String(), err
 }
 
-// What can't be run is said in one line.
-func TestBadInputGetsOneLine(t *testing.T) {
+// Invalid arguments and runs that cannot start give an error of one line.
+func TestInvalidInputIsOneLineError(t *testing.T) {
 	busy, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	}
 }
 
-// Short forms of all runs, on a router that is built here.
+// Each subcommand runs with small sizes, on a router built by the test.
 func TestShortRuns(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "rowanyard")
 	if text, err := exec.CommandContext(context.Background(), "go", "build", "-o", program, "rowanyard/cmd/rowanyard").CombinedOutput(); err != nil {
--- a/cmd/scaletest/settings.go
+++ b/cmd/scaletest/settings.go
@@ -11,40 +11,40 @@
 	"rowanyard/internal/scale/settingsrun"
 )
 
-// settingsCommand measures how soon changes of the settings are in force.
+// settingsCommand measures how soon a router applies changed settings.
 type settingsCommand struct {
-	Program  string        `help:"The router's program." default:"bin/rowanyard"`
-	Workers  int           `help:"Workers." default:"${servers}"`
-	Rate     float64       `help:"Requests a second at the router." default:"13"`
-	Routers  int           `help:"Routers that the settings tell of." default:"${routers}"`
+	Program  string        `help:"Path of the router's executable." default:"bin/rowanyard"`
+	Workers  int           `help:"Number of workers." default:"${servers}"`
+	Rate     float64       `help:"Rate of requests at the router, per second." default:"13"`
+	Routers  int           `help:"Number of routers in the settings." default:"${routers}"`
 	Readers  float64       `help:"Share of workers that read prompts." default:"${readers}"`
-	Zones    int           `help:"Zones of the workers." default:"${zones}"`
-	Changes  int           `help:"Changes of the settings, one after the other." default:"100"`
-	Interval time.Duration `help:"Time between two of them." default:"100ms"`
-	Settle   time.Duration `help:"Time before the first." default:"6s"`
+	Zones    int           `help:"Number of zones." default:"${zones}"`
+	Changes  int           `help:"Number of changes, made one after the other." default:"100"`
+	Interval time.Duration `help:"Time between two changes." default:"100ms"`
+	Settle   time.Duration `help:"Time under load before the first change." default:"6s"`
 	Seed     uint64        `help:"Seed of the load." default:"1"`
 }
 
-// What each request is, beside its place among others.
+// Size of each request and its response.
 const (
 	settingsTokens = 4
 	settingsPrompt = 8000 // bytes
 )
 
-// Validate implements kong's check.
+// Validate implements kong's validation hook.
 func (c *settingsCommand) Validate() error {
 	if err := cmp.Or(checkWorkers(c.Workers), checkRate("--rate", c.Rate), checkReaders(c.Readers)); err != nil {
 		return err
 	}
 	if c.Routers < 1 || c.Zones < 1 || c.Changes < 1 || c.Interval < 0 || c.Settle < 0 {
-		return fmt.Errorf("--routers, --zones, --changes, --interval, --settle: there is one of each at least")
+		return fmt.Errorf("--routers, --zones and --changes must be at least 1, --interval and --settle not negative")
 	}
 	return nil
 }
 
-// Run measures.
+// Run runs the measurement and writes its results.
 func (c *settingsCommand) Run(ctx context.Context, out io.Writer) error {
-	if err := enoughDescriptors(2*onerouter.DefaultSockets + spareDescriptor); err != nil {
+	if err := checkDescriptors(2*onerouter.DefaultSockets + spareDescriptors); err != nil {
 		return err
 	}
 	r, err := settingsrun.Run(ctx, settingsrun.Options{Changes: c.Changes, Interval: c.Interval, Options: onerouter.Options{Program: c.Program,
