--- a/internal/scale/fleetsim/router.go
+++ b/internal/scale/fleetsim/router.go
@@ -124,8 +124,8 @@
 		}
 	}
 	step := time.Duration(float64(f.TokenTime) / 2 * (1 + s.heldTokens/f.writerMemory))
-	first := f.transferTime(q.stateHolder, s) + step + f.latency(r, s)
-	f.After(first, func() { r.firstToken(q, n, s) })
+	firstTokenDelay := f.transferTime(q.stateHolder, s) + step + f.latency(r, s)
+	f.After(firstTokenDelay, func() { r.firstToken(q, n, s) })
 }
 
 // firstToken starts the response, unless the attempt has ended meanwhile.
--- a/internal/scale/fleetsim/tally.go
+++ b/internal/scale/fleetsim/tally.go
@@ -74,16 +74,16 @@
 
 // peakToMeanLoad returns the attempts at the busiest server of a kind relative to the mean of that kind.
 func (f *fleet) peakToMeanLoad(kind int) float64 {
-	most, sum, n := 0, 0, 0
+	busiest, sum, n := 0, 0, 0
 	for _, s := range f.serverList {
 		if s.Kind == kind {
-			most, sum, n = max(most, s.received), sum+s.received, n+1
+			busiest, sum, n = max(busiest, s.received), sum+s.received, n+1
 		}
 	}
 	if sum == 0 {
 		return 0
 	}
-	return float64(most) * float64(n) / float64(sum)
+	return float64(busiest) * float64(n) / float64(sum)
 }
 
 func share(part, of int) float64 {
--- a/internal/scale/onerouter/process.go
+++ b/internal/scale/onerouter/process.go
@@ -238,7 +238,7 @@
 
 // Stop stops the process and removes its files.
 func (r *Process) End() error {
-	_ = r.command.Process.Signal(syscall.SIGTERM) // it may have ended
+	_ = r.command.Process.Signal(syscall.SIGTERM) // it may have exited already
 	select {
 	case <-r.exited:
 	case <-time.After(stopTimeout):
--- a/internal/scale/soak/judge.go
+++ b/internal/scale/soak/judge.go
@@ -399,9 +399,9 @@
 }
 
 // forbiddenLogTexts maps texts that no router may log to the invariant that each of them shows to be violated.
-var forbiddenLogTexts = map[string]Rule{"invariant violated": Guarded, "panicked": Guarded, "msg=overdue": Answered,
-	"floods a request": Guarded,
-	"panic:":           Alive, "DATA RACE": Alive}
+var forbiddenLogTexts = map[string]Rule{
+	"invariant violated": Guarded, "panicked": Guarded, "msg=overdue": Answered,
+	"floods a request": Guarded, "panic:": Alive, "DATA RACE": Alive}
 
 // checkRouters finds router processes that exited by themselves, were not ready in time, used too many resources, or logged a
 // forbidden text.
--- a/internal/scale/soak/soak_test.go
+++ b/internal/scale/soak/soak_test.go
@@ -103,14 +103,14 @@
 func TestChecksDetectViolations(t *testing.T) {
 	rules := map[Rule]func(*records) []Broken{Answered: checkAnswers, Once: checkEffects, Pinned: checkStates, Drained: checkDrains,
 		Gone: checkDisconnects, Told: checkDeadlines, Guarded: checkRouters, Alive: checkRouters, Ready: checkRouters, Bounded: checkRouters}
-	for rule, judge := range rules {
-		if found := judge(newRecords().withEvents(normalEvents()...)); len(found) > 0 {
+	for rule, check := range rules {
+		if found := check(newRecords().withEvents(normalEvents()...)); len(found) > 0 {
 			t.Errorf("%s: found %v", rule, found)
 		}
 	}
 	for name, x := range map[string]struct {
-		rule  Rule
-		spoil func(rec *records)
+		rule    Rule
+		violate func(rec *records)
 	}{
 		"no response":     {Answered, func(rec *records) { rec.requests[0].status = 0 }},
 		"a late response": {Answered, func(rec *records) { rec.requests[0].status, rec.requests[0].ended = 502, recordTime(1800) }},
@@ -147,7 +147,7 @@
 		"memory over the limit":          {Bounded, func(rec *records) { rec.routers[0].peak.Resident = 1 << 30 }},
 	} {
 		rec := newRecords().withEvents(normalEvents()...)
-		x.spoil(rec)
+		x.violate(rec)
 		found := rules[x.rule](rec)
 		if len(found) == 0 || found[0].Rule != x.rule {
 			t.Errorf("%s: found %v", name, found)
