--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -228,7 +228,7 @@
 
 // restoreLearned loads the state that the older process has learned.
 func (p *process) restoreLearned() {
-	var learned decide.Learned
+	var learned decide.Estimates
 	if ok, err := p.shared.Kept(&learned); err != nil {
 		p.log.Error("can't read the learned state of the other process", "err", err)
 	} else if ok {
--- a/cmd/rowanyard/reload.go
+++ b/cmd/rowanyard/reload.go
@@ -84,7 +84,7 @@
 		return err
 	}
 	if r.grantsEnabled && next.MaxRetryAfter != r.active.MaxRetryAfter {
-		return &decide.RestartError{What: "limits.max_retry_after, with ext_proc or decisions"}
+		return &decide.RestartError{Setting: "limits.max_retry_after, with ext_proc or decisions"}
 	}
 	return r.core.Apply(next.Settings)
 }
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -86,7 +86,7 @@
 	case decide.Probed:
 		r.Probed(now, e)
 	case wire.Left:
-		r.Left(now, e.ID)
+		r.ClientLeft(now, e.ID)
 	case wire.Ring:
 		r.Timer(now, e.Token)
 	}
--- a/decide/api.go
+++ b/decide/api.go
@@ -46,15 +46,15 @@
 
 // Class is a class of requests that share latency targets, value and repeat rules.
 type Class struct {
-	Aim          time.Duration // target time to first token (TTFT)
-	AimPer1000   time.Duration // added to TTFTTarget for each 1,000 prompt tokens
-	Deadline     time.Duration // total time that a client waits
-	TokenAim     time.Duration // target mean time per output token (TPOT)
-	Worth        float64       // value of an answer in time
-	LateWorth    float64       // share of Value that an answer after TTFTTarget is worth
-	Effect       Effect
-	Scope        Scope         // keyed classes: the servers that drop repeats
-	RepeatWindow time.Duration // keyed classes: how long repeats are dropped
+	TTFTTarget        time.Duration // target time to first token (TTFT)
+	TTFTTargetPer1000 time.Duration // added to TTFTTarget for each 1,000 prompt tokens
+	Deadline          time.Duration // total time that a client waits
+	TPOTTarget        time.Duration // target mean time per output token (TPOT)
+	Value             float64       // value of an answer in time
+	LateValueShare    float64       // share of Value that an answer after TTFTTarget is worth
+	Effect            Effect
+	Scope             Scope         // keyed classes: the servers that drop repeats
+	RepeatWindow      time.Duration // keyed classes: how long repeats are dropped
 }
 
 // Tenant is one customer of the service.
@@ -70,33 +70,33 @@
 
 // Settings configures a Router. A zero duration disables its limit unless the field says otherwise.
 type Settings struct {
-	Front, Fronts  int // index of this router among all, and their number
-	Zone           int
-	Classes        []Class
-	Tenants        []Tenant
-	Kinds          []Kind
-	OverShareWorth float64       // factor on the value of a request whose tenant is over its quota
-	Tick           time.Duration // shortest step between the clocks of two events
-	MaxAttempts    int           // attempts per request, 0 = unlimited
-	ConnectTimeout time.Duration // an attempt reaches its server within this time or not at all
-	MaxRetryAfter  time.Duration // longest retry advice to refused clients, 0 = give none
-	CanCancel      bool
-	CanProbe       bool          // servers report their load to probes
-	WritersRead    bool          // a writer without a state reads the prompt itself
-	MustAsk        bool          // the server list arrives only on request
-	AskEvery       time.Duration // PollServerList: longest time between two requests for it
-	PinLimit       time.Duration // a held state must be taken or released within this time
-	PinSlack       time.Duration // added to PinLimit where the write has probably reached its server
-	ColdFrom       float64       // share of full capacity right after a start
-	ColdFor        time.Duration // time from a start to full capacity
-	ColdMultiple   float64       // a cold server fails above this multiple of its capacity ...
-	ColdWindow     time.Duration // ... if the load lasts for this long
+	RouterIndex, RouterCount int // index of this router among all, and their number
+	Zone                     int
+	Classes                  []Class
+	Tenants                  []Tenant
+	Kinds                    []Kind
+	OverQuotaFactor          float64       // factor on the value of a request whose tenant is over its quota
+	ClockStep                time.Duration // shortest step between the clocks of two events
+	MaxAttempts              int           // attempts per request, 0 = unlimited
+	ConnectTimeout           time.Duration // an attempt reaches its server within this time or not at all
+	MaxRetryAfter            time.Duration // longest retry advice to refused clients, 0 = give none
+	CanCancel                bool
+	CanProbe                 bool          // servers report their load to probes
+	WritersCanRead           bool          // a writer without a state reads the prompt itself
+	PollServerList           bool          // the server list arrives only on request
+	PollInterval             time.Duration // PollServerList: longest time between two requests for it
+	PinLimit                 time.Duration // a held state must be taken or released within this time
+	PinSlack                 time.Duration // added to PinLimit where the write has probably reached its server
+	ColdCapacity             float64       // share of full capacity right after a start
+	WarmUpTime               time.Duration // time from a start to full capacity
+	ColdOverloadFactor       float64       // a cold server fails above this multiple of its capacity ...
+	ColdOverloadWindow       time.Duration // ... if the load lasts for this long
 }
 
 // check returns an error for inconsistent or out-of-range settings.
 func check(s Settings) error {
-	if s.Fronts < 1 || s.Front < 0 || s.Front >= s.Fronts {
-		return fmt.Errorf("front %d of %d", s.Front, s.Fronts)
+	if s.RouterCount < 1 || s.RouterIndex < 0 || s.RouterIndex >= s.RouterCount {
+		return fmt.Errorf("front %d of %d", s.RouterIndex, s.RouterCount)
 	}
 	for i, k := range s.Kinds {
 		if k.Role < Reader || k.Role > Mixed || k.MemoryTokens < 0 {
@@ -104,15 +104,15 @@
 		}
 	}
 	for i, c := range s.Classes {
-		if c.Aim < 0 || c.Deadline < 0 || c.TokenAim < 0 || c.Worth < 0 || c.RepeatWindow < 0 {
+		if c.TTFTTarget < 0 || c.Deadline < 0 || c.TPOTTarget < 0 || c.Value < 0 || c.RepeatWindow < 0 {
 			return fmt.Errorf("class %d: negative limit", i)
 		}
 		if c.Effect < Safe || c.Effect > Unsafe || c.Scope < ScopeAll || c.Scope > ScopeCell {
 			return fmt.Errorf("class %d: effect %d, scope %d", i, c.Effect, c.Scope)
 		}
 	}
-	if s.MaxAttempts < 0 || s.PinLimit < 0 || s.PinSlack < 0 || s.ColdFor < 0 || s.ColdWindow < 0 ||
-		s.AskEvery < 0 || s.ConnectTimeout < 0 {
+	if s.MaxAttempts < 0 || s.PinLimit < 0 || s.PinSlack < 0 || s.WarmUpTime < 0 || s.ColdOverloadWindow < 0 ||
+		s.PollInterval < 0 || s.ConnectTimeout < 0 {
 		return errors.New("negative limit")
 	}
 	return nil
@@ -120,24 +120,24 @@
 
 // Request is a client request. The Router gives each exactly one final answer.
 type Request struct {
-	ID        RequestID
-	Label     string // the client's name for it, for logs only
-	Class     int
-	Tenant    int
-	TimeLeft  time.Duration // until the client gives up this try
-	Session   uint64        // 0 = none
-	Prefix    uint64        // identifies the shared prefix of the prompt, 0 = none
-	Prompt    int           // length of the prompt in tokens
-	PrefixLen int           // length of the shared prefix in tokens
-	MaxOutput int           // upper bound on the answer in tokens
-	Hint      time.Duration // estimate of the answer's duration at TPOTTarget, 0 = none
-	Repeat    bool          // known to be a further try of a client
-	Resumed   bool          // sent again after its stream broke
+	ID           RequestID
+	Label        string // the client's name for it, for logs only
+	Class        int
+	Tenant       int
+	TimeLeft     time.Duration // until the client gives up this try
+	Session      uint64        // 0 = none
+	Prefix       uint64        // identifies the shared prefix of the prompt, 0 = none
+	PromptLength int           // length of the prompt in tokens
+	PrefixLength int           // length of the shared prefix in tokens
+	MaxOutput    int           // upper bound on the answer in tokens
+	DurationHint time.Duration // estimate of the answer's duration at TPOTTarget, 0 = none
+	ClientRetry  bool          // known to be a further try of a client
+	Resumed      bool          // sent again after its stream broke
 	// Leased says that the transport releases held states by itself once their router shows no sign of life.
 	Leased bool
 	// CachedTokens is the number of prompt tokens that servers report as cached, by server ID. A report overrides the
 	// Router's own record; for a server without an entry nothing is reported. It is nil where there are no reports.
-	Kept map[string]int
+	CachedTokens map[string]int
 }
 
 // Status is how an attempt ended.
@@ -147,25 +147,25 @@
 const (
 	Served        Status = iota + 1 // answered
 	Read                            // the prompt has been read and the reader holds the state
-	Full                            // the server rejected it, or had no state to fetch
+	Rejected                        // the server rejected it, or had no state to fetch
 	Errored                         // the server returned an error
 	TimedOut                        // no answer in time
 	ConnectFailed                   // no connection
 	Reset                           // the connection broke
 	Cancelled                       // cancelled by this router
-	Moot                            // never sent
+	Unsent                          // never sent
 )
 
 // Outcome is the end of one attempt of a request.
 type Outcome struct {
-	ID      RequestID
-	Attempt int
-	Server  string
-	Status  Status
-	Took    time.Duration
-	Final   bool // the client has its answer: no more attempts
-	Kept    int  // Read and Served: prompt tokens that the server had cached
-	NoState bool // Rejected: there was no state to fetch
+	ID           RequestID
+	Attempt      int
+	Server       string
+	Status       Status
+	Elapsed      time.Duration
+	Final        bool // the client has its answer: no more attempts
+	CachedTokens int  // Read and Served: prompt tokens that the server had cached
+	NoState      bool // Rejected: there was no state to fetch
 }
 
 // Started is the first token of an attempt's answer.
@@ -173,15 +173,15 @@
 	ID      RequestID
 	Attempt int
 	Server  string
-	Took    time.Duration
+	Elapsed time.Duration
 }
 
 // Probed is a server's answer to a probe. Negative values are unknown.
 type Probed struct {
-	Server string
-	Queue  float64 // requests in its queue
-	Tokens float64 // prompt tokens in its queue, to be read or fetched
-	Held   float64 // share of its memory in use; known whenever QueuedRequests is
+	Server         string
+	QueuedRequests float64 // requests in its queue
+	QueuedTokens   float64 // prompt tokens in its queue, to be read or fetched
+	MemoryUse      float64 // share of its memory in use; known whenever QueuedRequests is
 }
 
 // ServerState is the state of a server in the server list.
@@ -196,20 +196,20 @@
 
 // Server is one entry of the server list.
 type Server struct {
-	ID     string
-	State  ServerState
-	Kind   int
-	Cell   int
-	Zone   int
-	Weight float64       // relative to servers of the same role
-	Since  time.Duration // clock time of its last start, 0 = long ago
+	ID        string
+	State     ServerState
+	Kind      int
+	Cell      int
+	Zone      int
+	Weight    float64       // relative to servers of the same role
+	StartedAt time.Duration // clock time of its last start, 0 = long ago
 }
 
 // ServerList is the server list or a change to it.
 type ServerList struct {
-	Whole   bool // the complete list: servers that are not in it are gone
-	Failed  bool // the request for the list failed; the previous one stays in force
-	Servers []Server
+	Complete bool // the complete list: servers that are not in it are gone
+	Failed   bool // the request for the list failed; the previous one stays in force
+	Servers  []Server
 }
 
 // Reason explains a decision in logs.
@@ -228,7 +228,7 @@
 	AttemptsSpent Reason = "no attempts are left"
 	StateExpired  Reason = "the state was held for too long"
 	MayHaveRun    Reason = "it may have run"
-	Ending        Reason = "this front ends"
+	ShuttingDown  Reason = "this front ends"
 )
 
 // Explainer is an optional interface of an Executor: it receives the reason for a Send, Cancel, Refuse or Fail right
@@ -239,7 +239,7 @@
 
 // Executor carries out the decisions of a Router. Its methods are called while the Router handles an event and take
 // effect in the order of the calls. The attempts of a request are numbered from 0 in the order of their Sends.
-type Front interface {
+type Executor interface {
 	// Send sends a request to a server. The timeout always ends before the client gives up.
 	Send(id RequestID, server string, timeout time.Duration)
 	// Cancel stops waiting for an attempt. Its Outcome still follows.
@@ -255,5 +255,5 @@
 	// Probe asks a server for its load. The answer, if any, arrives as Router.Probed.
 	Probe(server string)
 	// RequestServerList asks for the server list and, if watch is set, for its changes.
-	AskServers(watch bool)
+	RequestServerList(watch bool)
 }
--- a/decide/coldfleet_test.go
+++ b/decide/coldfleet_test.go
@@ -64,8 +64,8 @@
 	d.zones = 1 + d.rng.IntN(3)
 	s := &d.settings
 	s.Classes = append(s.Classes, s.Classes[0])
-	s.Fronts, s.ColdFrom, s.ColdMultiple = routers, d.logUniform(0.1, 0.6), 1.5+1.5*d.rng.Float64()
-	s.ColdWindow, s.ColdFor = seconds(d.logUniform(0.5, 4)), seconds(d.logUniform(5, 30))
+	s.RouterCount, s.ColdCapacity, s.ColdOverloadFactor = routers, d.logUniform(0.1, 0.6), 1.5+1.5*d.rng.Float64()
+	s.ColdOverloadWindow, s.WarmUpTime = seconds(d.logUniform(0.5, 4)), seconds(d.logUniform(5, 30))
 	d.shape = []string{"linear", "late", "step"}[d.rng.IntN(3)]
 	d.rate = max(30, min(600, float64(serverCount)*d.logUniform(0.5, 4)))
 	readers := max(4, int(float64(serverCount)*(0.3+0.4*d.rng.Float64())))
@@ -94,7 +94,7 @@
 		longest = max(longest, srv.serviceTime)
 	}
 	for i := range s.Classes {
-		s.Classes[i].Aim, s.Classes[i].Deadline = max(s.Classes[i].Aim, 4*longest), max(8*time.Second, 16*longest)
+		s.Classes[i].TTFTTarget, s.Classes[i].Deadline = max(s.Classes[i].TTFTTarget, 4*longest), max(8*time.Second, 16*longest)
 	}
 	d.routers = make([]*simRouter, routers)
 	sum := 0.0
@@ -126,14 +126,14 @@
 // capacityAt returns a server's share of full capacity at the given time since its start. It rises from ColdCapacity to
 // 1 over WarmUpTime: linearly, late (mostly towards the end) or in one step at the end.
 func (d *deployment) capacityAt(age time.Duration) float64 {
-	progress := min(1, max(0, float64(age)/float64(d.settings.ColdFor)))
+	progress := min(1, max(0, float64(age)/float64(d.settings.WarmUpTime)))
 	switch {
 	case d.shape == "late":
 		progress = math.Pow(progress, 6)
 	case d.shape == "step" && progress < 1:
 		progress = 0
 	}
-	return d.settings.ColdFrom + (1-d.settings.ColdFrom)*progress
+	return d.settings.ColdCapacity + (1-d.settings.ColdCapacity)*progress
 }
 
 // drawIndex draws an index with a probability proportional to its step in the running sums.
@@ -162,14 +162,14 @@
 	}
 	size := d.meanWork[class]
 	q := Request{ID: d.lastID, TimeLeft: left, Class: class, Session: session,
-		Prompt: int(3000 * size), PrefixLen: int(2000 * size), MaxOutput: int(200 * size), Repeat: clientRetries > 0}
+		PromptLength: int(3000 * size), PrefixLength: int(2000 * size), MaxOutput: int(200 * size), ClientRetry: clientRetries > 0}
 	i, _ := slices.BinarySearch(d.cumulativePopularity, sessionRNG.Float64()*d.cumulativePopularity[len(d.cumulativePopularity)-1])
 	if newPrefix := sessionRNG.Float64() < d.newPrefix && d.Now >= d.newPrefixFrom; newPrefix {
 		q.Prefix = mix(d.seed + 1<<40)
 	} else if sessionRNG.Float64() < 0.85 {
 		q.Prefix = mix(uint64(2*i+class) + d.seed + 1)
 	} else {
-		q.PrefixLen = 0
+		q.PrefixLength = 0
 	}
 	r.open[q.ID], r.submitted[q.ID] = true, q
 	r.clientRetries[q.ID] = clientRetries
@@ -215,7 +215,7 @@
 		d.startRouter(i, d.serverList())
 	}
 	d.restartAt = 12 * time.Second
-	end := d.restartAt + min(d.settings.ColdFor, 12*time.Second)
+	end := d.restartAt + min(d.settings.WarmUpTime, 12*time.Second)
 	d.generateTraffic(end)
 	d.Until(d.restartAt - 2*time.Second)
 	old := d.serverList()
@@ -246,7 +246,7 @@
 				}
 				d.After(seconds(0.1+0.4*d.rng.Float64()), func() {
 					d.startRouter(i, old)
-					d.After(20*ms, func() { d.routers[i].Servers(d.Now, ServerList{Whole: true, Servers: d.serverList()}) })
+					d.After(20*ms, func() { d.routers[i].Servers(d.Now, ServerList{Complete: true, Servers: d.serverList()}) })
 				})
 			}
 		})
@@ -271,7 +271,7 @@
 	worst, from := 0.0, 0
 	full := toySlots / srv.serviceTime.Seconds()
 	for i, now := range srv.sentAt {
-		for srv.sentAt[from] <= now-d.settings.ColdWindow {
+		for srv.sentAt[from] <= now-d.settings.ColdOverloadWindow {
 			from++
 		}
 		startKnown, all := 0.0, 0.0
@@ -281,10 +281,10 @@
 				startKnown += srv.work[from+i]
 			}
 		}
-		budget := d.settings.ColdMultiple * d.capacityAt(srv.sentAt[from]-srv.Since) * full * d.settings.ColdWindow.Seconds()
+		budget := d.settings.ColdOverloadFactor * d.capacityAt(srv.sentAt[from]-srv.StartedAt) * full * d.settings.ColdOverloadWindow.Seconds()
 		limit := toyserver.ColdLimit(budget)
-		if now < srv.Since+d.settings.ColdFor && all/limit > worst && 3*startKnown > 2*all {
-			worst, sent, allowed, at = all/limit, all, limit, (now - srv.Since).Seconds()
+		if now < srv.StartedAt+d.settings.WarmUpTime && all/limit > worst && 3*startKnown > 2*all {
+			worst, sent, allowed, at = all/limit, all, limit, (now - srv.StartedAt).Seconds()
 		}
 	}
 	return sent, allowed, at
@@ -297,12 +297,12 @@
 	name := fmt.Sprintf(
 		"seed %d: %d routers, %d servers, %d of them cold, %.0f requests per second, work of classes %.2f and %.2f, %.2f of sessions with the new prefix, cold capacity %.2f, %s warm-up in %v, overload factor %.1f over %v",
 		d.seed, len(d.routers), len(d.servers), len(d.cold), d.rate, d.meanWork[0], d.meanWork[1], d.newPrefix,
-		d.settings.ColdFrom, d.shape, d.settings.ColdFor.Round(ms), d.settings.ColdMultiple, d.settings.ColdWindow.Round(ms))
+		d.settings.ColdCapacity, d.shape, d.settings.WarmUpTime.Round(ms), d.settings.ColdOverloadFactor, d.settings.ColdOverloadWindow.Round(ms))
 	worst, detail, coldSends := 0.0, "", 0
 	for _, srv := range d.cold {
 		sent, allowed, at := d.worstWindow(srv)
 		for _, at := range srv.sentAt {
-			if at > srv.Since+d.listDelay && at < srv.Since+d.settings.ColdFor {
+			if at > srv.StartedAt+d.listDelay && at < srv.StartedAt+d.settings.WarmUpTime {
 				coldSends++
 			}
 		}
@@ -313,12 +313,12 @@
 	}
 	arrivals := 0
 	for _, at := range d.arrivals {
-		if at > d.restartAt+d.listDelay && at < d.restartAt+d.settings.ColdFor {
+		if at > d.restartAt+d.listDelay && at < d.restartAt+d.settings.WarmUpTime {
 			arrivals++
 		}
 	}
 	evenShare := 2 * float64(arrivals) * float64(len(d.cold)) / float64(len(d.servers)) // reads and writes
-	safeShare := min(1, safeBudgetShare*d.settings.ColdMultiple*d.settings.ColdFrom)
+	safeShare := min(1, safeBudgetShare*d.settings.ColdOverloadFactor*d.settings.ColdCapacity)
 	t.Logf("%s: worst window %.2f of the allowed work; cold servers got %d attempts, %.2f of an even share, safe is %.2f; %v",
 		name, worst, coldSends, float64(coldSends)/max(1, evenShare), safeShare, d.answers)
 	if worst > 1 {
@@ -350,8 +350,8 @@
 	capacity := make(map[Role]float64)
 	for _, srv := range d.servers {
 		part := 1.0
-		if srv.Since > 0 {
-			part = d.settings.ColdFrom
+		if srv.StartedAt > 0 {
+			part = d.settings.ColdCapacity
 		}
 		capacity[d.settings.Kinds[srv.Kind].Role] += part * toySlots / srv.serviceTime.Seconds()
 	}
@@ -422,7 +422,7 @@
 	caught := 0
 	for seed := range uint64(16) {
 		d := drawDeployment(seed+1, 60)
-		d.changeSettings = func(settings *Settings) { settings.ColdWindow = 0 }
+		d.changeSettings = func(settings *Settings) { settings.ColdOverloadWindow = 0 }
 		d.run()
 		for _, srv := range d.cold {
 			if sent, allowed, _ := d.worstWindow(srv); allowed > 0 && sent > allowed {
@@ -440,7 +440,7 @@
 // servers, half of them cold.
 func requestRunner(tb testing.TB, n int) (runOne func()) {
 	cfg := testSettings()
-	cfg.Fronts, cfg.CanProbe = 350, true
+	cfg.RouterCount, cfg.CanProbe = 350, true
 	now, id := 100*time.Second, RequestID(0)
 	rec := &recorder{timers: make(map[uint64][]time.Duration)}
 	r, err := New(cfg, 1, rec)
@@ -451,11 +451,11 @@
 	for i := range n {
 		s := Server{ID: fmt.Sprint("s", i), Kind: i % 2, Cell: i / 5, Weight: 1}
 		if i%4 < 2 {
-			s.Since = now
+			s.StartedAt = now
 		}
 		all = append(all, s)
 	}
-	r.Servers(now, ServerList{Whole: true, Servers: all})
+	r.Servers(now, ServerList{Complete: true, Servers: all})
 	return func() {
 		now, id = now+ms, id+1
 		q := testRequest(id)
@@ -467,11 +467,11 @@
 		for p := r.requests[id]; p != nil && len(p.attempts) > 0 && !p.answered && p.awaitsOutcome(); {
 			a := p.attempts[len(p.attempts)-1]
 			if a.read {
-				r.Outcome(now, Outcome{ID: id, Attempt: len(p.attempts) - 1, Server: a.server.ID, Status: Read, Took: 50 * ms, Kept: 2000})
+				r.Outcome(now, Outcome{ID: id, Attempt: len(p.attempts) - 1, Server: a.server.ID, Status: Read, Elapsed: 50 * ms, CachedTokens: 2000})
 				continue
 			}
-			r.Started(now, Started{ID: id, Attempt: len(p.attempts) - 1, Server: a.server.ID, Took: 50 * ms})
-			r.Outcome(now, Outcome{ID: id, Attempt: len(p.attempts) - 1, Server: a.server.ID, Status: Served, Final: true, Took: 50 * ms})
+			r.Started(now, Started{ID: id, Attempt: len(p.attempts) - 1, Server: a.server.ID, Elapsed: 50 * ms})
+			r.Outcome(now, Outcome{ID: id, Attempt: len(p.attempts) - 1, Server: a.server.ID, Status: Served, Final: true, Elapsed: 50 * ms})
 		}
 		rec.calls, rec.sends = nil, nil
 		clear(rec.timers)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -101,7 +101,7 @@
 )
 
 // New returns a Router that acts through exec. Equal seeds and events give equal decisions.
-func New(cfg Settings, seed uint64, exec Front) (*Router, error) {
+func New(cfg Settings, seed uint64, exec Executor) (*Router, error) {
 	if exec == nil {
 		return nil, errors.New("decide: no front")
 	}
@@ -109,8 +109,8 @@
 		return nil, fmt.Errorf("decide: %w", err)
 	}
 	r := newRouter(cfg, seed, exec)
-	if cfg.MustAsk {
-		exec.AskServers(true)
+	if cfg.PollServerList {
+		exec.RequestServerList(true)
 	}
 	return r, nil
 }
@@ -125,7 +125,7 @@
 	if len(r.servers) == 0 {
 		r.firstListAt = now
 	}
-	if list.Whole {
+	if list.Complete {
 		for _, s := range r.listed {
 			s.State = Gone
 		}
@@ -159,9 +159,9 @@
 	}
 	p := &request{Request: q, class: &r.cfg.Classes[q.Class], arrived: now, deadline: now + q.TimeLeft}
 	r.requests[q.ID] = p
-	r.exec.SetTimer(uint64(q.ID), max(now, p.deadline-finalAnswerSteps*r.cfg.Tick))
+	r.exec.SetTimer(uint64(q.ID), max(now, p.deadline-finalAnswerSteps*r.cfg.ClockStep))
 	r.requestTokens += r.expectedTokens(p)
-	if p.PrefixLen == 0 || 2*p.PrefixLen >= p.Prompt {
+	if p.PrefixLength == 0 || 2*p.PrefixLength >= p.PromptLength {
 		p.home = p.Prefix
 	}
 	p.prefixShare = r.prefixWork.workShare(p.home, float64(r.expectedTokens(p)), r.now)
@@ -187,7 +187,7 @@
 	remaining := min(ttftTarget-(r.now-p.arrived), p.deadline-r.now)
 	match, _ := s.prefixes.match(&p.Request, r.now)
 	maxWait := min(shedTTFTShare*ttftTarget.Seconds()*r.shedTolerance(p, s), remaining.Seconds())
-	wait := r.wait(s) + r.readTime(p.Prompt-match)
+	wait := r.wait(s) + r.readTime(p.PromptLength-match)
 	p.retryAfter = seconds(max(minRetryAfter.Seconds(), wait-maxWait))
 	if s.inFlight > 0 || wait <= maxWait {
 		return wait > maxWait
@@ -209,26 +209,26 @@
 // routerWeight returns how many routers this router's own counts stand for. Among hundreds, some see many
 // times the mean: scaled by all of them, their counts would make a nearly idle fleet look full. Waits, probes
 // and rejections still show the true load.
-func (r *Router) routerWeight() float64 { return float64(min(r.cfg.Fronts, maxRouterWeight)) }
+func (r *Router) routerWeight() float64 { return float64(min(r.cfg.RouterCount, maxRouterWeight)) }
 
 // shedTolerance grows with the value of p and with the share of its prompt that is cached at s.
 func (r *Router) shedTolerance(p *request, s *server) float64 {
 	match, _ := s.prefixes.match(&p.Request, r.now)
-	return shedBase + shedValue*p.value + shedCached*float64(match)/float64(max(1, p.Prompt))
+	return shedBase + shedValue*p.value + shedCached*float64(match)/float64(max(1, p.PromptLength))
 }
 
 // value returns p's value relative to the highest, reduced if its tenant is over quota. Where this router's
 // share of a quota is less than a few requests, being over it takes more than a few.
 func (r *Router) value(p *request) float64 {
-	v := p.class.Worth / max(r.maxValue, 1e-9)
+	v := p.class.Value / max(r.maxValue, 1e-9)
 	if p.Tenant < 0 || p.Tenant >= len(r.demand) {
 		return v
 	}
 	demand := &r.demand[p.Tenant]
-	share := r.cfg.Tenants[p.Tenant].Quota / float64(r.cfg.Fronts) * demand.span.Seconds()
+	share := r.cfg.Tenants[p.Tenant].Quota / float64(r.cfg.RouterCount) * demand.span.Seconds()
 	demand.add(r.now, 1)
 	if share > 0 && shrinkToMean(demand.value(r.now), share) > quotaTolerance*share {
-		v *= r.cfg.OverShareWorth
+		v *= r.cfg.OverQuotaFactor
 	}
 	return v
 }
@@ -306,7 +306,7 @@
 
 // retryLater schedules another try of p, or gives up if that would be past the limit.
 func (r *Router) retryLater(p *request, limit time.Duration) {
-	if r.now+retryInterval >= min(limit, p.deadline-finalAnswerSteps*r.cfg.Tick) {
+	if r.now+retryInterval >= min(limit, p.deadline-finalAnswerSteps*r.cfg.ClockStep) {
 		r.giveUp(p, NoServer)
 		return
 	}
@@ -320,7 +320,7 @@
 	r.explain(p, p.sendReason())
 	r.countSend(s.role)
 	if !r.warm(s) {
-		s.recentColdSends(r.now, r.cfg.ColdWindow)
+		s.recentColdSends(r.now, r.cfg.ColdOverloadWindow)
 		s.coldSends = append(s.coldSends, r.now)
 	}
 	s.inFlight++
@@ -345,15 +345,15 @@
 	if p.class.Effect != Unsafe && p.holder != nil && p.holder.Cell != s.Cell { // the link may be congested
 		timeout = min(timeout, seconds(farTransferShare*r.ttftTarget(p).Seconds()))
 	}
-	r.exec.Send(p.ID, s.ID, max(r.cfg.Tick, timeout))
+	r.exec.Send(p.ID, s.ID, max(r.cfg.ClockStep, timeout))
 }
 
 // expectedTokens returns the tokens that p needs at a writer: the prompt and the expected answer.
 func (r *Router) expectedTokens(p *request) int {
-	if p.Hint > 0 && p.class.TokenAim > 0 {
-		return p.Prompt + int(p.Hint/p.class.TokenAim)
+	if p.DurationHint > 0 && p.class.TPOTTarget > 0 {
+		return p.PromptLength + int(p.DurationHint/p.class.TPOTTarget)
 	}
-	return p.Prompt + p.MaxOutput/2
+	return p.PromptLength + p.MaxOutput/2
 }
 
 // giveUp answers p if it has no answer yet, and releases its state.
@@ -414,7 +414,7 @@
 func (r *Router) pickReader(p *request) *server {
 	readers, mixed := r.candidates(p, Reader), r.candidates(p, Mixed)
 	share := r.mixedShare()
-	if len(mixed) == 0 && r.cfg.WritersRead {
+	if len(mixed) == 0 && r.cfg.WritersCanRead {
 		mixed, share = r.candidates(p, Writer), 0
 	}
 	readersUntrusted := !slices.ContainsFunc(readers, r.trusted) && slices.ContainsFunc(mixed, r.trusted)
@@ -432,7 +432,7 @@
 func (r *Router) mixedShare() float64 {
 	writerFill, mixedFill := float64(r.writeTokens[Writer])/r.answerMemory[Writer],
 		float64(r.writeTokens[Mixed])/r.answerMemory[Mixed]
-	minFill := minPoolFill / float64(r.cfg.Fronts)
+	minFill := minPoolFill / float64(r.cfg.RouterCount)
 	factor := max(writerFill, minFill) / max(mixedFill, minFill)
 	return r.answerMemory[Mixed] / (r.answerMemory[Mixed] + r.answerMemory[Writer]) *
 		min(max(factor, 1/maxMixedFactor), maxMixedFactor)
@@ -722,7 +722,7 @@
 	readTime := 0.0
 	if p.holder == nil {
 		match, _ := s.prefixes.match(&p.Request, r.now)
-		readTime = r.readTime(p.Prompt - match)
+		readTime = r.readTime(p.PromptLength - match)
 	}
 	usualWait := r.kinds[s.Kind].wait.value
 	return seconds(silenceTTFTShare*r.ttftTarget(p).Seconds() + silenceWaitFactor*usualWait +
@@ -734,7 +734,7 @@
 
 // ttftTarget returns the target time to first token of p.
 func (r *Router) ttftTarget(p *request) time.Duration {
-	return p.class.Aim + time.Duration(float64(p.class.AimPer1000)*float64(p.Prompt)/1000)
+	return p.class.TTFTTarget + time.Duration(float64(p.class.TTFTTargetPer1000)*float64(p.PromptLength)/1000)
 }
 
 // checkSilence cancels the attempt of p if its server has given no sign of life since it was sent. A server
@@ -764,25 +764,25 @@
 // sends at most its own part of what warm servers get in a window, or one request, and only those that the
 // server is open to. Few retries are let through: the clients of many failed routers come back all at once.
 func (r *Router) mayUseCold(p *request, s *server) bool {
-	if r.warm(s) || r.cfg.ColdWindow <= 0 {
+	if r.warm(s) || r.cfg.ColdOverloadWindow <= 0 {
 		return true
 	}
 	if r.manyRouters() {
-		budgetFactor := r.cfg.ColdMultiple * r.cfg.ColdFrom * coldBudgetShare
-		if p.Repeat {
+		budgetFactor := r.cfg.ColdOverloadFactor * r.cfg.ColdCapacity * coldBudgetShare
+		if p.ClientRetry {
 			budgetFactor *= coldRetryFactor
 		}
 		if !r.isColdOpen(p, s, budgetFactor) || r.saturated(s) || p.tried(s) {
 			return false
 		}
-		return float64(s.recentColdSends(r.now, r.cfg.ColdWindow)+1) <=
+		return float64(s.recentColdSends(r.now, r.cfg.ColdOverloadWindow)+1) <=
 			max(1, budgetFactor*r.warmWindowSends(s.Kind))
 	}
 	warmWindowSends := r.warmWindowSends(s.Kind)
-	budget := max(1, r.cfg.ColdMultiple*coldEqualShare) * r.cfg.ColdFrom * warmWindowSends /
+	budget := max(1, r.cfg.ColdOverloadFactor*coldEqualShare) * r.cfg.ColdCapacity * warmWindowSends /
 		min(1, max(coldIdleLoad, warmWindowSends))
-	round := 1 + uint64((r.now-s.Since)/r.cfg.ColdWindow) // the same at all routers
-	return float64(s.recentColdSends(r.now, r.cfg.ColdWindow)+1) <= budget+r.budgetOffset(s, round)
+	round := 1 + uint64((r.now-s.StartedAt)/r.cfg.ColdOverloadWindow) // the same at all routers
+	return float64(s.recentColdSends(r.now, r.cfg.ColdOverloadWindow)+1) <= budget+r.budgetOffset(s, round)
 }
 
 // isColdOpen reports whether p is in the part of the sessions that may use cold servers, and s is open to it;
@@ -815,14 +815,14 @@
 
 // manyRouters reports whether there are too many routers to split the budget of a cold server: most of them
 // use it less than once per window, and what one of them sees tells nothing of the others.
-func (r *Router) manyRouters() bool { return r.routerWeight() < float64(r.cfg.Fronts) }
+func (r *Router) manyRouters() bool { return r.routerWeight() < float64(r.cfg.RouterCount) }
 
 // budgetOffset returns this router's position among all routers, evenly spaced over [0, 1), in an order that
 // changes with server and round. If each router adds it to its fractional part of a budget and rounds down,
 // the results add up to the whole budget.
 func (r *Router) budgetOffset(s *server, round uint64) float64 {
 	_, offset := math.Modf(fraction(rendezvousHash(s, round)) +
-		float64(r.cfg.Front)/float64(r.cfg.Fronts))
+		float64(r.cfg.RouterIndex)/float64(r.cfg.RouterCount))
 	return offset
 }
 
@@ -837,18 +837,18 @@
 	if e.Attempt >= 0 && e.Attempt < len(p.attempts) && !p.attempts[e.Attempt].streaming {
 		a := &p.attempts[e.Attempt]
 		a.streaming, a.firstTokenAt = true, now
-		if p.Hint > 0 {
-			r.recordAnswerStart(a.server, p.Hint)
+		if p.DurationHint > 0 {
+			r.recordAnswerStart(a.server, p.DurationHint)
 		}
 		a.server.inFlight--
 		r.kinds[a.server.Kind].inFlight--
-		wait := e.Took.Seconds()
+		wait := e.Elapsed.Seconds()
 		if p.holder == nil {
-			wait -= r.readTime(p.Prompt - a.match)
+			wait -= r.readTime(p.PromptLength - a.match)
 		}
 		r.recordSuccess(a.server, wait)
 		a.server.lastSuccessSentAt = max(a.server.lastSuccessSentAt, a.sentAt)
-		r.recordTransfer(p.holder, a.server, e.Took)
+		r.recordTransfer(p.holder, a.server, e.Elapsed)
 		delete(a.server.fullBackoffs, p.classTenant())
 	}
 	p.holder = nil
@@ -909,29 +909,29 @@
 	if !a.streaming {
 		s.inFlight--
 		r.kinds[s.Kind].inFlight--
-	} else if p.Hint > 0 {
-		r.recordAnswerEnd(s, a.firstTokenAt, p.Hint)
+	} else if p.DurationHint > 0 {
+		r.recordAnswerEnd(s, a.firstTokenAt, p.DurationHint)
 	}
 	switch o.Status {
 	case Read:
-		r.updateReadPace(o.Took.Seconds() / float64(max(minReadTokens, p.Prompt-o.Kept)))
-		r.recordSuccess(s, o.Took.Seconds()-r.readTime(p.Prompt-o.Kept))
+		r.updateReadPace(o.Elapsed.Seconds() / float64(max(minReadTokens, p.PromptLength-o.CachedTokens)))
+		r.recordSuccess(s, o.Elapsed.Seconds()-r.readTime(p.PromptLength-o.CachedTokens))
 		delete(s.fullBackoffs, p.classTenant())
 		s.lastSuccessSentAt = max(s.lastSuccessSentAt, a.sentAt)
-		s.prefixes.reconcile(a, o.Kept, r.now)
+		s.prefixes.reconcile(a, o.CachedTokens, r.now)
 	case Served:
 		s.successes.add(r.now, 1)
-	case Full:
+	case Rejected:
 		r.noteAlive(s)
 		if !o.NoState {
-			r.recordRejection(s, p.classTenant(), o.Took)
+			r.recordRejection(s, p.classTenant(), o.Elapsed)
 		}
 	case Errored, Reset:
 		r.noteAlive(s)
 		r.recordFailure(s, 1)
 	case ConnectFailed:
 		r.recordFailure(s, minFailures)
-		if o.Took >= refusedWithin {
+		if o.Elapsed >= refusedWithin {
 			r.lastSilenceAt = r.now
 			r.recordUnreachable(s, a.sentAt, 1)
 		} else {
@@ -942,18 +942,18 @@
 			break
 		}
 		if !a.read {
-			r.recordTransfer(p.holder, s, o.Took)
+			r.recordTransfer(p.holder, s, o.Elapsed)
 		}
-		s.wait.add(o.Took.Seconds(), r.now)
-		r.kinds[s.Kind].wait.add(o.Took.Seconds(), r.now)
+		s.wait.add(o.Elapsed.Seconds(), r.now)
+		r.kinds[s.Kind].wait.add(o.Elapsed.Seconds(), r.now)
 		if s.aliveAt < a.sentAt {
 			s.waitFromSilence, r.lastSilenceAt = true, r.now
 			r.recordFailure(s, minFailures)
 			r.recordUnreachable(s, a.sentAt, partialMiss)
 		}
 	}
-	resultKnown := o.Status == Full || o.Status == ConnectFailed ||
-		o.Status == Moot || o.Status == Served
+	resultKnown := o.Status == Rejected || o.Status == ConnectFailed ||
+		o.Status == Unsent || o.Status == Served
 	if !a.read && !resultKnown && p.mayHaveRun == nil {
 		first := *a
 		p.mayHaveRun = &first
@@ -961,7 +961,7 @@
 }
 
 // ClientGone handles a client that has disconnected.
-func (r *Router) Left(now time.Duration, id RequestID) {
+func (r *Router) ClientLeft(now time.Duration, id RequestID) {
 	r.now = now
 	if p := r.requests[id]; p != nil {
 		p.answered = true
@@ -970,11 +970,11 @@
 }
 
 // Shutdown gives every unanswered request its final answer, because the router process is ending.
-func (r *Router) End(now time.Duration) {
+func (r *Router) Shutdown(now time.Duration) {
 	r.now = now
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 		if p := r.requests[id]; !p.answered {
-			r.giveUp(p, Ending)
+			r.giveUp(p, ShuttingDown)
 		}
 	}
 }
@@ -983,7 +983,7 @@
 func (r *Router) Timer(now time.Duration, token uint64) {
 	r.now = now
 	if token == listTimerToken {
-		r.exec.AskServers(true)
+		r.exec.RequestServerList(true)
 		return
 	}
 	p := r.requests[RequestID(token)]
@@ -993,7 +993,7 @@
 	r.checkWrite(p)
 	r.checkHeldState(p)
 	switch {
-	case now >= p.deadline-finalAnswerSteps*r.cfg.Tick:
+	case now >= p.deadline-finalAnswerSteps*r.cfg.ClockStep:
 		r.giveUp(p, DeadlineNear)
 	case p.retryAt > 0 && now >= p.retryAt:
 		r.dispatch(p)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -33,10 +33,10 @@
 	rec.record("refuse %d", id)
 	rec.retryAfter = retryAfter
 }
-func (rec *recorder) Fail(id RequestID)     { rec.record("fail %d", id) }
-func (rec *recorder) Release(id RequestID)  { rec.record("release %d", id) }
-func (rec *recorder) Probe(s string)        { rec.record("probe %s", s) }
-func (rec *recorder) AskServers(watch bool) { rec.record("ask %v", watch) }
+func (rec *recorder) Fail(id RequestID)            { rec.record("fail %d", id) }
+func (rec *recorder) Release(id RequestID)         { rec.record("release %d", id) }
+func (rec *recorder) Probe(s string)               { rec.record("probe %s", s) }
+func (rec *recorder) RequestServerList(watch bool) { rec.record("ask %v", watch) }
 func (rec *recorder) SetTimer(token uint64, at time.Duration) {
 	rec.timers[token] = append(rec.timers[token], at)
 }
@@ -62,11 +62,11 @@
 
 // testSettings returns valid settings of one of two routers, with one class and one kind of server per role.
 func testSettings() Settings {
-	class := Class{Aim: 2 * time.Second, Deadline: 8 * time.Second, TokenAim: 70 * time.Millisecond, Worth: 1,
+	class := Class{TTFTTarget: 2 * time.Second, Deadline: 8 * time.Second, TPOTTarget: 70 * time.Millisecond, Value: 1,
 		RepeatWindow: 5 * time.Second}
-	return Settings{Fronts: 2, Classes: []Class{class}, MaxAttempts: 6, CanCancel: true, Tick: 2 * time.Millisecond,
+	return Settings{RouterCount: 2, Classes: []Class{class}, MaxAttempts: 6, CanCancel: true, ClockStep: 2 * time.Millisecond,
 		Kinds:    []Kind{{Role: Reader, MemoryTokens: 200000}, {Role: Writer, MemoryTokens: 150000}, {Role: Mixed, MemoryTokens: 200000}},
-		PinLimit: 500 * time.Millisecond, ColdFrom: 0.25, ColdFor: 12 * time.Second, ColdMultiple: 3, ColdWindow: 3 * time.Second}
+		PinLimit: 500 * time.Millisecond, ColdCapacity: 0.25, WarmUpTime: 12 * time.Second, ColdOverloadFactor: 3, ColdOverloadWindow: 3 * time.Second}
 }
 
 // testServers returns two readers and two writers in each of two cells, each cell in a zone of its own.
@@ -89,14 +89,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Servers(0, ServerList{Whole: true, Servers: servers})
+	r.Servers(0, ServerList{Complete: true, Servers: servers})
 	return r, rec
 }
 
 // testRequest returns a request with a session of its own and the shared prefix 7.
 func testRequest(id RequestID) Request {
-	return Request{ID: id, TimeLeft: 8 * time.Second, Session: uint64(id) + 100, Prefix: 7, Prompt: 3000,
-		PrefixLen: 2000, MaxOutput: 400}
+	return Request{ID: id, TimeLeft: 8 * time.Second, Session: uint64(id) + 100, Prefix: 7, PromptLength: 3000,
+		PrefixLength: 2000, MaxOutput: 400}
 }
 
 const ms = time.Millisecond
@@ -105,10 +105,10 @@
 func serve(r *Router, rec *recorder, q Request, now time.Duration) (reader, writer string) {
 	r.Request(now, q)
 	reader = rec.lastServer()
-	r.Outcome(now+50*ms, Outcome{ID: q.ID, Server: reader, Status: Read, Took: 50 * ms, Kept: q.Prompt})
+	r.Outcome(now+50*ms, Outcome{ID: q.ID, Server: reader, Status: Read, Elapsed: 50 * ms, CachedTokens: q.PromptLength})
 	writer = rec.lastServer()
-	r.Started(now+80*ms, Started{ID: q.ID, Attempt: 1, Server: writer, Took: 30 * ms})
-	r.Outcome(now+500*ms, Outcome{ID: q.ID, Attempt: 1, Server: writer, Status: Served, Final: true, Took: 450 * ms})
+	r.Started(now+80*ms, Started{ID: q.ID, Attempt: 1, Server: writer, Elapsed: 30 * ms})
+	r.Outcome(now+500*ms, Outcome{ID: q.ID, Attempt: 1, Server: writer, Status: Served, Final: true, Elapsed: 450 * ms})
 	return reader, writer
 }
 
@@ -158,13 +158,13 @@
 	}
 	q := testRequest(2)
 	old := q
-	old.Prompt = 2800 // the session's last prompt, longer than the shared prefix
+	old.PromptLength = 2800 // the session's last prompt, longer than the shared prefix
 	other.prefixes.record(&old, time.Second)
 	r.Request(2*time.Second, q)
 	if rec.lastServer() != other.ID {
 		t.Errorf("read at %s, want %s, which has the session cached", rec.lastServer(), other.ID)
 	}
-	r.Request(70*time.Second, Request{ID: 3, TimeLeft: 8 * time.Second, Session: q.Session, Prefix: 7, Prompt: 3000})
+	r.Request(70*time.Second, Request{ID: 3, TimeLeft: 8 * time.Second, Session: q.Session, Prefix: 7, PromptLength: 3000})
 	if rec.lastServer() != home {
 		t.Errorf("expired match still used: read at %s, want home %s", rec.lastServer(), home)
 	}
@@ -178,12 +178,12 @@
 	}{
 		{"error", Outcome{Status: Errored}, false},
 		{"no connection", Outcome{Status: ConnectFailed}, false},
-		{"full", Outcome{Status: Full}, false},
-		{"state gone", Outcome{Status: Full, NoState: true}, true},
+		{"full", Outcome{Status: Rejected}, false},
+		{"state gone", Outcome{Status: Rejected, NoState: true}, true},
 	} {
 		r, rec := newTestRouter(t, testSettings(), testServers())
 		r.Request(0, testRequest(1))
-		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
+		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms})
 		first := rec.lastServer()
 		c.o.ID, c.o.Attempt, c.o.Server = 1, 1, first
 		r.Outcome(100*ms, c.o)
@@ -221,15 +221,15 @@
 func TestLateOutcomeReleasesState(t *testing.T) {
 	r, rec := newTestRouter(t, testSettings(), testServers())
 	r.Request(0, testRequest(1))
-	r.Left(10*ms, 1)
+	r.ClientLeft(10*ms, 1)
 	before := rec.countCalls("release 1")
-	r.Outcome(60*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 60 * ms})
+	r.Outcome(60*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 60 * ms})
 	if rec.countCalls("release 1") != before+1 || len(rec.sends) != 1 {
 		t.Errorf("after a read that ended late: %v", rec.calls)
 	}
 	r.Outcome(70*ms, Outcome{ID: 1, Server: "r00", Status: Read})
 	r.Started(70*ms, Started{ID: 1})
-	r.Left(70*ms, 1)
+	r.ClientLeft(70*ms, 1)
 	r.Timer(70*ms, 1)
 	if len(r.requests) != 0 {
 		t.Error("the ended request is not removed")
@@ -246,7 +246,7 @@
 		end    string // expected final answer, "" if another attempt follows
 	}{
 		{"unsafe, may have run", Unsafe, ScopeAll, Errored, 2, "fail 1"},
-		{"unsafe, never ran", Unsafe, ScopeAll, Full, 3, ""},
+		{"unsafe, never ran", Unsafe, ScopeAll, Rejected, 3, ""},
 		{"keyed in its cell", Keyed, ScopeCell, Errored, 3, ""},
 		{"keyed everywhere", Keyed, ScopeAll, Reset, 3, ""},
 	} {
@@ -254,7 +254,7 @@
 		cfg.Classes[0].Effect, cfg.Classes[0].Scope = c.effect, c.scope
 		r, rec := newTestRouter(t, cfg, testServers())
 		r.Request(0, testRequest(1))
-		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
+		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms})
 		first := rec.lastServer()
 		r.Outcome(100*ms, Outcome{ID: 1, Attempt: 1, Server: first, Status: c.status})
 		if len(rec.sends) != c.sends || c.end != "" && !rec.called(c.end) {
@@ -271,7 +271,7 @@
 	cfg.Classes[0].Effect, cfg.Classes[0].Scope = Keyed, ScopeZone
 	r, rec := newTestRouter(t, cfg, testServers())
 	r.Request(0, testRequest(1))
-	r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
+	r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms})
 	r.Outcome(6*time.Second, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: TimedOut})
 	r.Timer(8*time.Second, 1)
 	if len(rec.sends) != 2 || !rec.called("fail 1") || rec.countCalls("refuse") > 0 {
@@ -291,8 +291,8 @@
 		cfg.Classes[0].Effect, cfg.Classes[0].Scope, cfg.Classes[0].RepeatWindow = Keyed, ScopeAll, c.window
 		r, rec := newTestRouter(t, cfg, testServers())
 		r.Request(0, testRequest(1))
-		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
-		r.Probed(50*ms+c.at, Probed{Server: rec.lastServer(), Queue: -1, Tokens: -1}) // the server is reachable, so the state is still held
+		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms})
+		r.Probed(50*ms+c.at, Probed{Server: rec.lastServer(), QueuedRequests: -1, QueuedTokens: -1}) // the server is reachable, so the state is still held
 		r.Outcome(50*ms+c.at, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: TimedOut})
 		if repeated := len(rec.sends) > 2; repeated != c.repeated {
 			t.Errorf("window %v, %v after the write: repeated = %v; %v", c.window, c.at, repeated, rec.calls)
@@ -310,7 +310,7 @@
 		cfg.MaxAttempts = 2
 		r, rec := newTestRouter(t, cfg, testServers())
 		r.Request(0, testRequest(1))
-		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
+		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms})
 		r.Outcome(100*ms, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: Reset})
 		if !rec.called(end) || rec.countCalls("refuse")+rec.countCalls("fail") != 1 {
 			t.Errorf("window %v: %v, want %s", window, rec.calls, end)
@@ -355,7 +355,7 @@
 		}
 	}
 	run(200)
-	cold := Server{ID: "r00", Kind: 0, Weight: 1, Since: now}
+	cold := Server{ID: "r00", Kind: 0, Weight: 1, StartedAt: now}
 	r.Servers(now, ServerList{Servers: []Server{cold}})
 	rec.sends = nil
 	run(60) // 3 s; an even share of the four readers is 15 each
@@ -394,13 +394,13 @@
 	at := slices.Min(rec.timers[2])
 	q := testRequest(3)
 	r.Request(time.Second+10*ms, q) // sent at almost the same time, so its answer proves nothing
-	r.Outcome(at-ms, Outcome{ID: 3, Server: home, Status: Read, Took: 50 * ms})
+	r.Outcome(at-ms, Outcome{ID: 3, Server: home, Status: Read, Elapsed: 50 * ms})
 	r.Timer(at, 2)
 	if rec.called("cancel 2 0") {
 		t.Fatal("cancelled because of an attempt sent at the same time")
 	}
 	r.Request(at, testRequest(4))
-	r.Outcome(at+50*ms, Outcome{ID: 4, Server: home, Status: Read, Took: 50 * ms})
+	r.Outcome(at+50*ms, Outcome{ID: 4, Server: home, Status: Read, Elapsed: 50 * ms})
 	r.Timer(slices.Max(rec.timers[2][1:]), 2)
 	if !rec.called("cancel 2 0") {
 		t.Errorf("not cancelled though a later attempt is answered: %v", rec.calls)
@@ -411,7 +411,7 @@
 	r, rec := newTestRouter(t, testSettings(), testServers())
 	r.Request(0, testRequest(1))
 	r.Request(ms, testRequest(2))
-	r.Outcome(600*ms, Outcome{ID: 2, Server: rec.sends[1], Status: Read, Took: 600 * ms})
+	r.Outcome(600*ms, Outcome{ID: 2, Server: rec.sends[1], Status: Read, Elapsed: 600 * ms})
 	r.Timer(slices.Min(rec.timers[1]), 1)
 	if rec.countCalls("cancel") > 0 {
 		t.Errorf("attempt cancelled though the server answers: %v", rec.calls)
@@ -501,10 +501,10 @@
 
 func TestInvalidSettingsAndEvents(t *testing.T) {
 	bad := []func(*Settings){
-		func(s *Settings) { s.Fronts = 0 },
-		func(s *Settings) { s.Front = 5 },
+		func(s *Settings) { s.RouterCount = 0 },
+		func(s *Settings) { s.RouterIndex = 5 },
 		func(s *Settings) { s.Kinds[0].Role = 0 },
-		func(s *Settings) { s.Classes[0].Aim = -1 },
+		func(s *Settings) { s.Classes[0].TTFTTarget = -1 },
 		func(s *Settings) { s.Classes[0].Scope = 9 },
 		func(s *Settings) { s.PinLimit = -1 },
 	}
@@ -528,7 +528,7 @@
 
 func TestFailedServerListIsRequestedAgain(t *testing.T) {
 	cfg := testSettings()
-	cfg.MustAsk = true
+	cfg.PollServerList = true
 	r, rec := newTestRouter(t, cfg, nil)
 	r.Servers(0, ServerList{Failed: true})
 	r.Timer(listRetryInterval, listTimerToken)
@@ -578,7 +578,7 @@
 		if rec.lastServer() == "m0" {
 			sentToMixed++
 		}
-		r.Left(0, id)
+		r.ClientLeft(0, id)
 		for _, s := range r.listed[1:] {
 			s.inFlight = 0
 		}
@@ -590,7 +590,7 @@
 
 func TestWritersReadWhenAllReadersAreSuspect(t *testing.T) {
 	cfg := testSettings()
-	cfg.WritersRead = true
+	cfg.WritersCanRead = true
 	r, rec := newTestRouter(t, cfg, testServers())
 	for _, s := range r.listed {
 		if s.role == Reader {
@@ -602,7 +602,7 @@
 		t.Errorf("with all readers suspect: %v", rec.calls)
 	}
 	first := rec.lastServer()
-	r.Started(100*ms, Started{ID: 1, Server: first, Took: 100 * ms})
+	r.Started(100*ms, Started{ID: 1, Server: first, Elapsed: 100 * ms})
 	r.Request(200*ms, testRequest(2))
 	if rec.lastServer() != first {
 		t.Errorf("the shared prefix was read at %s, then at %s", first, rec.lastServer())
@@ -614,7 +614,7 @@
 	home, _ := serve(r, rec, testRequest(1), 0)
 	s := r.servers[home]
 	s.suspect, s.backoff.until, s.tokens = true, time.Hour, 30
-	r.Servers(time.Second, ServerList{Servers: []Server{{ID: home, Kind: 0, Since: time.Second}}})
+	r.Servers(time.Second, ServerList{Servers: []Server{{ID: home, Kind: 0, StartedAt: time.Second}}})
 	q := testRequest(2)
 	if n, _ := s.prefixes.match(&q, time.Second); n != 0 || s.suspect || s.tokens != 30 {
 		t.Errorf("after a restart: match %d, suspect %v, own tokens %d, want 0, false, 30", n, s.suspect, s.tokens)
@@ -626,7 +626,7 @@
 	r.secondsPerToken = 0.0001
 	s, p := r.servers["r00"], &request{Request: testRequest(1), class: &r.cfg.Classes[0]}
 	short := r.silenceTimeout(p, s)
-	p.Prompt = 20000
+	p.PromptLength = 20000
 	long := r.silenceTimeout(p, s)
 	if long < short+2*time.Second {
 		t.Errorf("silence timeout for 20,000 uncached tokens at 0.1 ms each: %v, for 3,000: %v", long, short)
@@ -648,7 +648,7 @@
 	if far > time.Second || rec.lastTimeout < 2*far {
 		t.Errorf("timeouts: %v out of the cell, %v within it", far, rec.lastTimeout)
 	}
-	r.Outcome(far, Outcome{ID: 1, Server: "w10", Status: TimedOut, Took: far})
+	r.Outcome(far, Outcome{ID: 1, Server: "w10", Status: TimedOut, Elapsed: far})
 	if r.farTransfers.n == 0 {
 		t.Error("a transfer that timed out is not counted as slow")
 	}
@@ -658,14 +658,14 @@
 // them must stay within the budget.
 func TestColdBudgetIsSplitAmongRouters(t *testing.T) {
 	cfg := testSettings()
-	cfg.ColdWindow = 1500 * ms
+	cfg.ColdOverloadWindow = 1500 * ms
 	now := 100 * time.Second
-	budget := float64(cfg.Fronts) * cfg.ColdMultiple * cfg.ColdFrom * 10 * cfg.ColdWindow.Seconds()
+	budget := float64(cfg.RouterCount) * cfg.ColdOverloadFactor * cfg.ColdCapacity * 10 * cfg.ColdOverloadWindow.Seconds()
 	atOnce, inWindow := 0.0, 0.0
-	for cfg.Front = range cfg.Fronts {
+	for cfg.RouterIndex = range cfg.RouterCount {
 		r, _ := newTestRouter(t, cfg, testServers())
 		r.kinds[0].accepted.add(now, 10*loadSpan.Seconds()) // warm servers accept 10 requests per second from this router
-		r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now}}})
+		r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, StartedAt: now}}})
 		s, n, p := r.servers["r00"], 0.0, &request{}
 		burst := func() {
 			for ; r.mayUseCold(p, s) && n < 100; n++ {
@@ -674,9 +674,9 @@
 		}
 		burst()
 		if atOnce += n; n < 1 {
-			t.Errorf("router %d sends nothing", cfg.Front)
+			t.Errorf("router %d sends nothing", cfg.RouterIndex)
 		}
-		for r.now < now+cfg.ColdWindow-10*ms { // each send counts in full until the window has passed
+		for r.now < now+cfg.ColdOverloadWindow-10*ms { // each send counts in full until the window has passed
 			r.now += 10 * ms
 			burst()
 		}
@@ -699,7 +699,7 @@
 	r, rec := newTestRouter(t, testSettings(), testServers())
 	now := 200 * time.Second
 	for _, id := range []string{"r00", "r01", "r10"} {
-		r.Servers(now, ServerList{Servers: []Server{{ID: id, Kind: 0, Since: now}}})
+		r.Servers(now, ServerList{Servers: []Server{{ID: id, Kind: 0, StartedAt: now}}})
 	}
 	r.firstListAt = 0
 	for id := RequestID(1); now < 206*time.Second; id++ {
@@ -731,16 +731,16 @@
 	old.now = now
 	old.kinds[0].accepted.add(now, 5*loadSpan.Seconds())
 	r, _ := newTestRouter(t, cfg, testServers())
-	if err := r.Learn(now, old.Learned(now)); err != nil {
+	if err := r.Restore(now, old.Estimates(now)); err != nil {
 		t.Fatal(err)
 	}
-	r.Servers(now, ServerList{Servers: []Server{{ID: "new", Kind: 3, Since: now}}})
+	r.Servers(now, ServerList{Servers: []Server{{ID: "new", Kind: 3, StartedAt: now}}})
 	if a, b := acceptedPerSecond(r, 0), acceptedPerSecond(r, 3); a < 4.9 || a > 5.1 || b < 3 || b > a {
 		t.Errorf("accepted rate is %.2f for the warm kind, %.2f for the cold one", a, b)
 	}
-	bad := old.Learned(now)
-	bad.Near[0] = math.NaN()
-	if r.Learn(now, bad) == nil || r.Learn(now, Learned{}) == nil || acceptedPerSecond(r, 0) < 4.9 {
+	bad := old.Estimates(now)
+	bad.NearTransfers[0] = math.NaN()
+	if r.Restore(now, bad) == nil || r.Restore(now, Estimates{}) == nil || acceptedPerSecond(r, 0) < 4.9 {
 		t.Error("invalid estimates were accepted")
 	}
 }
@@ -762,19 +762,19 @@
 		for ; now < until; now += 50 * ms {
 			rec.sends = nil
 			q := testRequest(id)
-			q.Prefix, q.Hint, q.Prompt = uint64(id), 4*time.Second, 100
+			q.Prefix, q.DurationHint, q.PromptLength = uint64(id), 4*time.Second, 100
 			r.Request(now, q)
 			r.Outcome(now, Outcome{ID: id, Server: rec.lastServer(), Status: Read})
 			took := 2 * time.Second
 			if got[rec.lastServer()]++; rec.lastServer() == "w00" {
 				took = slow
 			}
-			r.Started(now, Started{ID: id, Attempt: 1, Server: rec.lastServer(), Took: 50 * ms})
+			r.Started(now, Started{ID: id, Attempt: 1, Server: rec.lastServer(), Elapsed: 50 * ms})
 			open = append(open, answer{id, rec.lastServer(), now + took})
 			id++
 			open = slices.DeleteFunc(open, func(a answer) bool {
 				if a.ends <= now {
-					r.Outcome(now, Outcome{ID: a.id, Attempt: 1, Server: a.at, Status: Served, Took: took, Final: true})
+					r.Outcome(now, Outcome{ID: a.id, Attempt: 1, Server: a.at, Status: Served, Elapsed: took, Final: true})
 				}
 				return a.ends <= now
 			})
@@ -786,7 +786,7 @@
 		t.Errorf("slow writer still gets answers: %v", got)
 	}
 	next, _ := newTestRouter(t, testSettings(), testServers()) // the next process must not have to learn this again
-	if err := next.Learn(now, r.Learned(now)); err != nil {
+	if err := next.Restore(now, r.Estimates(now)); err != nil {
 		t.Fatal(err)
 	}
 	next.now = now
@@ -810,20 +810,20 @@
 func TestColdSendsOfAllRoutersStayWithinBudget(t *testing.T) {
 	for _, routers := range []int{2, 4} {
 		cfg := testSettings()
-		cfg.Fronts, cfg.ColdWindow = routers, 1500*ms
+		cfg.RouterCount, cfg.ColdOverloadWindow = routers, 1500*ms
 		now := 100 * time.Second
 		sum := 0.0
-		for cfg.Front = range routers {
+		for cfg.RouterIndex = range routers {
 			r, _ := newTestRouter(t, cfg, testServers())
 			r.kinds[0].accepted.add(now, 10/float64(routers)*loadSpan.Seconds()) // 10 per second from all routers
-			r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now}}})
+			r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, StartedAt: now}}})
 			s := r.servers["r00"]
 			for n := 0; r.mayUseCold(&request{}, s) && n < 100; n++ {
 				s.coldSends = append(s.coldSends, now)
 				sum++
 			}
 		}
-		budget := cfg.ColdMultiple * cfg.ColdFrom * 10 * cfg.ColdWindow.Seconds()
+		budget := cfg.ColdOverloadFactor * cfg.ColdCapacity * 10 * cfg.ColdOverloadWindow.Seconds()
 		if sum < 0.4*budget || sum > budget {
 			t.Errorf("%d routers together send %.0f, the budget of a window is %.1f", routers, sum, budget)
 		}
@@ -848,11 +848,11 @@
 func TestRoutersSpillSameSessionsOfPopularPrefix(t *testing.T) {
 	for _, routers := range []int{2, 220} {
 		cfg := testSettings()
-		cfg.Fronts = routers
+		cfg.RouterCount = routers
 		readerBySession := make([]map[uint64]string, 2)
 		spilled := 0
 		for router := range readerBySession {
-			cfg.Front, readerBySession[router] = router, make(map[uint64]string)
+			cfg.RouterIndex, readerBySession[router] = router, make(map[uint64]string)
 			r, rec := newTestRouter(t, cfg, cellServers(4, 2, 2))
 			r.rng.Uint64() // the random numbers must not matter
 			home := ""
@@ -871,8 +871,8 @@
 				if reader == home {
 					took = time.Second
 				}
-				r.Outcome(now+took, Outcome{ID: id, Server: reader, Status: Read, Took: took, Kept: 1000})
-				r.Started(now+took+30*ms, Started{ID: id, Attempt: 1, Took: 30 * ms})
+				r.Outcome(now+took, Outcome{ID: id, Server: reader, Status: Read, Elapsed: took, CachedTokens: 1000})
+				r.Started(now+took+30*ms, Started{ID: id, Attempt: 1, Elapsed: 30 * ms})
 				r.Outcome(now+took+90*ms, Outcome{ID: id, Attempt: 1, Status: Served, Final: true})
 				if id > 150 {
 					readerBySession[router][q.Session] = reader
@@ -897,7 +897,7 @@
 // Readers whose states take long to reach a writer get fewer reads than their peers.
 func TestSlowTransfersReduceReads(t *testing.T) {
 	cfg := testSettings()
-	cfg.Fronts = 220
+	cfg.RouterCount = 220
 	r, rec := newTestRouter(t, cfg, cellServers(4, 2, 2))
 	reads := make(map[byte]int)
 	for id := RequestID(1); id < 300; id++ {
@@ -909,12 +909,12 @@
 		if id > 100 {
 			reads[reader[1]]++
 		}
-		r.Outcome(now+50*ms, Outcome{ID: id, Server: reader, Status: Read, Took: 50 * ms})
+		r.Outcome(now+50*ms, Outcome{ID: id, Server: reader, Status: Read, Elapsed: 50 * ms})
 		transferTime := 30 * ms
 		if reader[1] == '2' {
 			transferTime = 1500 * ms
 		}
-		r.Started(now+50*ms+transferTime, Started{ID: id, Attempt: 1, Took: transferTime})
+		r.Started(now+50*ms+transferTime, Started{ID: id, Attempt: 1, Elapsed: transferTime})
 		r.Outcome(now+100*ms+transferTime, Outcome{ID: id, Attempt: 1, Status: Served, Final: true})
 	}
 	if reads['2'] > 30 || reads['2'] == 0 {
@@ -926,18 +926,18 @@
 func TestOwnRequestDoesNotMoveStateOutOfCell(t *testing.T) {
 	for _, routers := range []int{2, 220} {
 		cfg := testSettings()
-		cfg.Fronts = routers
+		cfg.RouterCount = routers
 		r, rec := newTestRouter(t, cfg, cellServers(14, 3, 3))
 		near := 0
 		for id := RequestID(1); id <= 20; id++ { // answers run for 8 s
 			now := time.Duration(id) * 4 * time.Second
 			r.Request(now, testRequest(id))
 			reader := rec.lastServer()
-			r.Outcome(now+50*ms, Outcome{ID: id, Server: reader, Status: Read, Took: 50 * ms, Kept: 3000})
+			r.Outcome(now+50*ms, Outcome{ID: id, Server: reader, Status: Read, Elapsed: 50 * ms, CachedTokens: 3000})
 			if rec.lastServer()[1] == reader[1] {
 				near++
 			}
-			r.Started(now+80*ms, Started{ID: id, Attempt: 1, Took: 30 * ms})
+			r.Started(now+80*ms, Started{ID: id, Attempt: 1, Elapsed: 30 * ms})
 			if id > 2 {
 				r.Outcome(now+90*ms, Outcome{ID: id - 2, Attempt: 1, Status: Served, Final: true})
 			}
@@ -955,7 +955,7 @@
 	r, rec := newTestRouter(t, cfg, testServers())
 	r.Request(0, testRequest(1))
 	home := rec.lastServer()
-	r.Outcome(300*ms, Outcome{ID: 1, Server: home, Status: Full, Took: 300 * ms})
+	r.Outcome(300*ms, Outcome{ID: 1, Server: home, Status: Rejected, Elapsed: 300 * ms})
 	if rec.lastServer() == home {
 		t.Fatalf("sent to %s again", home)
 	}
@@ -977,7 +977,7 @@
 func TestSingleRequestIsWithinQuota(t *testing.T) {
 	for _, routers := range []int{2, 220} {
 		cfg := testSettings()
-		cfg.Fronts, cfg.OverShareWorth, cfg.Tenants = routers, 0.1, []Tenant{{Quota: 20}}
+		cfg.RouterCount, cfg.OverQuotaFactor, cfg.Tenants = routers, 0.1, []Tenant{{Quota: 20}}
 		r, _ := newTestRouter(t, cfg, testServers())
 		p := &request{Request: testRequest(1), class: &cfg.Classes[0]}
 		if v := r.value(p); v < 1 {
@@ -998,8 +998,8 @@
 	for i := range 1000 {
 		now := time.Duration(i) * time.Minute
 		list := testServers()
-		list = append(list, Server{ID: fmt.Sprintf("new%d", i), Kind: i % 2, Cell: i, Since: now})
-		r.Servers(now, ServerList{Whole: true, Servers: list})
+		list = append(list, Server{ID: fmt.Sprintf("new%d", i), Kind: i % 2, Cell: i, StartedAt: now})
+		r.Servers(now, ServerList{Complete: true, Servers: list})
 		serve(r, rec, testRequest(RequestID(i+1)), now+time.Second)
 	}
 	if len(r.servers) > 20 || len(r.cells) > 20 {
@@ -1009,13 +1009,13 @@
 
 func BenchmarkRequest(b *testing.B) {
 	cfg := testSettings()
-	cfg.Fronts = 220
+	cfg.RouterCount = 220
 	rec := &recorder{timers: make(map[uint64][]time.Duration)}
 	r, err := New(cfg, 1, rec)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.Servers(0, ServerList{Whole: true, Servers: cellServers(14, 3, 3)})
+	r.Servers(0, ServerList{Complete: true, Servers: cellServers(14, 3, 3)})
 	b.ReportAllocs()
 	for i := range b.N {
 		id := RequestID(i + 1)
@@ -1030,7 +1030,7 @@
 // If a router rarely sends to a server, the backoff of a suspect one lasts for the usual time between two sends.
 func TestBackoffCoversUsualTimeBetweenSends(t *testing.T) {
 	cfg := testSettings()
-	cfg.Fronts = 220
+	cfg.RouterCount = 220
 	r, _ := newTestRouter(t, cfg, cellServers(14, 3, 3))
 	s := r.servers["r0.0"]
 	r.now = time.Minute
@@ -1052,7 +1052,7 @@
 	reader := r.servers[rec.lastServer()]
 	p := r.requests[1]
 	before := r.silenceTimeout(p, reader)
-	r.Outcome(2*time.Second, Outcome{ID: 1, Server: reader.ID, Status: TimedOut, Took: 2 * time.Second})
+	r.Outcome(2*time.Second, Outcome{ID: 1, Server: reader.ID, Status: TimedOut, Elapsed: 2 * time.Second})
 	if r.silenceTimeout(p, reader) <= before {
 		t.Error("silence timeout did not grow after a timeout")
 	}
@@ -1069,7 +1069,7 @@
 		{"idle", 0, true}, {"overloaded", 1e6, false}, {"unknown", -1, true}, {"out of range", math.Inf(1), true},
 	} {
 		cfg := testSettings()
-		cfg.Fronts, cfg.CanProbe = 220, true
+		cfg.RouterCount, cfg.CanProbe = 220, true
 		r, rec := newTestRouter(t, cfg, cellServers(4, 2, 2))
 		r.secondsPerToken = 5e-5
 		r.Request(0, testRequest(1))
@@ -1077,8 +1077,8 @@
 			t.Fatalf("%s: want two probes before the first send: %v", c.name, rec.calls)
 		}
 		home := rec.calls[0][len("probe "):]
-		r.Probed(ms, Probed{Server: home, Tokens: c.tokens, Queue: -1})
-		r.Probed(ms, Probed{Server: "unknown", Tokens: 5, Queue: 5})
+		r.Probed(ms, Probed{Server: home, QueuedTokens: c.tokens, QueuedRequests: -1})
+		r.Probed(ms, Probed{Server: "unknown", QueuedTokens: 5, QueuedRequests: 5})
 		r.Timer(r.requests[1].retryAt, 1)
 		if (rec.lastServer() == home) != c.stays || rec.countCalls("probe") != 2 {
 			t.Errorf("%s: %v", c.name, rec.calls)
@@ -1092,7 +1092,7 @@
 		if p := r.requests[id]; p.retryAt > 0 {
 			r.Timer(p.retryAt, uint64(id))
 		}
-		r.Outcome(r.now+50*ms, Outcome{ID: id, Server: rec.lastServer(), Status: Read, Took: 50 * ms, Kept: 2000})
+		r.Outcome(r.now+50*ms, Outcome{ID: id, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms, CachedTokens: 2000})
 	}
 	if n := rec.countCalls("probe"); n > 8 {
 		t.Errorf("%d probes for 19 requests though the router has observations of its own", n)
@@ -1103,12 +1103,12 @@
 func TestServerWithUnansweredProbeIsPassedOver(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		cfg := testSettings()
-		cfg.Fronts, cfg.CanProbe = 220, true
+		cfg.RouterCount, cfg.CanProbe = 220, true
 		r, rec := newTestRouter(t, cfg, cellServers(4, 2, 2))
 		r.Request(time.Second, testRequest(1))
 		home, second := rec.calls[0][len("probe "):], rec.calls[1][len("probe "):]
 		if answered {
-			r.Probed(time.Second+ms, Probed{Server: second, Tokens: 0, Queue: -1})
+			r.Probed(time.Second+ms, Probed{Server: second, QueuedTokens: 0, QueuedRequests: -1})
 		}
 		r.Timer(r.requests[1].retryAt, 1)
 		if (rec.lastServer() == home) == answered {
@@ -1142,10 +1142,10 @@
 func TestCancelledStreamIsNotAWait(t *testing.T) {
 	r, rec := newTestRouter(t, testSettings(), testServers())
 	r.Request(0, testRequest(1))
-	r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms, Kept: 3000})
-	r.Started(100*ms, Started{ID: 1, Attempt: 1, Server: rec.lastServer(), Took: 50 * ms})
+	r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms, CachedTokens: 3000})
+	r.Started(100*ms, Started{ID: 1, Attempt: 1, Server: rec.lastServer(), Elapsed: 50 * ms})
 	before := r.servers[rec.lastServer()].wait
-	r.Outcome(time.Minute, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: Cancelled, Took: time.Minute, Final: true})
+	r.Outcome(time.Minute, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: Cancelled, Elapsed: time.Minute, Final: true})
 	if before.n == 0 || r.servers[rec.lastServer()].wait != before {
 		t.Errorf("wait %+v, want %+v as before", r.servers[rec.lastServer()].wait, before)
 	}
@@ -1162,7 +1162,7 @@
 		}
 		r, rec := newTestRouter(t, cfg, servers)
 		r.Request(0, testRequest(1))
-		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 50 * ms, Kept: 3000})
+		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms, CachedTokens: 3000})
 		if far := r.ttftTarget(&request{class: &cfg.Classes[0], Request: testRequest(1)}) / 2; effect == Safe && rec.lastTimeout > far || rec.lastTimeout < least {
 			t.Errorf("effect %d: timeout %v", effect, rec.lastTimeout)
 		}
@@ -1182,13 +1182,13 @@
 		r.Request(0, q)
 	}
 	r.Outcome(1, Outcome{ID: 3, Server: rec.lastServer(), Status: Read})
-	r.End(2)
+	r.Shutdown(2)
 	for _, want := range []string{"refuse 1", "fail 2", "fail 3", "release 1", "release 2", "release 3"} {
 		if !rec.called(want) {
 			t.Errorf("no %q: %q", want, rec.calls)
 		}
 	}
-	r.End(3)
+	r.Shutdown(3)
 	if rec.countCalls("refuse") != 1 || rec.countCalls("fail") != 2 {
 		t.Errorf("answered twice: %q", rec.calls)
 	}
@@ -1198,7 +1198,7 @@
 func TestExpiredPrefixesAreDropped(t *testing.T) {
 	p := newPrefixes("r")
 	for i := range uint64(1000) {
-		p.record(&Request{Session: i + 1, Prompt: 100}, time.Duration(i)*time.Second)
+		p.record(&Request{Session: i + 1, PromptLength: 100}, time.Duration(i)*time.Second)
 	}
 	if most := int(prefixTTL/time.Second) + 1; p.order.Len() > most || len(p.entries) != p.order.Len() {
 		t.Errorf("%d and %d entries kept, want at most %d", p.order.Len(), len(p.entries), most)
@@ -1209,8 +1209,8 @@
 // full fleet: it would refuse nearly all requests, pass over its writers and avoid each reader after one send.
 func TestBusyRouterAmongManyRefusesNothing(t *testing.T) {
 	cfg := testSettings()
-	cfg.Fronts = 300
-	cfg.Classes[0].TokenAim = 0
+	cfg.RouterCount = 300
+	cfg.Classes[0].TPOTTarget = 0
 	var all []Server
 	for i := range 30 {
 		all = append(all, Server{ID: fmt.Sprintf("r%d", i), Kind: 0}, Server{ID: fmt.Sprintf("w%d", i), Kind: 1})
@@ -1223,8 +1223,8 @@
 		if rec.called(fmt.Sprintf("refuse %d", id)) {
 			t.Fatalf("request %d is refused though no server has a queue", id)
 		}
-		r.Outcome(50*ms, Outcome{ID: id, Server: rec.lastServer(), Status: Read, Took: 50 * ms, Kept: q.Prompt})
-		r.Started(80*ms, Started{ID: id, Attempt: 1, Server: rec.lastServer(), Took: 30 * ms})
+		r.Outcome(50*ms, Outcome{ID: id, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms, CachedTokens: q.PromptLength})
+		r.Started(80*ms, Started{ID: id, Attempt: 1, Server: rec.lastServer(), Elapsed: 30 * ms})
 	}
 	home := r.servers["r3"]
 	home.inFlight = 1
@@ -1246,7 +1246,7 @@
 func TestSingleErrorMakesRarelyUsedServerSuspect(t *testing.T) {
 	for _, often := range []bool{false, true} {
 		cfg := testSettings()
-		cfg.Fronts = 300
+		cfg.RouterCount = 300
 		r, _ := newTestRouter(t, cfg, cellServers(14, 3, 3))
 		r.now = time.Minute
 		if often {
@@ -1279,7 +1279,7 @@
 		fail := func(id RequestID, zone int, began time.Duration) {
 			r.Request(began, testRequest(id))
 			r.requests[id].attempts[0].server = r.servers[fmt.Sprintf("r%d0", zone)]
-			r.Outcome(began+c.took, Outcome{ID: id, Status: ConnectFailed, Took: c.took})
+			r.Outcome(began+c.took, Outcome{ID: id, Status: ConnectFailed, Elapsed: c.took})
 		}
 		for i := range c.times {
 			if got := readerZones(r); !slices.Equal(got, []int{0, 1}) {
@@ -1320,12 +1320,12 @@
 		silent bool
 		near   bool
 	}{
-		{"room", Probed{Held: 0.5, Tokens: -1}, false, true}, {"queue", Probed{Queue: 3, Held: 0.5, Tokens: -1}, false, false},
-		{"memory", Probed{Held: 0.97, Tokens: -1}, false, false}, {"no answer", Probed{}, true, false},
-		{"no load", Probed{Queue: -1, Tokens: -1}, false, true},
+		{"room", Probed{MemoryUse: 0.5, QueuedTokens: -1}, false, true}, {"queue", Probed{QueuedRequests: 3, MemoryUse: 0.5, QueuedTokens: -1}, false, false},
+		{"memory", Probed{MemoryUse: 0.97, QueuedTokens: -1}, false, false}, {"no answer", Probed{}, true, false},
+		{"no load", Probed{QueuedRequests: -1, QueuedTokens: -1}, false, true},
 	} {
 		cfg := testSettings()
-		cfg.Fronts, cfg.CanProbe = 300, true
+		cfg.RouterCount, cfg.CanProbe = 300, true
 		r, rec := newTestRouter(t, cfg, testServers())
 		r.Request(time.Second, testRequest(1))
 		r.Timer(r.requests[1].retryAt, 1)
@@ -1338,7 +1338,7 @@
 			probed++
 			if load := c.load; s.Cell != reader.Cell || !c.silent {
 				if load.Server = s.ID; s.Cell != reader.Cell {
-					load = Probed{Server: s.ID, Tokens: -1}
+					load = Probed{Server: s.ID, QueuedTokens: -1}
 				}
 				r.Probed(r.now+ms, load)
 			}
@@ -1346,7 +1346,7 @@
 		if probed != writerProbes {
 			t.Fatalf("%s: %d writers probed: %v", c.name, probed, rec.calls)
 		}
-		r.Outcome(r.now+100*ms, Outcome{ID: 1, Server: reader.ID, Status: Read, Took: 100 * ms, Kept: 3000})
+		r.Outcome(r.now+100*ms, Outcome{ID: 1, Server: reader.ID, Status: Read, Elapsed: 100 * ms, CachedTokens: 3000})
 		if got := r.servers[rec.lastServer()]; got.role != Writer || (got.Cell == reader.Cell) != c.near {
 			t.Errorf("%s: state at %s sent to %s", c.name, reader.ID, rec.lastServer())
 		}
@@ -1389,13 +1389,13 @@
 	cfg.PinLimit = 300 * ms
 	r, rec := newTestRouter(t, cfg, testServers())
 	r.Request(0, testRequest(1))
-	r.Outcome(100*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 100 * ms, Kept: 3000})
+	r.Outcome(100*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 100 * ms, CachedTokens: 3000})
 	for n := 1; n <= 2; n++ {
 		if len(rec.sends) != n+1 {
 			t.Fatalf("%d sends before writer %d: %v", len(rec.sends), n, rec.calls)
 		}
 		at := 100*ms + time.Duration(n)*250*ms
-		r.Outcome(at, Outcome{ID: 1, Attempt: n, Server: rec.lastServer(), Status: ConnectFailed, Took: 250 * ms})
+		r.Outcome(at, Outcome{ID: 1, Attempt: n, Server: rec.lastServer(), Status: ConnectFailed, Elapsed: 250 * ms})
 	}
 	if len(rec.sends) != 3 || !rec.called("release 1") || !rec.called("refuse 1") && !rec.called("fail 1") {
 		t.Errorf("after two failed connections, 600 ms after the start: %v", rec.calls)
@@ -1408,10 +1408,10 @@
 func TestManyRoutersShareColdServer(t *testing.T) {
 	sessions, used := 0, 0
 	cfg := testSettings()
-	cfg.Fronts, cfg.CanProbe = 300, true
+	cfg.RouterCount, cfg.CanProbe = 300, true
 	now := 100 * time.Second
-	cold := ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now - cfg.ColdFor/2}}}
-	for cfg.Front = range 300 {
+	cold := ServerList{Servers: []Server{{ID: "r00", Kind: 0, StartedAt: now - cfg.WarmUpTime/2}}}
+	for cfg.RouterIndex = range 300 {
 		r, _ := newTestRouter(t, cfg, testServers())
 		r.Servers(now, cold)
 		r.now = now
@@ -1420,9 +1420,9 @@
 		for readers := r.listed[:4]; homeServer(readers, q.Prefix) != s; q.Prefix++ {
 		}
 		for id := range RequestID(40) {
-			q.ID, q.Session = id, uint64(cfg.Front)<<8|uint64(id)
+			q.ID, q.Session = id, uint64(cfg.RouterIndex)<<8|uint64(id)
 			p := &request{Request: q, class: &cfg.Classes[0], home: q.Prefix,
-				prefixShare: r.prefixWork.workShare(q.Prefix, float64(q.Prompt+q.MaxOutput/2), now)}
+				prefixShare: r.prefixWork.workShare(q.Prefix, float64(q.PromptLength+q.MaxOutput/2), now)}
 			sessions++
 			if r.pickReader(p) != s {
 				continue
@@ -1437,7 +1437,7 @@
 			}
 		}
 	}
-	even, safe := 1./4, coldBudgetShare*cfg.ColdMultiple*cfg.ColdFrom
+	even, safe := 1./4, coldBudgetShare*cfg.ColdOverloadFactor*cfg.ColdCapacity
 	if share := float64(used) / float64(sessions) / even; share > 1.4*safe || share < 0.4*safe {
 		t.Errorf("cold server gets %.2f of an even share, %.2f is safe", share, safe)
 	}
@@ -1492,10 +1492,10 @@
 func TestAcceptedRatioFallsInFlood(t *testing.T) {
 	ratio := func(accepted float64) float64 {
 		cfg := testSettings()
-		cfg.Fronts = 300
+		cfg.RouterCount = 300
 		now := 100 * time.Second
 		r, _ := newTestRouter(t, cfg, testServers())
-		r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, Since: now - cfg.ColdFor*9/10}}})
+		r.Servers(now, ServerList{Servers: []Server{{ID: "r00", Kind: 0, StartedAt: now - cfg.WarmUpTime*9/10}}})
 		r.now = now
 		r.sends[Reader].add(now, 100)
 		r.kinds[0].accepted.add(now, accepted*100/4)
@@ -1518,17 +1518,17 @@
 		}
 	}
 	q := testRequest(2)
-	q.Kept = map[string]int{home: 0, other: 1500}
+	q.CachedTokens = map[string]int{home: 0, other: 1500}
 	if got, _ := serve(r, rec, q, time.Second); got != other {
 		t.Errorf("read at %s, though %s reports half of the prompt as cached and %s nothing", got, other, home)
 	}
 	q = testRequest(3)
-	q.Kept = map[string]int{home: 2500, other: 1500}
+	q.CachedTokens = map[string]int{home: 2500, other: 1500}
 	if got, _ := serve(r, rec, q, 2*time.Second); got != home {
 		t.Errorf("read at %s, though %s reports more cached", got, home)
 	}
 	q = testRequest(4)
-	q.Kept = map[string]int{"nobody": 3000}
+	q.CachedTokens = map[string]int{"nobody": 3000}
 	if got, _ := serve(r, rec, q, 3*time.Second); got != home {
 		t.Errorf("read at %s, want the home: no listed server has a report, so the record counts", got)
 	}
@@ -1558,7 +1558,7 @@
 // routers.
 func TestShortPrefixDoesNotGatherSessions(t *testing.T) {
 	cfg := testSettings()
-	cfg.Fronts, cfg.CanProbe = 300, true
+	cfg.RouterCount, cfg.CanProbe = 300, true
 	var all []Server
 	for i := range 30 {
 		all = append(all, Server{ID: fmt.Sprintf("r%d", i), Kind: 0}, Server{ID: fmt.Sprintf("w%d", i), Kind: 1})
@@ -1566,11 +1566,11 @@
 	submitAll := func(prefixLen, prompt int) (most int, agree bool) {
 		readCounts, homes := map[string]int{}, map[uint64]string{}
 		agree = true
-		for cfg.Front = range 300 {
+		for cfg.RouterIndex = range 300 {
 			r, rec := newTestRouter(t, cfg, all)
 			for id := RequestID(1); id <= 4; id++ {
 				q := testRequest(id)
-				q.Session, q.Prefix, q.PrefixLen, q.Prompt = uint64(cfg.Front/2*10)+uint64(id), 7, prefixLen, prompt
+				q.Session, q.Prefix, q.PrefixLength, q.PromptLength = uint64(cfg.RouterIndex/2*10)+uint64(id), 7, prefixLen, prompt
 				r.Request(0, q)
 				if p := r.requests[id]; p.probed {
 					r.Timer(p.retryAt, uint64(id))
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -25,7 +25,7 @@
 			acceptedRatio: max(minAcceptedRatio,
 				(float64(k.readyInRole)*accepted+acceptedRatioSmoothing)/(sent+acceptedRatioSmoothing)),
 			warmWindowSends: accepted / max(r.observedFraction(), 0.1) / loadSpan.Seconds() *
-				r.cfg.ColdWindow.Seconds()}
+				r.cfg.ColdOverloadWindow.Seconds()}
 	}
 	return &k.warmLoad
 }
--- a/decide/fair_test.go
+++ b/decide/fair_test.go
@@ -30,12 +30,12 @@
 	sim := newSimulation(routers, readers, writers)
 	rng := rand.New(rand.NewPCG(seed, 3))
 	settings := &sim.settings
-	settings.ColdFor, sim.dropExpired = 0, true
+	settings.WarmUpTime, sim.dropExpired = 0, true
 	settings.Classes = []Class{settings.Classes[0], settings.Classes[0]}
-	settings.Classes[1].Effect, settings.Classes[1].Worth = Unsafe, 2
+	settings.Classes[1].Effect, settings.Classes[1].Value = Unsafe, 2
 	settings.Tenants = []Tenant{{Quota: 400}, {Quota: 400}, {Quota: 400}}
-	settings.OverShareWorth = 0.5
-	sim.requestWork = func(q Request) float64 { return float64(q.Prompt) / 3000 }
+	settings.OverQuotaFactor = 0.5
+	sim.requestWork = func(q Request) float64 { return float64(q.PromptLength) / 3000 }
 	for i := range routers {
 		sim.startRouter(i, sim.serverList())
 	}
@@ -60,8 +60,8 @@
 		sim.After(seconds(rng.ExpFloat64()/rate), next)
 		sessions++
 		q := Request{TimeLeft: 5 * time.Second, Session: mix(seed<<32 + sessions), Class: rng.IntN(2), Tenant: rng.IntN(3), MaxOutput: 200}
-		q.Prefix, q.PrefixLen = rng.Uint64N(40)+1, 500
-		q.Prompt = int(min(30000, 1000+1200*math.Exp(rng.NormFloat64()))) // 3,000 on average
+		q.Prefix, q.PrefixLength = rng.Uint64N(40)+1, 500
+		q.PromptLength = int(min(30000, 1000+1200*math.Exp(rng.NormFloat64()))) // 3,000 on average
 		for turn := range 3 {
 			sim.After(time.Duration(turn)*seconds(1+2*rng.Float64()), func() { submit(q) })
 		}
@@ -87,7 +87,7 @@
 // requestsOfClass returns the requests of a class, longest prompts first.
 func requestsOfClass(all []*simRequest, class int) []*simRequest {
 	requests := slices.DeleteFunc(slices.Clone(all), func(a *simRequest) bool { return a.Class != class })
-	slices.SortStableFunc(requests, func(a, b *simRequest) int { return b.Prompt - a.Prompt })
+	slices.SortStableFunc(requests, func(a, b *simRequest) int { return b.PromptLength - a.PromptLength })
 	return requests
 }
 
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -63,7 +63,7 @@
 // Servers passes a server list to the router.
 func (r *simRouter) Servers(now time.Duration, l ServerList) {
 	for _, s := range l.Servers {
-		r.knownStarts[s.ID] = s.Since
+		r.knownStarts[s.ID] = s.StartedAt
 	}
 	r.Router.Servers(now, l)
 }
@@ -77,12 +77,12 @@
 // newSimulation returns a simulation with readers and writers in four cells. Its routers are not started yet.
 func newSimulation(routers, readers, writers int) *simulation {
 	settings := testSettings()
-	settings.Fronts, settings.CanProbe, settings.ColdWindow = routers, true, 2*time.Second
-	settings.ColdFrom, settings.ColdMultiple, settings.ColdFor = 1./3, 2.5, 20*time.Second
+	settings.RouterCount, settings.CanProbe, settings.ColdOverloadWindow = routers, true, 2*time.Second
+	settings.ColdCapacity, settings.ColdOverloadFactor, settings.WarmUpTime = 1./3, 2.5, 20*time.Second
 	sim := &simulation{settings: settings, rng: rand.New(rand.NewPCG(7, uint64(routers))),
 		servers: make(map[string]*simServer), answers: make(map[string]int)}
 	sim.capacity = func(age time.Duration) float64 {
-		return min(1, sim.settings.ColdFrom+(1-sim.settings.ColdFrom)*float64(age)/float64(sim.settings.ColdFor))
+		return min(1, sim.settings.ColdCapacity+(1-sim.settings.ColdCapacity)*float64(age)/float64(sim.settings.WarmUpTime))
 	}
 	for i := range readers {
 		sim.addServer(Server{ID: fmt.Sprintf("r%d", i), Kind: 0, Cell: i % 4, Weight: 1}, toyReadTime)
@@ -115,7 +115,7 @@
 	router := &simRouter{sim: sim, attempts: make(map[RequestID]int), open: make(map[RequestID]bool),
 		submitted: make(map[RequestID]Request), clientRetries: make(map[RequestID]int), knownStarts: make(map[string]time.Duration)}
 	settings := sim.settings
-	settings.Front = i
+	settings.RouterIndex = i
 	if sim.changeSettings != nil {
 		sim.changeSettings(&settings)
 	}
@@ -125,7 +125,7 @@
 	}
 	router.Router, sim.routers[i] = r, router
 	if known != nil {
-		router.Servers(sim.Now, ServerList{Whole: true, Servers: known})
+		router.Servers(sim.Now, ServerList{Complete: true, Servers: known})
 	}
 }
 
@@ -135,7 +135,7 @@
 	for _, r := range sim.routers {
 		sim.After(time.Duration(sim.rng.Int64N(int64(maxDelay))), func() {
 			if !r.stopped {
-				r.Servers(sim.Now, ServerList{Whole: true, Servers: l})
+				r.Servers(sim.Now, ServerList{Complete: true, Servers: l})
 			}
 		})
 	}
@@ -165,7 +165,7 @@
 		}
 		sim.lastID++
 		q := Request{ID: sim.lastID, TimeLeft: 8 * time.Second, Session: sim.rng.Uint64N(4096) + 1,
-			Prompt: 3000, PrefixLen: 2000, MaxOutput: 200}
+			PromptLength: 3000, PrefixLength: 2000, MaxOutput: 200}
 		q.Prefix = q.Session%61 + 1
 		r.open[q.ID] = true
 		r.Request(sim.Now, q)
@@ -176,13 +176,13 @@
 func (r *simRouter) Send(id RequestID, server string, timeout time.Duration) {
 	sim, n := r.sim, r.attempts[id]
 	if sim.trace != nil {
-		sim.trace("%v %d sends %d to %s within %v\n", sim.Now, r.cfg.Front, id, server, timeout)
+		sim.trace("%v %d sends %d to %s within %v\n", sim.Now, r.cfg.RouterIndex, id, server, timeout)
 	}
 	r.attempts[id]++
 	srv := sim.servers[server]
 	if srv == nil { // no longer there: the connection is refused
 		sim.After(ms, func() {
-			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: ConnectFailed, Took: ms})
+			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: ConnectFailed, Elapsed: ms})
 		})
 		return
 	}
@@ -194,17 +194,17 @@
 		work = sim.requestWork(r.submitted[id])
 	}
 	srv.sentAt, srv.startKnown, srv.work = append(srv.sentAt, sim.Now),
-		append(srv.startKnown, r.knownStarts[server] == srv.Since), append(srv.work, work)
+		append(srv.startKnown, r.knownStarts[server] == srv.StartedAt), append(srv.work, work)
 	if srv.silent {
 		sim.After(timeout, func() {
-			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: TimedOut, Took: timeout})
+			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: TimedOut, Elapsed: timeout})
 		})
 		return
 	}
 	began, slot := sim.Now, srv.queue.Next(sim.Now)
 	took := time.Duration(float64(srv.serviceTime) * work)
-	if srv.Since > 0 {
-		took = time.Duration(float64(took) / sim.capacity(sim.Now-srv.Since))
+	if srv.StartedAt > 0 {
+		took = time.Duration(float64(took) / sim.capacity(sim.Now-srv.StartedAt))
 	}
 	wait := slot.Begins + took - sim.Now
 	if expired := slot.Begins-sim.Now > timeout; !sim.dropExpired || !expired { // else the server drops it at its turn
@@ -212,7 +212,7 @@
 	}
 	if wait > timeout {
 		sim.After(timeout, func() {
-			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: TimedOut, Took: timeout})
+			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: TimedOut, Elapsed: timeout})
 		})
 		return
 	}
@@ -221,7 +221,7 @@
 			return
 		}
 		if sim.settings.Kinds[srv.Kind].Role == Reader {
-			r.Outcome(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: Read, Took: sim.Now - began, Kept: 2000})
+			r.Outcome(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: Read, Elapsed: sim.Now - began, CachedTokens: 2000})
 			return
 		}
 		if r.open[id] {
@@ -229,9 +229,9 @@
 			if sim.onServed != nil {
 				sim.onServed(id)
 			}
-			r.Started(sim.Now, Started{ID: id, Attempt: n, Server: server, Took: sim.Now - began})
+			r.Started(sim.Now, Started{ID: id, Attempt: n, Server: server, Elapsed: sim.Now - began})
 		}
-		r.Outcome(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: Served, Final: true, Took: sim.Now - began})
+		r.Outcome(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: Served, Final: true, Elapsed: sim.Now - began})
 	})
 }
 
@@ -249,7 +249,7 @@
 	}
 	delete(r.open, id)
 	if r.sim.trace != nil {
-		r.sim.trace("%v %d %s %d\n", r.sim.Now, r.cfg.Front, how, id)
+		r.sim.trace("%v %d %s %d\n", r.sim.Now, r.cfg.RouterIndex, how, id)
 	}
 	r.sim.answers[how]++
 	if r.sim.onUnanswered != nil && (how == "refused" || how == "failed") {
@@ -261,7 +261,7 @@
 func (r *simRouter) Cancel(id RequestID, n int) {
 	p := r.Router.requests[id]
 	if srv := r.sim.servers[p.attempts[n].server.ID]; srv != nil && srv.silent {
-		o := Outcome{ID: id, Attempt: n, Server: srv.ID, Status: Cancelled, Took: r.sim.Now - p.attempts[n].sentAt}
+		o := Outcome{ID: id, Attempt: n, Server: srv.ID, Status: Cancelled, Elapsed: r.sim.Now - p.attempts[n].sentAt}
 		r.sim.After(0, func() { r.deliver(r.sim.Now, o) })
 	}
 }
@@ -269,7 +269,7 @@
 func (r *simRouter) Refuse(id RequestID, _ time.Duration) { r.finish(id, "refused") }
 func (r *simRouter) Fail(id RequestID)                    { r.finish(id, "failed") }
 func (r *simRouter) Release(RequestID)                    {}
-func (r *simRouter) AskServers(bool)                      {}
+func (r *simRouter) RequestServerList(bool)               {}
 func (r *simRouter) SetTimer(token uint64, at time.Duration) {
 	r.sim.After(at-r.sim.Now, func() {
 		if !r.stopped {
@@ -286,8 +286,8 @@
 		}
 		backlog := srv.queue.Backlog(sim.Now)
 		q := max(0, float64(backlog)/float64(srv.serviceTime)-toySlots)
-		r.Probed(sim.Now, Probed{Server: server, Queue: q, Tokens: q * 1000,
-			Held: min(1, float64(backlog)/float64(srv.serviceTime)/toySlots)})
+		r.Probed(sim.Now, Probed{Server: server, QueuedRequests: q, QueuedTokens: q * 1000,
+			MemoryUse: min(1, float64(backlog)/float64(srv.serviceTime)/toySlots)})
 	})
 }
 
@@ -297,14 +297,14 @@
 	highest, from := 0.0, 0
 	full := toySlots / srv.serviceTime.Seconds()
 	for i, at := range srv.sentAt {
-		for srv.sentAt[from] < at-sim.settings.ColdWindow {
+		for srv.sentAt[from] < at-sim.settings.ColdOverloadWindow {
 			from++
 		}
-		if at >= srv.Since+sim.settings.ColdFor { // warm from here on
+		if at >= srv.StartedAt+sim.settings.WarmUpTime { // warm from here on
 			break
 		}
-		highest = max(highest, float64(i-from+1)/(sim.settings.ColdMultiple*
-			sim.capacity(srv.sentAt[from]-srv.Since)*full*sim.settings.ColdWindow.Seconds()))
+		highest = max(highest, float64(i-from+1)/(sim.settings.ColdOverloadFactor*
+			sim.capacity(srv.sentAt[from]-srv.StartedAt)*full*sim.settings.ColdOverloadWindow.Seconds()))
 	}
 	return highest
 }
@@ -345,7 +345,7 @@
 
 // restartServer makes the server cold and empty, as after a restart of its process.
 func (sim *simulation) restartServer(srv *simServer) {
-	srv.Since, srv.sentAt, srv.startKnown, srv.work, srv.queue = sim.Now, nil, nil, nil, toyserver.NewQueue(toySlots, sim.Now)
+	srv.StartedAt, srv.sentAt, srv.startKnown, srv.work, srv.queue = sim.Now, nil, nil, nil, toyserver.NewQueue(toySlots, sim.Now)
 }
 
 // checkColdBudget checks that no window of a cold server exceeded its budget.
@@ -373,13 +373,13 @@
 				sim.checkColdBudget(t, name, srv)
 				coldSends := 0
 				for _, at := range srv.sentAt {
-					if at < srv.Since+sim.settings.ColdFor {
+					if at < srv.StartedAt+sim.settings.WarmUpTime {
 						coldSends++
 					}
 				}
 				t.Logf("%.2f of the budget at most, %d sends while cold", sim.worstColdLoad(srv), coldSends)
 				if coldSends < 20 {
-					t.Errorf("only %d sends to the cold server in %v", coldSends, sim.settings.ColdFor)
+					t.Errorf("only %d sends to the cold server in %v", coldSends, sim.settings.WarmUpTime)
 				}
 			})
 		}
@@ -458,7 +458,7 @@
 				}
 				sim.After(time.Duration(i)*7*time.Second/44, func() {
 					s := old
-					s.ID, s.Since = "n"+old.ID, sim.Now
+					s.ID, s.StartedAt = "n"+old.ID, sim.Now
 					serviceTime := sim.servers[old.ID].serviceTime
 					delete(sim.servers, old.ID)
 					sim.addServer(s, serviceTime)
@@ -504,7 +504,7 @@
 			}
 			for _, srv := range sim.servers {
 				sim.restartServer(srv)
-				srv.Since = 1
+				srv.StartedAt = 1
 			}
 			sim.generateLoad(0.2*10*toySlots/toyReadTime.Seconds(), 30*time.Second)
 			sim.After(3*time.Second, func() { sim.publishServers(500 * ms) })
@@ -526,13 +526,13 @@
 // The budget check must detect routers that do not pace their sends to cold servers.
 func TestColdBudgetCheckDetectsMissingPacing(t *testing.T) {
 	sim := newSimulation(80, 2, 34)
-	sim.settings.ColdFor = 0 // the routers take all servers for warm
+	sim.settings.WarmUpTime = 0 // the routers take all servers for warm
 	for i := range sim.routers {
 		sim.startRouter(i, sim.serverList())
 	}
-	sim.settings.ColdFor = 20 * time.Second
+	sim.settings.WarmUpTime = 20 * time.Second
 	srv := sim.servers["r1"]
-	srv.Since = 1
+	srv.StartedAt = 1
 	sim.generateLoad(2*2*toySlots/toyReadTime.Seconds(), 10*time.Second)
 	sim.Until(30 * time.Second)
 	if sim.worstColdLoad(srv) <= 1 {
--- a/decide/heldstate.go
+++ b/decide/heldstate.go
@@ -81,7 +81,7 @@
 
 // ConnectionVerified reports that the connection of a write was alive right before its first byte, or that
 // probes of its server use the same connection.
-func (r *Router) Verified(now time.Duration, id RequestID, attempt int) {
+func (r *Router) ConnectionVerified(now time.Duration, id RequestID, attempt int) {
 	r.now = now
 	if p := r.requests[id]; p != nil && attempt >= 0 && attempt < len(p.attempts) {
 		p.attempts[attempt].verified = true
@@ -129,7 +129,7 @@
 	case p.holder == nil:
 	case o.NoState:
 		r.setHolder(p, nil)
-	case o.Status == Errored, o.Status == Full && !p.released:
+	case o.Status == Errored, o.Status == Rejected && !p.released:
 		r.setHolder(p, p.holder)
 	case !stateLost:
 	case arrivalUnknown && reachable: // the write had probably arrived
--- a/decide/heldstate_test.go
+++ b/decide/heldstate_test.go
@@ -39,7 +39,7 @@
 		s.wait.add(0.01, r.now) // no probe before the read
 	}
 	r.Request(ms, q)
-	r.Outcome(100*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Took: 99 * ms, Kept: 3000})
+	r.Outcome(100*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 99 * ms, CachedTokens: 3000})
 	if len(rec.sends) != 2 {
 		t.Fatalf("write not sent: %v", rec.calls)
 	}
@@ -67,7 +67,7 @@
 // A write that has its first token has fetched the state: nothing is released and no server is probed.
 func TestStartedWriteKeepsState(t *testing.T) {
 	r, rec := requestWithHeldState(t, Safe, nil)
-	r.Started(150*ms, Started{ID: 1, Attempt: 1, Server: rec.lastServer(), Took: 50 * ms})
+	r.Started(150*ms, Started{ID: 1, Attempt: 1, Server: rec.lastServer(), Elapsed: 50 * ms})
 	if rec.runTimers(r, 1, time.Second); rec.called("release 1") || rec.countCalls("probe w") > 0 {
 		t.Errorf("%v", rec.calls)
 	}
@@ -95,7 +95,7 @@
 			t.Errorf("effect %d: cancelled = %v: %v", effect, rec.called("cancel 1 1"), rec.calls)
 		}
 		if repeated {
-			r.Outcome(r.now, Outcome{ID: 1, Attempt: 1, Server: silent, Status: Cancelled, Took: 200 * ms})
+			r.Outcome(r.now, Outcome{ID: 1, Attempt: 1, Server: silent, Status: Cancelled, Elapsed: 200 * ms})
 			if len(rec.sends) != 3 || rec.lastServer()[0] != 'w' || rec.lastServer() == silent {
 				t.Errorf("effect %d: no second writer: %v", effect, rec.calls)
 			}
@@ -115,12 +115,12 @@
 	r, rec := requestWithHeldState(t, Safe, nil)
 	busy := rec.lastServer()
 	rec.runTimers(r, 1, 100*ms+writeCheckDelay)
-	r.Probed(r.now, Probed{Server: busy, Queue: -1, Tokens: -1})
+	r.Probed(r.now, Probed{Server: busy, QueuedRequests: -1, QueuedTokens: -1})
 	if rec.runTimers(r, 1, 390*ms); rec.called("cancel 1 1") {
 		t.Fatalf("cancelled: %v", rec.calls)
 	}
 	rec.runTimers(r, 1, 420*ms)
-	r.Outcome(430*ms, Outcome{ID: 1, Attempt: 1, Server: busy, Status: Reset, Took: 330 * ms})
+	r.Outcome(430*ms, Outcome{ID: 1, Attempt: 1, Server: busy, Status: Reset, Elapsed: 330 * ms})
 	if len(rec.sends) != 3 || rec.lastServer()[0] != 'w' {
 		t.Errorf("no second write: %v", rec.calls)
 	}
@@ -136,7 +136,7 @@
 		r, rec := requestWithHeldState(t, Unsafe, func(cfg *Settings, _ *Request) { cfg.PinSlack = 200 * ms })
 		rec.runTimers(r, 1, 100*ms+writeCheckDelay)
 		if heard {
-			r.Probed(r.now, Probed{Server: rec.lastServer(), Queue: -1, Tokens: -1})
+			r.Probed(r.now, Probed{Server: rec.lastServer(), QueuedRequests: -1, QueuedTokens: -1})
 		}
 		if rec.runTimers(r, 1, 599*ms); rec.called("release 1") == heard {
 			t.Errorf("heard %v: %v", heard, rec.calls)
@@ -152,9 +152,9 @@
 func TestEarlyAnswerDoesNotKeepState(t *testing.T) {
 	for delay, kept := range map[time.Duration]bool{10 * ms: false, writeCheckDelay: true} {
 		r, rec := requestWithHeldState(t, Unsafe, nil)
-		r.Verified(101*ms, 1, 1)
+		r.ConnectionVerified(101*ms, 1, 1)
 		rec.runTimers(r, 1, 100*ms+delay)
-		r.Probed(r.now, Probed{Server: rec.lastServer(), Queue: -1, Tokens: -1})
+		r.Probed(r.now, Probed{Server: rec.lastServer(), QueuedRequests: -1, QueuedTokens: -1})
 		if rec.runTimers(r, 1, 401*ms); rec.called("release 1") == kept {
 			t.Errorf("answered %v after the write: %v", delay, rec.calls)
 		}
@@ -167,7 +167,7 @@
 	for maxAttempts, want := range map[int]string{0: "r", 4: "r", 3: "end"} {
 		r, rec := requestWithHeldState(t, Safe, func(cfg *Settings, _ *Request) { cfg.MaxAttempts, cfg.CanCancel = maxAttempts, false })
 		rec.runTimers(r, 1, 450*ms)
-		r.Outcome(460*ms, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: Reset, Took: 360 * ms})
+		r.Outcome(460*ms, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: Reset, Elapsed: 360 * ms})
 		got := "end"
 		if len(rec.sends) == 3 {
 			got = rec.lastServer()[:1]
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -12,25 +12,25 @@
 // Estimates is what a Router has learned about all servers, in a form that can be stored as text. Each triple of
 // numbers is a running mean (value, weight, age) or a rate (count, 0, age). Ages are in seconds and not points in
 // time, because two processes share no clock: a wall clock may be stepped.
-type Learned struct {
-	Seen     float64       `json:"seen_s"`    // time since the first server list
-	PerToken float64       `json:"per_token"` // of unhindered reads, per uncached token
-	Kinds    []LearnedKind `json:"kinds"`
-	Near     [3]float64    `json:"near"`
-	Far      [3]float64    `json:"far"`
-	Moves    [3]float64    `json:"moves"`
+type Estimates struct {
+	ObservedSeconds float64         `json:"seen_s"`    // time since the first server list
+	SecondsPerToken float64         `json:"per_token"` // of unhindered reads, per uncached token
+	Kinds           []KindEstimates `json:"kinds"`
+	NearTransfers   [3]float64      `json:"near"`
+	FarTransfers    [3]float64      `json:"far"`
+	Transfers       [3]float64      `json:"moves"`
 	// AnswerTimes holds, by server ID, the sum of answer duration/hint, the number of ended answers, and their age.
-	Answers map[string][3]float64 `json:"answers"`
+	AnswerTimes map[string][3]float64 `json:"answers"`
 }
 
 // maxEstimateAge is the highest age that Restore accepts.
 const maxEstimateAge = 100 * 365 * 24 * time.Hour
 
 // KindEstimates is what is known about the servers of one kind.
-type LearnedKind struct {
-	Took  [3]float64 `json:"took"`  // requests per warm server
-	Asked [3]float64 `json:"asked"` // requests for which its servers were ranked
-	Wait  [3]float64 `json:"wait"`  // in seconds
+type KindEstimates struct {
+	Accepted [3]float64 `json:"took"`  // requests per warm server
+	Demand   [3]float64 `json:"asked"` // requests for which its servers were ranked
+	Wait     [3]float64 `json:"wait"`  // in seconds
 }
 
 func (m mean) snapshot(now time.Duration) [3]float64 {
@@ -48,29 +48,29 @@
 func (c *rate) restore(v [3]float64, now time.Duration) { c.count, c.at = v[0], now-seconds(v[2]) }
 
 // Estimates returns what this Router has learned.
-func (r *Router) Learned(now time.Duration) Learned {
-	estimates := Learned{Seen: (now - r.firstListAt).Seconds(), PerToken: r.secondsPerToken,
-		Near: r.nearTransfers.snapshot(now), Far: r.farTransfers.snapshot(now), Moves: r.transfers.snapshot(now)}
+func (r *Router) Estimates(now time.Duration) Estimates {
+	estimates := Estimates{ObservedSeconds: (now - r.firstListAt).Seconds(), SecondsPerToken: r.secondsPerToken,
+		NearTransfers: r.nearTransfers.snapshot(now), FarTransfers: r.farTransfers.snapshot(now), Transfers: r.transfers.snapshot(now)}
 	for _, k := range r.kinds {
 		estimates.Kinds = append(estimates.Kinds,
-			LearnedKind{k.accepted.snapshot(now), k.demand.snapshot(now), k.wait.snapshot(now)})
+			KindEstimates{k.accepted.snapshot(now), k.demand.snapshot(now), k.wait.snapshot(now)})
 	}
-	estimates.Answers = make(map[string][3]float64)
+	estimates.AnswerTimes = make(map[string][3]float64)
 	for _, s := range r.listed {
 		if spent, done := s.streams.sum(now); spent > 0 {
-			estimates.Answers[s.ID] = [3]float64{spent, done, 0}
+			estimates.AnswerTimes[s.ID] = [3]float64{spent, done, 0}
 		}
 	}
 	return estimates
 }
 
 // Restore adopts the estimates of an earlier process of this router. Invalid estimates are rejected as a whole.
-func (r *Router) Learn(now time.Duration, estimates Learned) error {
-	values := [][3]float64{{estimates.PerToken, 0, estimates.Seen}, estimates.Near, estimates.Far, estimates.Moves}
+func (r *Router) Restore(now time.Duration, estimates Estimates) error {
+	values := [][3]float64{{estimates.SecondsPerToken, 0, estimates.ObservedSeconds}, estimates.NearTransfers, estimates.FarTransfers, estimates.Transfers}
 	for _, k := range estimates.Kinds {
-		values = append(values, k.Took, k.Asked, k.Wait)
+		values = append(values, k.Accepted, k.Demand, k.Wait)
 	}
-	for _, v := range estimates.Answers {
+	for _, v := range estimates.AnswerTimes {
 		values = append(values, v)
 	}
 	for _, v := range values {
@@ -81,16 +81,16 @@
 	if len(estimates.Kinds) != len(r.kinds) {
 		return errors.New("decide: estimates are for other server kinds")
 	}
-	r.firstListAt, r.secondsPerToken = now-seconds(estimates.Seen), estimates.PerToken
-	r.nearTransfers.restore(estimates.Near, now)
-	r.farTransfers.restore(estimates.Far, now)
-	r.transfers.restore(estimates.Moves, now)
+	r.firstListAt, r.secondsPerToken = now-seconds(estimates.ObservedSeconds), estimates.SecondsPerToken
+	r.nearTransfers.restore(estimates.NearTransfers, now)
+	r.farTransfers.restore(estimates.FarTransfers, now)
+	r.transfers.restore(estimates.Transfers, now)
 	for i, k := range estimates.Kinds {
-		r.kinds[i].accepted.restore(k.Took, now)
-		r.kinds[i].demand.restore(k.Asked, now)
+		r.kinds[i].accepted.restore(k.Accepted, now)
+		r.kinds[i].demand.restore(k.Demand, now)
 		r.kinds[i].wait.restore(k.Wait, now)
 	}
-	for id, v := range estimates.Answers {
+	for id, v := range estimates.AnswerTimes {
 		if s := r.servers[id]; s != nil {
 			s.streams.spent.restore([3]float64{v[0], 0, v[2]}, now)
 			s.streams.done.restore([3]float64{v[1], 0, v[2]}, now)
--- a/decide/lookup.go
+++ b/decide/lookup.go
@@ -123,4 +123,4 @@
 }
 
 // warmCount returns the number of warm servers of a kind.
-func (r *Router) warmCount(kind int) int { return r.index.WarmOfKind(kind, r.now) }
+func (r *Router) warmCount(kind int) int { return r.index.WarmCount(kind, r.now) }
--- a/decide/prefixes.go
+++ b/decide/prefixes.go
@@ -41,7 +41,7 @@
 // match returns the length of the longest prefix of q that the reader has probably cached, and when it was last sent.
 // The reader's own report, if there is one, overrides the record.
 func (t *prefixes) match(q *Request, now time.Duration) (tokens int, since time.Duration) {
-	if kept, reported := q.Kept[t.serverID]; reported {
+	if kept, reported := q.CachedTokens[t.serverID]; reported {
 		return kept, now
 	}
 	for _, k := range []prefixKey{{false, q.Prefix}, {true, q.Session}} {
@@ -59,10 +59,10 @@
 // homeMatch returns how much of q the first server in rendezvous order is taken to have cached: the shared prefix,
 // because all routers send it there, unless the server itself reports what it has.
 func (q *Request) homeMatch(s *server) int {
-	if _, reported := q.Kept[s.ID]; reported {
+	if _, reported := q.CachedTokens[s.ID]; reported {
 		return 0
 	}
-	return q.PrefixLen
+	return q.PrefixLength
 }
 
 // dropOldest removes the prefix that was sent longest ago.
@@ -83,8 +83,8 @@
 
 // record adds the shared prefix and the session of a request sent to the reader.
 func (t *prefixes) record(q *Request, now time.Duration) {
-	t.put(prefixKey{false, q.Prefix}, q.PrefixLen, now)
-	t.put(prefixKey{true, q.Session}, q.Prompt, now)
+	t.put(prefixKey{false, q.Prefix}, q.PrefixLength, now)
+	t.put(prefixKey{true, q.Session}, q.PromptLength, now)
 }
 
 // put adds or renews an entry and drops those that are too old or too many.
@@ -109,11 +109,11 @@
 // setMatches sets the match of every server that has cached part of p. The caller has set all matches to 0.
 func (r *Router) setMatches(p *request) {
 	for _, key := range []prefixKey{{false, p.Prefix}, {true, p.Session}} {
-		for _, s := range r.prefixes.Of(key) {
+		for _, s := range r.prefixes.Holders(key) {
 			s.match, _ = s.prefixes.match(&p.Request, r.now)
 		}
 	}
-	for id := range p.Kept {
+	for id := range p.CachedTokens {
 		if s := r.servers[id]; s != nil {
 			s.match, _ = s.prefixes.match(&p.Request, r.now)
 		}
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -23,7 +23,7 @@
 			r.exec.Probe(o.ID)
 		}
 	}
-	p.retryAt = r.now + max(probeTimeout, 2*r.cfg.Tick)
+	p.retryAt = r.now + max(probeTimeout, 2*r.cfg.ClockStep)
 	r.exec.SetTimer(uint64(p.ID), p.retryAt)
 	return true
 }
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -10,11 +10,11 @@
 
 // RestartError reports a change to a setting that is fixed for the lifetime of the process.
 type RestartError struct {
-	What string // name of the setting
+	Setting string // name of the setting
 }
 
 // Error implements error.
-func (e *RestartError) Error() string { return e.What + ": a change needs a restart" }
+func (e *RestartError) Error() string { return e.Setting + ": a change needs a restart" }
 
 // Apply replaces the settings. If they are invalid or need a restart it returns an error, which is a *RestartError in
 // the second case, and the old settings stay in force as a whole. Open requests keep their class and their deadline,
@@ -29,7 +29,7 @@
 	r.now, r.cfg = now, cfg
 	r.maxValue = highestValue(cfg.Classes)
 	for _, s := range r.servers {
-		s.warmAt = cfg.warmAt(s.Since)
+		s.warmAt = cfg.warmAt(s.StartedAt)
 	}
 	r.rebuildIndex()
 	return nil
@@ -44,10 +44,10 @@
 		name string
 		same bool
 	}{
-		{"the router's number", s.Front == next.Front},
+		{"the router's number", s.RouterIndex == next.RouterIndex},
 		{"zone", s.Zone == next.Zone},
-		{"clock step", s.Tick == next.Tick},
-		{"how servers are listed", s.MustAsk == next.MustAsk},
+		{"clock step", s.ClockStep == next.ClockStep},
+		{"how servers are listed", s.PollServerList == next.PollServerList},
 		{"connect timeout", s.ConnectTimeout == next.ConnectTimeout},
 		{"number of classes", len(s.Classes) == len(next.Classes)},
 		{"number of tenants", len(s.Tenants) == len(next.Tenants)},
--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -16,7 +16,7 @@
 		for i, effect := range effects {
 			id := RequestID(i + 1)
 			r.Request(0, testRequest(id))
-			r.Outcome(50*ms, Outcome{ID: id, Server: rec.lastServer(), Status: Read, Took: 50 * ms})
+			r.Outcome(50*ms, Outcome{ID: id, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms})
 			if i == 0 { // the write of the first request is in flight
 				next := testSettings()
 				next.Classes[0].Effect = effects[1]
@@ -36,10 +36,10 @@
 // Apply updates what is derived for servers at once: how long they are cold and how much memory a kind has.
 func TestApplyUpdatesServers(t *testing.T) {
 	cfg := testSettings()
-	young := Server{ID: "r00", Kind: 0, Weight: 1, Since: time.Second}
+	young := Server{ID: "r00", Kind: 0, Weight: 1, StartedAt: time.Second}
 	r, _ := newTestRouter(t, cfg, append(testServers(), young))
 	const now = 5 * time.Second
-	cfg.ColdFor = 2 * time.Second
+	cfg.WarmUpTime = 2 * time.Second
 	cfg.Kinds = []Kind{{Role: Reader, MemoryTokens: 1}, {Role: Writer, MemoryTokens: 3}, {Role: Mixed}}
 	if err := r.Apply(now, cfg); err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	if fresh, _ := newTestRouter(t, cfg, append(testServers(), young)); r.answerMemory != fresh.answerMemory {
 		t.Errorf("memory for answers by role is %v tokens, %v in a router that starts with these settings", r.answerMemory, fresh.answerMemory)
 	}
-	cfg.ColdFor = time.Minute
+	cfg.WarmUpTime = time.Minute
 	if err := r.Apply(now, cfg); err != nil {
 		t.Fatal(err)
 	}
@@ -67,11 +67,11 @@
 		restart bool
 	}{
 		"negative limit":         {func(s *Settings) { s.PinLimit = -1 }, false},
-		"no routers":             {func(s *Settings) { s.Fronts = 0 }, false},
-		"router index":           {func(s *Settings) { s.Front = 1 }, true},
+		"no routers":             {func(s *Settings) { s.RouterCount = 0 }, false},
+		"router index":           {func(s *Settings) { s.RouterIndex = 1 }, true},
 		"zone":                   {func(s *Settings) { s.Zone = 1 }, true},
-		"clock step":             {func(s *Settings) { s.Tick = time.Second }, true},
-		"server list on request": {func(s *Settings) { s.MustAsk = true }, true},
+		"clock step":             {func(s *Settings) { s.ClockStep = time.Second }, true},
+		"server list on request": {func(s *Settings) { s.PollServerList = true }, true},
 		"connect timeout":        {func(s *Settings) { s.ConnectTimeout = time.Second }, true},
 		"one more class":         {func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) }, true},
 		"one more tenant":        {func(s *Settings) { s.Tenants = append(s.Tenants, Tenant{}) }, true},
@@ -100,9 +100,9 @@
 	now := time.Duration(0)
 	for id := RequestID(1); id <= 400; id++ {
 		next := testSettings()
-		next.Fronts = 1 + int(id)%300
+		next.RouterCount = 1 + int(id)%300
 		next.Classes[0].Effect = Effect(id % 3)
-		next.ColdFor = time.Duration(id) * 100 * ms
+		next.WarmUpTime = time.Duration(id) * 100 * ms
 		next.Kinds[1].MemoryTokens = int(id) * 1000
 		q := testRequest(id)
 		r.Request(now, q)
@@ -111,12 +111,12 @@
 		}
 		r.Timer(now+10*ms, uint64(id))
 		reader := rec.lastServer()
-		r.Outcome(now+50*ms, Outcome{ID: id, Server: reader, Status: Read, Took: 50 * ms, Kept: q.Prompt})
-		r.Started(now+80*ms, Started{ID: id, Attempt: 1, Server: rec.lastServer(), Took: 30 * ms})
-		r.Outcome(now+500*ms, Outcome{ID: id, Attempt: 1, Server: rec.lastServer(), Status: Served, Final: true, Took: 450 * ms})
+		r.Outcome(now+50*ms, Outcome{ID: id, Server: reader, Status: Read, Elapsed: 50 * ms, CachedTokens: q.PromptLength})
+		r.Started(now+80*ms, Started{ID: id, Attempt: 1, Server: rec.lastServer(), Elapsed: 30 * ms})
+		r.Outcome(now+500*ms, Outcome{ID: id, Attempt: 1, Server: rec.lastServer(), Status: Served, Final: true, Elapsed: 450 * ms})
 		now += 600 * ms
 	}
-	r.End(now)
+	r.Shutdown(now)
 	if len(r.requests) > 0 || r.requestTokens != 0 || r.writeTokens != [Mixed + 1]int{} || r.streams != [Mixed + 1]int{} {
 		t.Errorf("%d open requests, %d request tokens, %v write tokens, %v streams left", len(r.requests), r.requestTokens, r.writeTokens, r.streams)
 	}
--- a/decide/state.go
+++ b/decide/state.go
@@ -16,7 +16,7 @@
 // is not safe for concurrent use.
 type Router struct {
 	cfg             Settings
-	exec            Front
+	exec            Executor
 	rng             *rand.Rand
 	now             time.Duration // clock time of the current event
 	servers         map[string]*server
@@ -56,7 +56,7 @@
 }
 
 // newRouter returns a Router that has not seen any event.
-func newRouter(cfg Settings, seed uint64, exec Front) *Router {
+func newRouter(cfg Settings, seed uint64, exec Executor) *Router {
 	r := &Router{cfg: cfg, exec: exec, rng: rand.New(rand.NewPCG(seed, 0)),
 		servers: make(map[string]*server), requests: make(map[RequestID]*request)}
 	r.kinds, r.demand = make([]kind, len(cfg.Kinds)), make([]rate, len(cfg.Tenants))
@@ -76,7 +76,7 @@
 // highestValue returns the highest Value of any class.
 func highestValue(classes []Class) (highest float64) {
 	for _, c := range classes {
-		highest = max(highest, c.Worth)
+		highest = max(highest, c.Value)
 	}
 	return highest
 }
@@ -403,7 +403,7 @@
 		s = &server{}
 		r.servers[e.ID] = s
 	}
-	if s.Since != e.Since || s.ID == "" { // a new process: discard what was learned about the old one
+	if s.StartedAt != e.StartedAt || s.ID == "" { // a new process: discard what was learned about the old one
 		s.prefixes.reset()
 		*s = server{prefixes: newPrefixes(e.ID), inFlight: s.inFlight, tokens: s.tokens, coldSends: s.coldSends,
 			demand: s.demand, streams: s.streams}
@@ -415,7 +415,7 @@
 		}
 	}
 	s.Server, s.role = e, r.cfg.Kinds[e.Kind].Role
-	s.warmAt = r.cfg.warmAt(e.Since)
+	s.warmAt = r.cfg.warmAt(e.StartedAt)
 }
 
 // warmAt returns the time from which a server is warm that started at since, 0 = long ago.
@@ -423,7 +423,7 @@
 	if since == 0 {
 		return math.MinInt64
 	}
-	return since + s.ColdFor
+	return since + s.WarmUpTime
 }
 
 // Probed records the load that a server reported in answer to a probe.
@@ -437,16 +437,16 @@
 		s.waitFromSilence, s.wait = false, mean{}
 	}
 	switch {
-	case s == nil || math.IsInf(probe.Tokens, 1) || math.IsInf(probe.Queue, 1):
-	case probe.Tokens >= 0:
-		s.probedWait, s.probeAnsweredAt = r.secondsPerToken*probe.Tokens, now
-	case probe.Queue >= 0:
-		s.probedWait, s.probeAnsweredAt = r.secondsPerToken*probe.Queue*minReadTokens, now
+	case s == nil || math.IsInf(probe.QueuedTokens, 1) || math.IsInf(probe.QueuedRequests, 1):
+	case probe.QueuedTokens >= 0:
+		s.probedWait, s.probeAnsweredAt = r.secondsPerToken*probe.QueuedTokens, now
+	case probe.QueuedRequests >= 0:
+		s.probedWait, s.probeAnsweredAt = r.secondsPerToken*probe.QueuedRequests*minReadTokens, now
 	default:
 		s.probedAt = 0 // answered, though without a load
 	}
-	if s != nil && probe.Queue >= 0 {
-		s.queue, s.load, s.loadAt = probe.Queue, probe.Held, now
+	if s != nil && probe.QueuedRequests >= 0 {
+		s.queue, s.load, s.loadAt = probe.QueuedRequests, probe.MemoryUse, now
 	}
 }
 
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -93,13 +93,13 @@
 			return
 		}
 		p.Server = server
-		c.log.Debug("probed", "worker", server, "queue", p.Queue, "tokens", p.Tokens)
+		c.log.Debug("probed", "worker", server, "queue", p.QueuedRequests, "tokens", p.QueuedTokens)
 		c.dispatch(func(now time.Duration, r *decide.Router) { r.Probed(now, p) })
 	}()
 }
 
-// AskServers implements decide.Front. It does nothing, as discovery pushes the worker list.
-func (x *actions) AskServers(bool) {}
+// RequestServerList implements decide.Front. It does nothing, as discovery pushes the worker list.
+func (x *actions) RequestServerList(bool) {}
 
 // statusName returns the name of a status for logs.
 func statusName(s decide.Status) string {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -260,18 +260,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopping = true
-	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.End(now) })
+	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Shutdown(now) })
 }
 
 // Learned returns what the module has learned so far.
-func (c *Core) Learned() (learned decide.Learned) {
-	c.dispatch(func(now time.Duration, r *decide.Router) { learned = r.Learned(now) })
+func (c *Core) Learned() (learned decide.Estimates) {
+	c.dispatch(func(now time.Duration, r *decide.Router) { learned = r.Estimates(now) })
 	return learned
 }
 
 // Learn passes what the previous process had learned to the module.
-func (c *Core) Learn(learned decide.Learned) (err error) {
-	c.dispatch(func(now time.Duration, r *decide.Router) { err = r.Learn(now, learned) })
+func (c *Core) Learn(learned decide.Estimates) (err error) {
+	c.dispatch(func(now time.Duration, r *decide.Router) { err = r.Restore(now, learned) })
 	return err
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -49,14 +49,14 @@
 }
 
 func (s *scriptedTransport) Probe(context.Context, Worker) (decide.Probed, error) {
-	return decide.Probed{Queue: -1, Tokens: -1}, nil
+	return decide.Probed{QueuedRequests: -1, QueuedTokens: -1}, nil
 }
 
-var settings = decide.Settings{Fronts: 1, Tick: 2 * time.Millisecond, MaxAttempts: 4, CanCancel: true, PinLimit: 300 * time.Millisecond,
+var settings = decide.Settings{RouterCount: 1, ClockStep: 2 * time.Millisecond, MaxAttempts: 4, CanCancel: true, PinLimit: 300 * time.Millisecond,
 	Kinds: []decide.Kind{{Role: decide.Reader, MemoryTokens: 1e5}, {Role: decide.Writer, MemoryTokens: 1e5}},
 	Classes: []decide.Class{
-		{Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: decide.Safe},
-		{Aim: time.Second, Deadline: 5 * time.Second, Worth: 2, Effect: decide.Unsafe}}}
+		{TTFTTarget: time.Second, Deadline: 5 * time.Second, Value: 1, Effect: decide.Safe},
+		{TTFTTarget: time.Second, Deadline: 5 * time.Second, Value: 2, Effect: decide.Unsafe}}}
 
 // The classes of settings.
 const (
@@ -93,7 +93,7 @@
 }
 
 func newRequest(class int, left time.Duration) decide.Request {
-	return decide.Request{Class: class, TimeLeft: left, Session: 5, Prompt: 100, MaxOutput: 10}
+	return decide.Request{Class: class, TimeLeft: left, Session: 5, PromptLength: 100, MaxOutput: 10}
 }
 
 func TestReadThenWriteStreamsToTheEnd(t *testing.T) {
@@ -193,7 +193,7 @@
 			if a.Allowed() {
 				t.Error("an attempt at a draining worker is still allowed")
 			}
-			return Result{Status: decide.Moot}
+			return Result{Status: decide.Unsent}
 		}
 		return Result{Stream: a.To.ID}
 	}
@@ -245,7 +245,7 @@
 
 // A request that the module gives up is answered at once, not at its deadline.
 func TestAbandonedRequestIsAnsweredImmediately(t *testing.T) {
-	s := &scriptedTransport{try: func(context.Context, Attempt) Result { return Result{Status: decide.Full, Err: io.EOF} }}
+	s := &scriptedTransport{try: func(context.Context, Attempt) Result { return Result{Status: decide.Rejected, Err: io.EOF} }}
 	c := newTestCore(t, s, "w")
 	c.SetWorkers(true, nil)
 	began := time.Now()
@@ -338,12 +338,12 @@
 	all := append([]Worker{reader}, writers...)
 	long := settings
 	long.PinLimit, long.MaxAttempts = 0, 0
-	long.Classes = []decide.Class{{Aim: time.Hour, Deadline: 2 * time.Hour, Worth: 1}}
+	long.Classes = []decide.Class{{TTFTTarget: time.Hour, Deadline: 2 * time.Hour, Value: 1}}
 	full := func(a Attempt) Result {
 		if a.Read {
 			return Result{Status: decide.Read}
 		}
-		return Result{Status: decide.Full}
+		return Result{Status: decide.Rejected}
 	}
 	for name, x := range map[string]struct {
 		tries           int      // attempts before the client leaves
@@ -417,7 +417,7 @@
 // Wait may be called while requests still come. The requests from before the call have ended when it returns, and it must
 // not miss the moment at which none is left.
 func TestWaitWhileRequestsCome(t *testing.T) {
-	s := &scriptedTransport{try: func(context.Context, Attempt) Result { return Result{Status: decide.Full} }}
+	s := &scriptedTransport{try: func(context.Context, Attempt) Result { return Result{Status: decide.Rejected} }}
 	c := newTestCore(t, s, "w")
 	c.SetWorkers(true, nil)
 	var all sync.WaitGroup
@@ -451,7 +451,7 @@
 				}
 				if a.Number > 0 {
 					next = time.Now()
-					return Result{Status: decide.Full}
+					return Result{Status: decide.Rejected}
 				}
 				<-ctx.Done()
 				time.Sleep(min(a.Settle, workerEndTime))
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -42,7 +42,7 @@
 // checkGuardWasAsked counts a violation if an attempt may have reached its worker although its transport never asked
 // MaySend.
 func (req *activeRequest) checkGuardWasAsked(a *attempt, status decide.Status) {
-	if a.guardChecked.Load() || status == decide.Moot || status == decide.ConnectFailed {
+	if a.guardChecked.Load() || status == decide.Unsent || status == decide.ConnectFailed {
 		return
 	}
 	req.core.Guard.Violated(invariant.Sending, "not checked", "id", req.ID, "txn", req.Label, "n", a.Number, "worker", a.To.ID)
@@ -77,7 +77,7 @@
 // mayHaveRun reports whether a write that ended with status may have taken effect.
 func mayHaveRun(status decide.Status) bool {
 	switch status {
-	case decide.Full, decide.ConnectFailed, decide.Moot, decide.Read:
+	case decide.Rejected, decide.ConnectFailed, decide.Unsent, decide.Read:
 		return false
 	}
 	return true
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -68,7 +68,7 @@
 	if req.checkRepeatAllowed(true) {
 		t.Error("an attempt beyond MaxAttempts is allowed")
 	}
-	for status, want := range map[decide.Status]bool{decide.Full: false, decide.ConnectFailed: false, decide.Moot: false,
+	for status, want := range map[decide.Status]bool{decide.Rejected: false, decide.ConnectFailed: false, decide.Unsent: false,
 		decide.Errored: true, decide.TimedOut: true, decide.Reset: true, decide.Cancelled: true, decide.Served: true} {
 		if mayHaveRun(status) != want {
 			t.Errorf("status %d may have run: %v", status, !want)
@@ -105,7 +105,7 @@
 		t.Error("an attempt for a request that has its answer was not stopped")
 	}
 	unasked := &attempt{}
-	req.checkGuardWasAsked(unasked, decide.Moot)
+	req.checkGuardWasAsked(unasked, decide.Unsent)
 	if req.checkGuardWasAsked(unasked, decide.Reset); violations(c, invariant.Sending) != 1 {
 		t.Errorf("%d violations by a transport that does not ask, want 1", violations(c, invariant.Sending))
 	}
--- a/internal/core/life.go
+++ b/internal/core/life.go
@@ -157,7 +157,7 @@
 			// is the one that promises nothing.
 			if req.settleAs(Failed) {
 				c.log.Error("overdue", "id", req.ID, "txn", req.Label, "class", req.Class)
-				c.dispatch(func(now time.Duration, r *decide.Router) { r.Left(now, req.ID) })
+				c.dispatch(func(now time.Duration, r *decide.Router) { r.ClientLeft(now, req.ID) })
 			}
 		}
 		req.releaseIfDue()
@@ -175,7 +175,7 @@
 // handleClientGone settles the request once its client has left, or closes the stream that nobody reads any more.
 func (req *activeRequest) handleClientGone() {
 	if req.settleAs(Gone) {
-		req.core.dispatch(func(now time.Duration, r *decide.Router) { r.Left(now, req.ID) })
+		req.core.dispatch(func(now time.Duration, r *decide.Router) { r.ClientLeft(now, req.ID) })
 	} else if req.streaming {
 		// Guards against a stream that goes on, or hangs, with nobody to read it.
 		req.clientLeft = true
@@ -250,7 +250,7 @@
 	}
 	req.core.log.Log(context.Background(), level, "answer", "verdict", names[v], "id", req.ID, "txn", req.Label, "class", req.Class,
 		"why", req.latestReason(), "after_ms", time.Since(req.arrived).Milliseconds(), "left_ms", req.TimeLeft.Milliseconds(),
-		"attempts", len(req.attempts), "prompt", req.Prompt, "worker", worker)
+		"attempts", len(req.attempts), "prompt", req.PromptLength, "worker", worker)
 }
 
 // startAttempt starts the attempt that the module has chosen. One that a guard stops, or whose worker is not listed any
@@ -268,19 +268,19 @@
 	a.Verify = !a.Read && req.stateWaiting && req.settings.CanProbe
 	a.Verified = func() {
 		a.verified.Store(true)
-		c.dispatch(func(now time.Duration, r *decide.Router) { r.Verified(now, req.ID, n) })
+		c.dispatch(func(now time.Duration, r *decide.Router) { r.ConnectionVerified(now, req.ID, n) })
 	}
 	repeatAllowed := req.checkRepeatAllowed(a.Read)
 	req.attempts = append(req.attempts, a)
 	req.inFlight++
 	if w.ID == "" || !repeatAllowed || !a.Allowed() {
 		a.cancel = func(error) {}
-		req.events <- attemptEvent{n, Result{Status: decide.Moot}}
+		req.events <- attemptEvent{n, Result{Status: decide.Unsent}}
 		return
 	}
 	uptime := time.Duration(0) // of w as the module knows it, 0 = long
-	if w.Since > 0 {
-		uptime = max(time.Millisecond, c.clock()-w.Since)
+	if w.StartedAt > 0 {
+		uptime = max(time.Millisecond, c.clock()-w.StartedAt)
 	}
 	c.log.Debug("send", "id", req.ID, "txn", req.Label, "n", n, "why", req.latestReason(), "worker", w.ID, "kind", w.Kind, "read", a.Read, "up_ms", uptime.Milliseconds())
 	ctx, stop := context.WithCancelCause(context.Background())
@@ -346,7 +346,7 @@
 	if won {
 		req.verdict = Streaming
 		c.dispatchLocked(func(now time.Duration, r *decide.Router) {
-			r.Started(now, decide.Started{ID: req.ID, Attempt: e.attemptNumber, Server: a.To.ID, Took: time.Since(a.began)})
+			r.Started(now, decide.Started{ID: req.ID, Attempt: e.attemptNumber, Server: a.To.ID, Elapsed: time.Since(a.began)})
 		})
 	}
 	c.mu.Unlock()
@@ -389,20 +389,20 @@
 	a.inFlight, a.mayHaveRun = false, !a.Read && mayHaveRun(e.Status)
 	req.inFlight--
 	a.cancel(errCancelled) // frees the context
-	if e.Status != decide.Moot {
-		req.core.recordContact(a.To.ID, e.Status == decide.Read || e.Status == decide.Full || e.Status == decide.Errored)
+	if e.Status != decide.Unsent {
+		req.core.recordContact(a.To.ID, e.Status == decide.Read || e.Status == decide.Rejected || e.Status == decide.Errored)
 	}
 	switch {
 	case e.Status == decide.Read:
 		req.mayHoldState, req.stateWaiting, req.reader = true, true, a.To
 		req.heldSince, req.releasedAtLimit = time.Now(), false
 		req.successfulReads.Add(1)
-		if predicted, ok := req.Kept[a.To.ID]; ok && req.core.Texts != nil {
+		if predicted, ok := req.CachedTokens[a.To.ID]; ok && req.core.Texts != nil {
 			req.core.Texts.Found(a.To.ID, predicted, e.Kept)
 		}
 	case e.NoState:
 		req.stateWaiting = false
-	case !a.Read && (a.verified.Load() || e.Status == decide.Errored || e.Status == decide.Full):
+	case !a.Read && (a.verified.Load() || e.Status == decide.Errored || e.Status == decide.Rejected):
 		// The write had arrived at the writer: the holding time of the state starts anew.
 		req.heldSince, req.releasedAtLimit = time.Now(), false
 	case a.Read && (e.Status == decide.TimedOut || e.Status == decide.Cancelled || e.Status == decide.Reset ||
@@ -417,7 +417,7 @@
 	}
 	req.core.log.Log(context.Background(), level, "attempt", "id", req.ID, "txn", req.Label, "n", e.attemptNumber, "worker", a.To.ID, "status", statusName(e.Status),
 		"took_ms", time.Since(a.began).Milliseconds(), "read", a.Read, "no_state", e.NoState, "kept", e.Kept,
-		"prompt", req.Prompt, "held_ms", req.heldFor().Milliseconds(), "err", e.Err)
+		"prompt", req.PromptLength, "held_ms", req.heldFor().Milliseconds(), "err", e.Err)
 	req.reportOutcome(e.attemptNumber, e.Result)
 }
 
@@ -426,7 +426,7 @@
 	a, c := req.attempts[n], req.core
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := decide.Outcome{ID: req.ID, Attempt: n, Server: a.To.ID, Status: res.Status, Took: time.Since(a.began),
-		Final: req.verdict != Open, Kept: res.Kept, NoState: res.NoState}
+	o := decide.Outcome{ID: req.ID, Attempt: n, Server: a.To.ID, Status: res.Status, Elapsed: time.Since(a.began),
+		Final: req.verdict != Open, CachedTokens: res.Kept, NoState: res.NoState}
 	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Outcome(now, o) })
 }
--- a/internal/core/workerlist.go
+++ b/internal/core/workerlist.go
@@ -17,7 +17,7 @@
 	defer c.notifyAcceptingChange(c.accepting())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := decide.ServerList{Whole: whole}
+	list := decide.ServerList{Complete: whole}
 	now, wall := c.clock(), wallclock.Now()
 	if whole {
 		for id, w := range c.workers {
@@ -31,7 +31,7 @@
 			w = old
 			w.State = decide.Gone
 		}
-		w.Since = c.workerStarts.startedAt(now, wall, w.ID, w.Born)
+		w.StartedAt = c.workerStarts.startedAt(now, wall, w.ID, w.Born)
 		c.workers[w.ID] = w
 		list.Servers = append(list.Servers, c.moduleView(w))
 	}
--- a/internal/decisions/desk.go
+++ b/internal/decisions/desk.go
@@ -271,7 +271,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	s := &delegation{id: a.Request, caller: a.Caller, readHere: a.ReadHere, singleWrite: a.OneWrite, outcome: make(chan error, 1), cancel: cancel, releaseID: releaseID,
-		choice: &choice{done: make(chan struct{})}, estimate: a.Query.Hint}
+		choice: &choice{done: make(chan struct{})}, estimate: a.Query.DurationHint}
 	_, s.span = d.observer.Tracer.Start(ctx, "request", trace.WithAttributes(attribute.String("caller", a.Caller),
 		attribute.String("request", a.Request), attribute.Int("class", a.Class)))
 	d.delegations[s.id] = s
@@ -372,7 +372,7 @@
 	}
 	s.chosenOffer = nil
 	if !o.Allowed() {
-		o.result <- core.Result{Status: decide.Moot}
+		o.result <- core.Result{Status: decide.Unsent}
 		return
 	}
 	g, err := d.table.Offer(d.now(), s.id, o.To.ID, o.Read, o.Remaining())
@@ -381,7 +381,7 @@
 	case errors.As(err, &busy): // the ledger is full: the request is refused, nothing has run
 		s.cancel(&Refused{busy.After})
 	case err != nil:
-		o.result <- core.Result{Status: decide.Moot, Err: err}
+		o.result <- core.Result{Status: decide.Unsent, Err: err}
 	default:
 		o.grant, s.grantedOffer = g, o
 		d.answer(s, g, o.To, nil)
@@ -583,7 +583,7 @@
 	d.mu.Lock()
 	if s.singleWrite && d.table.Latest(s.id) != nil { // the caller can carry no other write
 		d.mu.Unlock()
-		return core.Result{Status: decide.Moot}
+		return core.Result{Status: decide.Unsent}
 	}
 	s.chosenOffer = o
 	d.offerPending(s)
@@ -605,7 +605,7 @@
 		s.grantedOffer = nil
 	}
 	if o.grant == nil {
-		return core.Result{Status: decide.Moot}
+		return core.Result{Status: decide.Unsent}
 	}
 	select {
 	case r := <-o.result: // the result arrived together with the cancellation
--- a/internal/decisions/server.go
+++ b/internal/decisions/server.go
@@ -128,7 +128,7 @@
 	head := http.Header{"Content-Type": {"application/json"}, "X-Txn": {r.Request}, "X-Lane": {s.Names[class]},
 		"X-Labels": {fmt.Sprintf("prompt_len=%d,max_out=%d", r.PromptTokens, r.MaxOutputTokens)}}
 	if len(r.Body) > 0 {
-		q.Kept = s.Desk.core.Kept(func() []byte { return httpfront.Prompt(r.Body) })
+		q.CachedTokens = s.Desk.core.Kept(func() []byte { return httpfront.Prompt(r.Body) })
 	}
 	q.Leased = true // state is held for as long as the caller renews; see grant.Config
 	path := r.Path
@@ -200,8 +200,8 @@
 	if left < 0 || left > maxTimeout || hint < 0 || hint > time.Hour {
 		return 0, q, errors.New("first_token_within or estimate: out of range")
 	}
-	return class, decide.Request{Label: r.Request, Class: class, TimeLeft: left, Session: r.Session, Prefix: r.Prefix, Prompt: int(r.PromptTokens),
-		PrefixLen: int(r.PrefixTokens), MaxOutput: int(r.MaxOutputTokens), Hint: hint, Repeat: r.Resent}, nil
+	return class, decide.Request{Label: r.Request, Class: class, TimeLeft: left, Session: r.Session, Prefix: r.Prefix, PromptLength: int(r.PromptTokens),
+		PrefixLength: int(r.PrefixTokens), MaxOutput: int(r.MaxOutputTokens), DurationHint: hint, ClientRetry: r.Resent}, nil
 }
 
 // Renew implements the service.
@@ -266,9 +266,9 @@
 		if r.Errored {
 			return grant.NotSent, core.Result{Status: decide.ConnectFailed}, true
 		}
-		return grant.NotSent, core.Result{Status: decide.Moot}, true
+		return grant.NotSent, core.Result{Status: decide.Unsent}, true
 	case pb.Fate_FATE_TURNED_AWAY:
-		return grant.TurnedAway, core.Result{Status: decide.Full, NoState: r.NoState}, true
+		return grant.TurnedAway, core.Result{Status: decide.Rejected, NoState: r.NoState}, true
 	case pb.Fate_FATE_READ:
 		return grant.Read, core.Result{Status: decide.Read, Kept: int(r.CachedTokens)}, true
 	case pb.Fate_FATE_BEGUN:
--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -328,7 +328,7 @@
 		c.Log.Info("bad request", "status", code, "err", err)
 		return true, c.sendImmediate(code, nil, err.Error())
 	}
-	q.Kept = c.Core.Kept(func() []byte { return httpfront.Prompt(c.body) })
+	q.CachedTokens = c.Core.Kept(func() []byte { return httpfront.Prompt(c.body) })
 	id := c.header.Get("X-Txn")
 	q.Label = id
 	g, worker, err := c.Desk.Choose(ctx, decisions.Ask{Called: called, Query: q, ReadHere: true, Attached: true, OneWrite: true,
@@ -456,7 +456,7 @@
 	}
 	switch result.Status {
 	case 0:
-	case decide.Full:
+	case decide.Rejected:
 		fate = grant.TurnedAway
 	default:
 		fate = grant.Ran
--- a/internal/grant/explore_test.go
+++ b/internal/grant/explore_test.go
@@ -99,7 +99,7 @@
 }
 
 func (w *sim) serverList() decide.ServerList {
-	l := decide.ServerList{Whole: true}
+	l := decide.ServerList{Complete: true}
 	for _, b := range w.workers {
 		l.Servers = append(l.Servers, decide.Server{ID: b.id, Kind: b.kind, State: b.state, Weight: 1})
 	}
@@ -158,10 +158,10 @@
 	if w.table, err = New(testConfig, 0, func(e Event) { w.trace = append(w.trace, fmt.Sprint(e)) }); err != nil {
 		panic(err)
 	}
-	class := decide.Class{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}
+	class := decide.Class{TTFTTarget: time.Second, Deadline: 4 * time.Second, Value: 1}
 	message := class
 	message.Effect = decide.Unsafe
-	set := decide.Settings{Fronts: 1, Classes: []decide.Class{class, message}, MaxAttempts: 6, CanCancel: true, Tick: 2 * ms,
+	set := decide.Settings{RouterCount: 1, Classes: []decide.Class{class, message}, MaxAttempts: 6, CanCancel: true, ClockStep: 2 * ms,
 		Kinds: []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer}}, PinLimit: 500 * ms, MaxRetryAfter: time.Second}
 	if w.router, err = decide.New(set, seed, (*routerActions)(w)); err != nil {
 		panic(err)
@@ -266,7 +266,7 @@
 		if c.Once {
 			class = 1
 		}
-		w.router.Request(w.now, decide.Request{ID: l.num, Class: class, TimeLeft: time.Second + w.upTo(3*time.Second), Prompt: 100, Session: uint64(l.num)})
+		w.router.Request(w.now, decide.Request{ID: l.num, Class: class, TimeLeft: time.Second + w.upTo(3*time.Second), PromptLength: 100, Session: uint64(l.num)})
 	default:
 		l.waiting = append(l.waiting, c)
 		w.offerChosen(l)
@@ -299,7 +299,7 @@
 		}
 		g, err := w.table.Offer(w.now, l.id, s.server, s.server[0] == 'r', s.wait)
 		if err != nil {
-			w.after(0, func() { w.finishAttempt(l, s, decide.Moot) })
+			w.after(0, func() { w.finishAttempt(l, s, decide.Unsent) })
 			continue
 		}
 		s.grant, s.grantedAt = g, w.now
@@ -316,10 +316,10 @@
 	if l.current != nil && l.current.n == s.n {
 		l.current = nil
 	}
-	o := decide.Outcome{ID: l.num, Attempt: s.n, Server: s.server, Status: status, Took: w.now - s.grantedAt, Final: l.begun || l.over}
+	o := decide.Outcome{ID: l.num, Attempt: s.n, Server: s.server, Status: status, Elapsed: w.now - s.grantedAt, Final: l.begun || l.over}
 	if status == decide.Served && !l.begun {
 		l.begun = true
-		w.router.Started(w.now, decide.Started{ID: l.num, Attempt: s.n, Server: s.server, Took: o.Took})
+		w.router.Started(w.now, decide.Started{ID: l.num, Attempt: s.n, Server: s.server, Elapsed: o.Elapsed})
 		o.Final = true
 	}
 	w.router.Outcome(w.now, o)
@@ -336,7 +336,7 @@
 	}
 }
 
-var statusOfFate = map[Fate]decide.Status{NotSent: decide.ConnectFailed, TurnedAway: decide.Full, Read: decide.Read, Begun: decide.Served, Ran: decide.Reset}
+var statusOfFate = map[Fate]decide.Status{NotSent: decide.ConnectFailed, TurnedAway: decide.Rejected, Read: decide.Read, Begun: decide.Served, Ran: decide.Reset}
 
 func (w *sim) report(caller string, id uint64, fate Fate) {
 	g := w.table.grants[id]
@@ -362,12 +362,12 @@
 			}
 		case Forsake:
 			l.over = true
-			w.router.Left(w.now, l.num)
+			w.router.ClientLeft(w.now, l.num)
 			if l.current != nil { // report its end, so that the decide.Router forgets the request
 				w.finishAttempt(l, *l.current, decide.Cancelled)
 			}
 			for _, s := range l.chosen {
-				w.finishAttempt(l, s, decide.Moot)
+				w.finishAttempt(l, s, decide.Unsent)
 			}
 			w.release(l.id)
 		case Sweep:
@@ -403,7 +403,7 @@
 			w.finishAttempt(l, *l.current, decide.Cancelled)
 		}
 		for _, s := range l.chosen {
-			w.finishAttempt(l, s, decide.Moot)
+			w.finishAttempt(l, s, decide.Unsent)
 		}
 		l.chosen = nil
 	})
@@ -432,7 +432,7 @@
 		for i := range l.chosen {
 			if s := l.chosen[i]; s.n == n && !s.cancelled {
 				l.chosen[i].cancelled = true
-				w.finishAttempt(l, s, decide.Moot)
+				w.finishAttempt(l, s, decide.Unsent)
 			}
 		}
 	})
@@ -448,8 +448,8 @@
 	w := (*sim)(f)
 	w.after(at-w.now, func() { w.router.Timer(w.now, token) })
 }
-func (f *routerActions) Probe(string)    {}
-func (f *routerActions) AskServers(bool) {}
+func (f *routerActions) Probe(string)           {}
+func (f *routerActions) RequestServerList(bool) {}
 
 // fakeCaller is a scripted caller.
 type fakeCaller struct {
--- a/internal/grpcfront/bridge.go
+++ b/internal/grpcfront/bridge.go
@@ -151,13 +151,13 @@
 
 // Bridge returns a carrier of an HTTP client's request for servers that speak gRPC. It is an httpfront.Bridge.
 func (w *Workers) Bridge(q decide.Request, id, class string, body []byte) core.Carrier {
-	r := &pb.CompleteRequest{Id: id, Class: class, Session: q.Session, Prefix: q.Prefix, PromptTokens: int64(q.Prompt),
-		PrefixTokens: int64(q.PrefixLen), MaxOutputTokens: int64(q.MaxOutput), Estimate: durationpb.New(q.Hint),
+	r := &pb.CompleteRequest{Id: id, Class: class, Session: q.Session, Prefix: q.Prefix, PromptTokens: int64(q.PromptLength),
+		PrefixTokens: int64(q.PrefixLength), MaxOutputTokens: int64(q.MaxOutput), Estimate: durationpb.New(q.DurationHint),
 		FirstTokenWithin: durationpb.New(q.TimeLeft)}
 	switch {
 	case q.Resumed:
 		r.Resent = pb.Resent_RESENT_RESUME
-	case q.Repeat:
+	case q.ClientRetry:
 		r.Resent = pb.Resent_RESENT_RETRY
 	}
 	if err := fromBody(r, body); err != nil { // a message of a form that pb.Message can't represent
@@ -207,7 +207,7 @@
 type invalidRequest struct{ err error }
 
 func (b invalidRequest) Try(context.Context, core.Attempt) core.Result {
-	return core.Result{Status: decide.Moot, Err: b.err}
+	return core.Result{Status: decide.Unsent, Err: b.err}
 }
 
 func (b invalidRequest) Release(context.Context, core.Worker) error { return b.err }
--- a/internal/grpcfront/bridge_test.go
+++ b/internal/grpcfront/bridge_test.go
@@ -58,7 +58,7 @@
 func TestBridgeRejectsBodyItCannotTranslate(t *testing.T) {
 	w := NewWorkers(0, 0)
 	c := w.Bridge(decide.Request{}, "a", "draft-reply", []byte(`{"messages":[{"role":"user","content":[{"type":"image"}]}]}`))
-	if r := c.Try(context.Background(), core.Attempt{}); r.Status != decide.Moot || r.Err == nil {
+	if r := c.Try(context.Background(), core.Attempt{}); r.Status != decide.Unsent || r.Err == nil {
 		t.Errorf("%+v", r)
 	}
 }
@@ -78,7 +78,7 @@
 
 // Calls beyond the limit are refused, not failed: nothing has run, and the client is told when to retry.
 func TestTooManyOpenCallsAreRefused(t *testing.T) {
-	c, err := core.New(decide.Settings{Fronts: 1, MaxRetryAfter: 100 * time.Millisecond}, 1, nil, nil)
+	c, err := core.New(decide.Settings{RouterCount: 1, MaxRetryAfter: 100 * time.Millisecond}, 1, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -99,7 +99,7 @@
 		return status.Errorf(codes.AlreadyExists, "id: %q is open already", req.Id)
 	}
 	defer releaseID()
-	q.Kept = s.core.Kept(func() (text []byte) {
+	q.CachedTokens = s.core.Kept(func() (text []byte) {
 		for _, m := range req.Messages {
 			text = append(text, m.Content...)
 		}
@@ -184,7 +184,7 @@
 	if left < 0 || left > maxFirstTokenWait || hint < 0 || hint > time.Hour {
 		return q, fmt.Errorf("first_token_within or estimate: out of range")
 	}
-	return decide.Request{Label: r.Id, Class: class, TimeLeft: left, Session: r.Session, Prefix: r.Prefix, Prompt: int(r.PromptTokens),
-		PrefixLen: int(r.PrefixTokens), MaxOutput: int(r.MaxOutputTokens), Hint: hint,
-		Repeat: r.Resent != pb.Resent_RESENT_UNSPECIFIED, Resumed: r.Resent == pb.Resent_RESENT_RESUME}, nil
+	return decide.Request{Label: r.Id, Class: class, TimeLeft: left, Session: r.Session, Prefix: r.Prefix, PromptLength: int(r.PromptTokens),
+		PrefixLength: int(r.PrefixTokens), MaxOutput: int(r.MaxOutputTokens), DurationHint: hint,
+		ClientRetry: r.Resent != pb.Resent_RESENT_UNSPECIFIED, Resumed: r.Resent == pb.Resent_RESENT_RESUME}, nil
 }
--- a/internal/grpcfront/workers.go
+++ b/internal/grpcfront/workers.go
@@ -178,7 +178,7 @@
 		return core.Result{Status: decide.ConnectFailed, Err: err}
 	case err != nil || !a.Allowed(): // cancelled, or the server has started to drain: nothing was sent
 		stop(nil)
-		return core.Result{Status: decide.Moot, Err: err}
+		return core.Result{Status: decide.Unsent, Err: err}
 	}
 	if a.Verify { // probes use the same connection, so an answered probe shows that it is alive
 		a.Verified()
@@ -217,9 +217,9 @@
 	turnedAway := len(metadata.MD(call.Trailer()).Get(TurnedAway)) > 0
 	switch {
 	case turnedAway && code == codes.FailedPrecondition:
-		return core.Result{Status: decide.Full, NoState: true}
+		return core.Result{Status: decide.Rejected, NoState: true}
 	case turnedAway && (code == codes.Unavailable || code == codes.ResourceExhausted):
-		res.Status = decide.Full
+		res.Status = decide.Rejected
 	case cancelled:
 		x.awaitCancellation(a)
 		res.Status = decide.Cancelled
@@ -273,9 +273,9 @@
 	if err != nil {
 		return decide.Probed{}, err
 	}
-	p := decide.Probed{Queue: -1, Tokens: -1}
+	p := decide.Probed{QueuedRequests: -1, QueuedTokens: -1}
 	if r.Queue != nil && *r.Queue >= 0 && *r.Queue <= maxTokens { // an implausible value counts as not reported
-		p.Queue = *r.Queue
+		p.QueuedRequests = *r.Queue
 	}
 	return p, nil
 }
--- a/internal/holders/holders.go
+++ b/internal/holders/holders.go
@@ -33,7 +33,7 @@
 }
 
 // Holders returns the holders of a key in no particular order. The slice is valid until the next change.
-func (x *Index[K, H]) Of(key K) []H { return x.byKey[key] }
+func (x *Index[K, H]) Holders(key K) []H { return x.byKey[key] }
 
 // Len returns the number of keys that have a holder.
 func (x *Index[K, H]) Len() int { return len(x.byKey) }
--- a/internal/holders/holders_test.go
+++ b/internal/holders/holders_test.go
@@ -24,7 +24,7 @@
 			index.Add(key, name)
 			pairs[key][name] = true
 		}
-		got := slices.Sorted(slices.Values(index.Of(key)))
+		got := slices.Sorted(slices.Values(index.Holders(key)))
 		var want []string
 		for _, n := range names {
 			if pairs[key][n] {
--- a/internal/httpfront/discovery.go
+++ b/internal/httpfront/discovery.go
@@ -182,7 +182,7 @@
 		if after == unknownVersion {
 			deadline = newsMoved
 		}
-		interval := max(backoffLeast, backoffEach*time.Duration(d.Core.Settings().Fronts)) // all routers share discovery
+		interval := max(backoffLeast, backoffEach*time.Duration(d.Core.Settings().RouterCount)) // all routers share discovery
 		pause := backoff(err, failures, interval, deadline-newsSpare-time.Since(lastHeard))
 		failures++
 		if ctx.Err() == nil {
--- a/internal/httpfront/due_test.go
+++ b/internal/httpfront/due_test.go
@@ -227,7 +227,7 @@
 
 // follow returns a Discovery that follows a, for one of that many routers, and its core.
 func (a *fakeDiscovery) follow(fronts int) (*Discovery, *core.Core) {
-	c, err := core.New(decide.Settings{Fronts: fronts, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
+	c, err := core.New(decide.Settings{RouterCount: fronts, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
 	if err != nil {
 		a.t.Fatal(err)
 	}
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -174,7 +174,7 @@
 	}
 	q.Label = r.Header.Get(headTxn)
 	q.TimeLeft = max(0, q.TimeLeft-onItsWay(r.Context()))
-	q.Kept = f.core.Kept(func() []byte { return Prompt(body) })
+	q.CachedTokens = f.core.Kept(func() []byte { return Prompt(body) })
 	f.forward(w, r, q, body, reservation)
 }
 
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -55,10 +55,10 @@
 func aimingAt(t *testing.T, addr string, aim time.Duration) (*Front, *core.Core) {
 	t.Helper()
 	w := NewWorkers(250*time.Millisecond, 15*time.Second, 100, quiet)
-	c, err := core.New(decide.Settings{Fronts: 1, Tick: 2 * time.Millisecond, MaxAttempts: 4, CanCancel: true, PinLimit: 300 * time.Millisecond,
+	c, err := core.New(decide.Settings{RouterCount: 1, ClockStep: 2 * time.Millisecond, MaxAttempts: 4, CanCancel: true, PinLimit: 300 * time.Millisecond,
 		MaxRetryAfter: 500 * time.Millisecond,
 		Kinds:         []decide.Kind{{Role: decide.Reader, MemoryTokens: 1e5}, {Role: decide.Writer, MemoryTokens: 1e5}},
-		Classes:       []decide.Class{{Aim: aim, Deadline: 5 * aim, Worth: 1, Effect: decide.Unsafe}}}, 1, w, quiet)
+		Classes:       []decide.Class{{TTFTTarget: aim, Deadline: 5 * aim, Value: 1, Effect: decide.Unsafe}}}, 1, w, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,9 +190,9 @@
 	}{
 		{"read", true, 202, "", `{"cached_tokens":7}`, decide.Read, false},
 		{"read, malformed", true, 202, "", `{"cach`, decide.Read, false},
-		{"full", false, 503, "1", "", decide.Full, false},
-		{"over", false, 504, "1", "", decide.Full, false},
-		{"no state", false, 410, "1", "", decide.Full, true},
+		{"full", false, 503, "1", "", decide.Rejected, false},
+		{"over", false, 504, "1", "", decide.Rejected, false},
+		{"no state", false, 410, "1", "", decide.Rejected, true},
 		{"error", false, 500, "", "", decide.Errored, false},
 		{"503 without X-Turned-Away", false, 503, "", "", decide.Errored, false},
 		{"a writer that reads", false, 202, "", "{}", decide.Errored, false},
@@ -219,7 +219,7 @@
 		}
 		a.Allowed = func() bool { return false }
 		a.To.Addr = s.Listener.Addr().String()
-		if res := x.Try(context.Background(), a); res.Status != decide.ConnectFailed && res.Status != decide.Moot {
+		if res := x.Try(context.Background(), a); res.Status != decide.ConnectFailed && res.Status != decide.Unsent {
 			t.Errorf("not allowed: %+v", res)
 		}
 	}
@@ -268,7 +268,7 @@
 		<-r.Context().Done()
 	}))
 	defer s.Close()
-	c, _ := core.New(decide.Settings{Fronts: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
+	c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
 	d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 0, quiet)
 	defer d.Close()
 	d.Follow(s.Listener.Addr().String(), 41)
@@ -300,7 +300,7 @@
 	addDamagedSeeds(f, head().Get("X-Labels"))
 	f.Fuzz(func(t *testing.T, text string) {
 		var q decide.Request
-		if err := parseLabels(&q, text); err == nil && (q.Prompt < 0 || q.PrefixLen < 0 || q.MaxOutput < 0 || q.Prompt > maxTokens) {
+		if err := parseLabels(&q, text); err == nil && (q.PromptLength < 0 || q.PrefixLength < 0 || q.MaxOutput < 0 || q.PromptLength > maxTokens) {
 			t.Errorf("%q: %+v", text, q)
 		}
 	})
@@ -329,7 +329,7 @@
 		if n, err := parseRead([]byte(text)); err == nil && (n < 0 || n > maxTokens) {
 			t.Errorf("%q: kept %d", text, n)
 		}
-		if p, err := parseLoad(text); err == nil && !(p.Queue >= -1 && p.Tokens >= -1 && p.Queue <= maxTokens) {
+		if p, err := parseLoad(text); err == nil && !(p.QueuedRequests >= -1 && p.QueuedTokens >= -1 && p.QueuedRequests <= maxTokens) {
 			t.Errorf("%q: %+v", text, p)
 		}
 	})
@@ -347,7 +347,7 @@
 				h.Set(k, v)
 			}
 		}
-		if q, err := classes.parseHead(h); err == nil && (q.Class != 0 || q.TimeLeft < 0 || q.Hint < 0 || !ValidID(h.Get(headTxn))) {
+		if q, err := classes.parseHead(h); err == nil && (q.Class != 0 || q.TimeLeft < 0 || q.DurationHint < 0 || !ValidID(h.Get(headTxn))) {
 			t.Error(fmt.Sprintf("%q: %+v", text, q))
 		}
 	})
@@ -394,7 +394,7 @@
 		<-r.Context().Done()
 	}))
 	defer s.Close()
-	c, _ := core.New(decide.Settings{Fronts: 1 << 20, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
+	c, _ := core.New(decide.Settings{RouterCount: 1 << 20, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
 	d := NewDiscovery(Names{}, c, 0, quiet)
 	defer d.Close()
 	d.Follow(s.Listener.Addr().String(), 41)
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -80,9 +80,9 @@
 func patient(t *testing.T, worker string) (*Front, *core.Core) {
 	t.Helper()
 	w := NewWorkers(time.Minute, 15*time.Second, 2000, quiet)
-	c, err := core.New(decide.Settings{Fronts: 1, Tick: time.Millisecond, CanCancel: true,
+	c, err := core.New(decide.Settings{RouterCount: 1, ClockStep: time.Millisecond, CanCancel: true,
 		Kinds:   []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer}},
-		Classes: []decide.Class{{Aim: time.Hour, Deadline: 2 * time.Hour, Worth: 1}}}, 1, w, quiet)
+		Classes: []decide.Class{{TTFTTarget: time.Hour, Deadline: 2 * time.Hour, Value: 1}}}, 1, w, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpfront/guard_test.go
+++ b/internal/httpfront/guard_test.go
@@ -469,7 +469,7 @@
 		once.Do(func() { close(late) })
 		return nil
 	}
-	if res := x.Try(context.Background(), a); res.Status != decide.Full {
+	if res := x.Try(context.Background(), a); res.Status != decide.Rejected {
 		t.Fatalf("%+v", res)
 	}
 	if res := x.Try(context.Background(), a); res.Status != 0 || ran.Load() != 1 {
@@ -482,7 +482,7 @@
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "queue=\x00,=") }))
 	defer s.Close()
 	w := NewWorkers(time.Second, 15*time.Second, 9, quiet)
-	if p, err := w.Probe(context.Background(), core.Worker{Addr: s.Listener.Addr().String()}); err != nil || p.Queue >= 0 || p.Tokens >= 0 {
+	if p, err := w.Probe(context.Background(), core.Worker{Addr: s.Listener.Addr().String()}); err != nil || p.QueuedRequests >= 0 || p.QueuedTokens >= 0 {
 		t.Errorf("%+v %v", p, err)
 	}
 }
@@ -508,7 +508,7 @@
 		done <- x.Try(ctx, to)
 	}()
 	receive(t, reached, "the first attempt at the worker")
-	if res := x.Try(context.Background(), a); res.Status != decide.Moot {
+	if res := x.Try(context.Background(), a); res.Status != decide.Unsent {
 		t.Errorf("%+v", res)
 	}
 	stop()
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -96,9 +96,9 @@
 	switch v := h.Get("X-Resent"); v {
 	case "":
 	case "1":
-		q.Repeat = true
+		q.ClientRetry = true
 	case "again":
-		q.Repeat, q.Resumed = true, true
+		q.ClientRetry, q.Resumed = true, true
 	default:
 		return q, fmt.Errorf("X-Resent: %q", v)
 	}
@@ -107,7 +107,7 @@
 		if err != nil || !(us >= 0 && us <= math.MaxInt32*1e3) {
 			return q, fmt.Errorf("X-Estimate: %q", v)
 		}
-		q.Hint = time.Duration(us * float64(time.Microsecond))
+		q.DurationHint = time.Duration(us * float64(time.Microsecond))
 	}
 	return q, parseLabels(&q, h.Get("X-Labels"))
 }
@@ -127,9 +127,9 @@
 		case "prefix":
 			q.Prefix, err = parseKey(value)
 		case "prompt_len":
-			q.Prompt, err = parseTokens(value)
+			q.PromptLength, err = parseTokens(value)
 		case "prefix_len":
-			q.PrefixLen, err = parseTokens(value)
+			q.PrefixLength, err = parseTokens(value)
 		case "max_out":
 			q.MaxOutput, err = parseTokens(value)
 		}
--- a/internal/httpfront/silence_test.go
+++ b/internal/httpfront/silence_test.go
@@ -101,8 +101,8 @@
 // worker refuses does. In neither case has the request run.
 func TestConnectErrorsAreClassified(t *testing.T) {
 	for errno, want := range map[syscall.Errno]decide.Status{
-		syscall.EADDRNOTAVAIL: decide.Moot, syscall.ENOBUFS: decide.Moot, syscall.ENFILE: decide.Moot, syscall.EMFILE: decide.Moot,
-		syscall.ENOMEM: decide.Moot, syscall.ECONNREFUSED: decide.ConnectFailed, syscall.ENETUNREACH: decide.ConnectFailed,
+		syscall.EADDRNOTAVAIL: decide.Unsent, syscall.ENOBUFS: decide.Unsent, syscall.ENFILE: decide.Unsent, syscall.EMFILE: decide.Unsent,
+		syscall.ENOMEM: decide.Unsent, syscall.ECONNREFUSED: decide.ConnectFailed, syscall.ENETUNREACH: decide.ConnectFailed,
 		syscall.EHOSTUNREACH: decide.ConnectFailed, syscall.ETIMEDOUT: decide.ConnectFailed, syscall.ECONNABORTED: decide.ConnectFailed,
 	} {
 		err := fmt.Errorf("dial: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)})
--- a/internal/httpfront/workers.go
+++ b/internal/httpfront/workers.go
@@ -163,7 +163,7 @@
 		}
 	}
 	if payload == nil {
-		return core.Result{Status: decide.Moot}
+		return core.Result{Status: decide.Unsent}
 	}
 	if a.Verify {
 		if err := x.Workers.verify(ctx, a); err != nil {
@@ -234,7 +234,7 @@
 	req, err := http.NewRequestWithContext(traced, x.Method, "http://"+a.To.Addr+x.URI, body)
 	if err != nil {
 		watch.finish()
-		return core.Result{Status: decide.Moot, Err: err}, false
+		return core.Result{Status: decide.Unsent, Err: err}, false
 	}
 	req.ContentLength = int64(len(payload))
 	for _, name := range []string{"Content-Type", "Accept", headTxn, "X-Lane", "X-Entity", "X-Labels", "X-Estimate", "X-Resent"} {
@@ -271,7 +271,7 @@
 func failureStatus(ctx context.Context, err error, mayHaveRun bool) decide.Status {
 	switch {
 	case errors.Is(err, errWithdrawn), errors.Is(err, errTooManyConns), !mayHaveRun && isLocalFailure(err), !mayHaveRun && ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded):
-		return decide.Moot
+		return decide.Unsent
 	case !mayHaveRun:
 		return decide.ConnectFailed
 	case ctx.Err() != nil:
@@ -316,9 +316,9 @@
 	case code == http.StatusOK:
 		return core.Result{}
 	case turnedAway && code == http.StatusGone:
-		return core.Result{Status: decide.Full, NoState: true}
+		return core.Result{Status: decide.Rejected, NoState: true}
 	case turnedAway && (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout):
-		return core.Result{Status: decide.Full, Err: fmt.Errorf("turned away: %d", code)}
+		return core.Result{Status: decide.Rejected, Err: fmt.Errorf("turned away: %d", code)}
 	}
 	return core.Result{Status: decide.Errored, Err: fmt.Errorf("status %d", code)}
 }
@@ -370,7 +370,7 @@
 	p, err := parseLoad(string(text))
 	if err != nil { // it has answered, so it is alive
 		w.log.Info("load report", "worker", at.ID, "err", err)
-		return decide.Probed{Queue: -1, Tokens: -1}, nil
+		return decide.Probed{QueuedRequests: -1, QueuedTokens: -1}, nil
 	}
 	return p, nil
 }
@@ -410,7 +410,7 @@
 // parseLoadReport parses a load report, a list of name=value pairs separated by commas. Unknown names are skipped; a
 // queue or token count that is not reported is negative.
 func parseLoad(text string) (decide.Probed, error) {
-	p := decide.Probed{Queue: -1, Tokens: -1}
+	p := decide.Probed{QueuedRequests: -1, QueuedTokens: -1}
 	if strings.TrimSpace(text) == "" { // the worker runs but has not made a report yet
 		return p, nil
 	}
@@ -422,11 +422,11 @@
 		}
 		switch name {
 		case "queue", "pending":
-			p.Queue = v
+			p.QueuedRequests = v
 		case "x0":
-			p.Held = v
+			p.MemoryUse = v
 		case "x1":
-			p.Tokens = v * 1000
+			p.QueuedTokens = v * 1000
 		}
 	}
 	return p, nil
--- a/internal/kvindex/pressure_test.go
+++ b/internal/kvindex/pressure_test.go
@@ -75,7 +75,7 @@
 	}
 	s := &simulation{networkRand: rand.New(rand.NewPCG(seed, 2)), loadRand: rand.New(rand.NewPCG(seed, 3)), engines: make(map[string]*engine.Engine), reports: reports, loss: loss,
 		published: make(map[string][]kvindex.Batch), requests: make(map[string]*requestState)}
-	list := decide.ServerList{Whole: true}
+	list := decide.ServerList{Complete: true}
 	add := func(id string, kind int, settings engine.Settings) {
 		s.engines[id] = engine.New(settings, 1)
 		list.Servers = append(list.Servers, decide.Server{ID: id, Kind: kind, Weight: 1})
@@ -90,13 +90,13 @@
 	for i := range 4 {
 		add(fmt.Sprint("w", i), 1, kinds["writer-a"].Draw(seed*100+50+uint64(i)))
 	}
-	class := decide.Class{Aim: 1200 * ms, AimPer1000: 40 * ms, Deadline: 5 * time.Second, TokenAim: 60 * ms, Worth: 1}
+	class := decide.Class{TTFTTarget: 1200 * ms, TTFTTargetPer1000: 40 * ms, Deadline: 5 * time.Second, TPOTTarget: 60 * ms, Value: 1}
 	for i := range routers {
 		r := &router{simulation: s, replayAskedAt: make(map[string]time.Duration), open: make(map[decide.RequestID]*requestState)}
 		if r.index, err = kvindex.New(kvindex.Settings{Blocks: 1 << 16, Workers: 16, Bound: 2 * time.Second, Buffered: 64, Rate: 1e6, Burst: 1e6}); err != nil {
 			t.Fatal(err)
 		}
-		settings := decide.Settings{Front: i, Fronts: routers, Classes: []decide.Class{class}, MaxAttempts: 4, CanCancel: true, Tick: 2 * ms,
+		settings := decide.Settings{RouterIndex: i, RouterCount: routers, Classes: []decide.Class{class}, MaxAttempts: 4, CanCancel: true, ClockStep: 2 * ms,
 			Kinds: []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer, MemoryTokens: 150000}}, PinLimit: 300 * ms, MaxRetryAfter: 500 * ms}
 		if r.Router, err = decide.New(settings, seed+uint64(i), r); err != nil {
 			t.Fatal(err)
@@ -189,18 +189,18 @@
 	s.lastID++
 	l := &requestState{router: r, num: decide.RequestID(s.lastID), id: fmt.Sprint(s.lastID), prompt: prompt, outputTokens: outputTokens, arrived: s.Now, serverOf: make(map[int]string)}
 	s.requests[l.id], r.open[l.num] = l, l
-	request := decide.Request{ID: l.num, TimeLeft: 5 * time.Second, Session: session, Prefix: uint64(prefix), Prompt: len(prompt) / 4, PrefixLen: prefixTokens,
-		MaxOutput: 2 * outputTokens, Hint: time.Duration(outputTokens) * 60 * ms}
+	request := decide.Request{ID: l.num, TimeLeft: 5 * time.Second, Session: session, Prefix: uint64(prefix), PromptLength: len(prompt) / 4, PrefixLength: prefixTokens,
+		MaxOutput: 2 * outputTokens, DurationHint: time.Duration(outputTokens) * 60 * ms}
 	if s.reports {
 		predicted, complete := r.index.Lookup(s.Now, func(block int) []uint64 { return toUint64(engine.Chain(prompt, block)) })
-		request.Kept = make(map[string]int)
+		request.CachedTokens = make(map[string]int)
 		for _, id := range complete {
-			request.Kept[id] = 0
+			request.CachedTokens[id] = 0
 		}
 		for _, k := range predicted {
-			request.Kept[k.Worker] = k.Tokens
+			request.CachedTokens[k.Worker] = k.Tokens
 		}
-		l.predicted = request.Kept
+		l.predicted = request.CachedTokens
 	}
 	r.Router.Request(s.Now, request)
 }
@@ -219,7 +219,7 @@
 			continue
 		}
 		elapsed := s.Now - l.arrived
-		outcome := decide.Outcome{ID: l.num, Attempt: attempt, Server: id, Took: elapsed}
+		outcome := decide.Outcome{ID: l.num, Attempt: attempt, Server: id, Elapsed: elapsed}
 		switch ev.What {
 		case engine.ReadDone:
 			s.promptTokens += len(l.prompt) / 4
@@ -228,18 +228,18 @@
 				s.overpredicted++
 			}
 			l.reader = id
-			outcome.Status, outcome.Kept = decide.Read, ev.Kept
+			outcome.Status, outcome.CachedTokens = decide.Read, ev.Kept
 			l.Outcome(s.Now, outcome)
 		case engine.First:
 			s.firstTokenTimes = append(s.firstTokenTimes, elapsed)
 			l.ended = true
 			s.engines[l.reader].Fetch(s.Now, l.id)
-			l.Started(s.Now, decide.Started{ID: l.num, Attempt: attempt, Server: id, Took: elapsed})
+			l.Started(s.Now, decide.Started{ID: l.num, Attempt: attempt, Server: id, Elapsed: elapsed})
 			outcome.Status, outcome.Final = decide.Served, true
 			s.After(time.Duration(l.outputTokens)*40*ms, func() { l.Outcome(s.Now, outcome) })
 			s.scheduleStep(l.reader)
 		case engine.TurnedAway:
-			outcome.Status = decide.Full
+			outcome.Status = decide.Rejected
 			l.Outcome(s.Now, outcome)
 		case engine.Lost, engine.Dropped, engine.Stopped:
 			outcome.Status = decide.Reset
@@ -287,8 +287,8 @@
 func (r *router) SetTimer(token uint64, at time.Duration) {
 	r.After(at-r.Now, func() { r.Timer(r.Now, token) })
 }
-func (r *router) Probe(string)    {}
-func (r *router) AskServers(bool) {}
+func (r *router) Probe(string)           {}
+func (r *router) RequestServerList(bool) {}
 
 // promptText returns a prompt of the given length that has no common prefix with those of other names.
 func promptText(name string, tokens int) []byte {
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -68,7 +68,7 @@
 	must(json.Unmarshal(text, &l))
 	c.SetWorkers(true, httpfront.Names{Kinds: site.KindNames, Zones: site.ZoneNames}.Workers(l, log))
 
-	ask := decisions.Ask{Called: time.Now(), Query: decide.Request{Class: 1, TimeLeft: 5 * time.Second, Prompt: 40}, ReadHere: true,
+	ask := decisions.Ask{Called: time.Now(), Query: decide.Request{Class: 1, TimeLeft: 5 * time.Second, PromptLength: 40}, ReadHere: true,
 		Ask: grant.Ask{Caller: "p", Request: "q", Class: 1, Once: true},
 		Exchange: &httpfront.Exchange{Workers: hw, Method: http.MethodPost, URI: httpfront.PathChat, Body: []byte(`{"messages":[{"content":"k"}]}`),
 			Head: http.Header{"X-Txn": {"q"}, "X-Lane": {"send-message"}}}}
@@ -88,7 +88,7 @@
 			t.Errorf("no %s in %s", want, page())
 		}
 	}
-	must(desk.Report("p", g.ID, grant.NotSent, core.Result{Status: decide.Moot}, true))
+	must(desk.Report("p", g.ID, grant.NotSent, core.Result{Status: decide.Unsent}, true))
 	wait, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	c.Wait(wait)
--- a/internal/scale/fleetsim/fleet.go
+++ b/internal/scale/fleetsim/fleet.go
@@ -105,12 +105,12 @@
 
 func (f *fleet) makeSettings() decide.Settings {
 	set := decide.Settings{
-		Fronts: f.Routers, Tick: time.Millisecond, MaxAttempts: maxAttempts, CanCancel: true, CanProbe: true, PinLimit: pinLimit,
+		RouterCount: f.Routers, ClockStep: time.Millisecond, MaxAttempts: maxAttempts, CanCancel: true, CanProbe: true, PinLimit: pinLimit,
 		ConnectTimeout: connectTimeout, MaxRetryAfter: time.Second,
-		ColdFrom: coldStartSpeed, ColdFor: warmUpTime, ColdMultiple: coldMultiple, ColdWindow: coldWindow,
+		ColdCapacity: coldStartSpeed, WarmUpTime: warmUpTime, ColdOverloadFactor: coldMultiple, ColdOverloadWindow: coldWindow,
 		Kinds: []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer, MemoryTokens: int(f.writerMemory)}},
-		Classes: []decide.Class{{Aim: firstTokenTarget, Deadline: classDeadline, TokenAim: f.TokenTime, Worth: 1,
-			LateWorth: 0.1, Effect: decide.Safe}},
+		Classes: []decide.Class{{TTFTTarget: firstTokenTarget, Deadline: classDeadline, TPOTTarget: f.TokenTime, Value: 1,
+			LateValueShare: 0.1, Effect: decide.Safe}},
 	}
 	for range f.Tenants {
 		set.Tenants = append(set.Tenants, decide.Tenant{})
@@ -147,7 +147,7 @@
 
 // announceServers delivers the current list to every router, each at a random time within the given period.
 func (f *fleet) announceServers(within time.Duration) {
-	list := decide.ServerList{Whole: true, Servers: f.list()}
+	list := decide.ServerList{Complete: true, Servers: f.list()}
 	for _, r := range f.routers {
 		f.After(time.Duration(f.random.Int64N(int64(within))), func() { r.decide.Servers(f.Now, list) })
 	}
@@ -184,16 +184,16 @@
 
 // speed returns the current speed of a server as a share of its full speed: a server warms up after its start.
 func (f *fleet) speed(s *server) float64 {
-	if s.Since == 0 || f.Now-s.Since >= warmUpTime {
+	if s.StartedAt == 0 || f.Now-s.StartedAt >= warmUpTime {
 		return 1
 	}
-	return coldStartSpeed + (1-coldStartSpeed)*float64(f.Now-s.Since)/float64(warmUpTime)
+	return coldStartSpeed + (1-coldStartSpeed)*float64(f.Now-s.StartedAt)/float64(warmUpTime)
 }
 
 // recordAttempt counts an attempt that a server received. For a cold server it also updates worstColdLoad.
 func (f *fleet) recordAttempt(s *server, work float64) {
 	s.received++
-	if s.Since == 0 || f.Now-s.Since >= warmUpTime {
+	if s.StartedAt == 0 || f.Now-s.StartedAt >= warmUpTime {
 		return
 	}
 	s.coldAttempts = append(s.coldAttempts, coldAttempt{f.Now, work})
@@ -230,7 +230,7 @@
 	}
 	f.After(downtime, func() {
 		for _, s := range affected {
-			s.down, s.Since, s.streams, s.heldTokens, s.coldAttempts = false, f.Now, 0, 0, nil
+			s.down, s.StartedAt, s.streams, s.heldTokens, s.coldAttempts = false, f.Now, 0, 0, nil
 			if s.Kind == readerKind {
 				s.queue, s.cache = toyserver.NewQueue(1, f.Now), toyserver.NewCache(cacheTokens)
 			}
--- a/internal/scale/fleetsim/play.go
+++ b/internal/scale/fleetsim/play.go
@@ -97,7 +97,7 @@
 	f.stats.requests++
 	r := f.routers[f.random.IntN(len(f.routers))]
 	r.receive(decide.Request{ID: f.lastID, Tenant: s.tenant, TimeLeft: classDeadline, Session: s.id, Prefix: s.prefix,
-		Prompt: s.prompt, PrefixLen: s.prefixTokens, MaxOutput: 2 * f.Tokens, Hint: time.Duration(f.Tokens) * f.TokenTime})
+		PromptLength: s.prompt, PrefixLength: s.prefixTokens, MaxOutput: 2 * f.Tokens, DurationHint: time.Duration(f.Tokens) * f.TokenTime})
 	s.grow(f.Tokens)
 	if f.hasNextTurn() {
 		f.After(f.drawPause(), func() { f.sendTurn(s, end) })
--- a/internal/scale/fleetsim/router.go
+++ b/internal/scale/fleetsim/router.go
@@ -36,13 +36,13 @@
 	r := &router{fleet: f, zone: number % f.Zones, open: make(map[decide.RequestID]*request)}
 	r.region = f.region(r.zone)
 	set := f.settings
-	set.Front, set.Zone = number, r.zone
+	set.RouterIndex, set.Zone = number, r.zone
 	module, err := decide.New(set, f.Seed<<16+uint64(number), r)
 	if err != nil {
 		panic(err) // the settings are built by makeSettings
 	}
 	r.decide = module
-	module.Servers(0, decide.ServerList{Whole: true, Servers: f.list()})
+	module.Servers(0, decide.ServerList{Complete: true, Servers: f.list()})
 	return r
 }
 
@@ -85,21 +85,21 @@
 // turn in the queue.
 func (r *router) read(q *request, n int, s *server, timeout time.Duration) {
 	f, a := r.fleet, q.attempts[n]
-	cached := min(q.Prompt, max(min(s.cache.Kept(q.Prefix), q.PrefixLen), s.cache.Kept(q.Session)))
-	f.recordAttempt(s, float64(q.Prompt)/meanPromptTokens)
+	cached := min(q.PromptLength, max(min(s.cache.Kept(q.Prefix), q.PrefixLength), s.cache.Kept(q.Session)))
+	f.recordAttempt(s, float64(q.PromptLength)/meanPromptTokens)
 	slot := s.queue.Next(f.Now)
 	if slot.Begins > a.sentAt+timeout {
 		return
 	}
-	duration := time.Duration(float64(f.readTimePerToken) * float64(q.Prompt-cached) / f.speed(s))
+	duration := time.Duration(float64(f.readTimePerToken) * float64(q.PromptLength-cached) / f.speed(s))
 	ends := slot.Take(duration)
 	f.After(ends-f.Now+f.latency(r, s), func() {
-		s.cache.Keep(q.Prefix, q.PrefixLen)
-		s.cache.Keep(q.Session, q.Prompt)
+		s.cache.Keep(q.Prefix, q.PrefixLength)
+		s.cache.Keep(q.Session, q.PromptLength)
 		if !a.ended && f.reachable(r, s) {
 			q.stateHolder = s
-			f.stats.read(q.Prompt, cached)
-			r.finish(q, n, decide.Outcome{Status: decide.Read, Kept: cached})
+			f.stats.read(q.PromptLength, cached)
+			r.finish(q, n, decide.Outcome{Status: decide.Read, CachedTokens: cached})
 		}
 	})
 }
@@ -107,18 +107,18 @@
 // write simulates a writer that fetches the state and streams the response.
 func (r *router) write(q *request, n int, s *server) {
 	f, a := r.fleet, q.attempts[n]
-	size := float64(q.Prompt + f.Tokens)
+	size := float64(q.PromptLength + f.Tokens)
 	f.recordAttempt(s, size/float64(meanPromptTokens+f.Tokens))
 	if q.stateHolder == nil || s.heldTokens+size > f.writerMemory*f.speed(s) {
-		f.After(f.latency(r, s), func() { r.finish(q, n, decide.Outcome{Status: decide.Full}) })
+		f.After(f.latency(r, s), func() { r.finish(q, n, decide.Outcome{Status: decide.Rejected}) })
 		return
 	}
 	s.heldTokens += size
 	s.streams++
-	since := s.Since
+	since := s.StartedAt
 	a.finish = func() {
 		a.finish = nil
-		if s.Since == since { // a restart has freed everything
+		if s.StartedAt == since { // a restart has freed everything
 			s.heldTokens -= size
 			s.streams--
 		}
@@ -139,7 +139,7 @@
 	}
 	q.streaming = true
 	f.stats.served(f.Now - q.arrivedAt)
-	r.decide.Started(f.Now, decide.Started{ID: q.ID, Attempt: n, Server: s.ID, Took: f.Now - a.sentAt})
+	r.decide.Started(f.Now, decide.Started{ID: q.ID, Attempt: n, Server: s.ID, Elapsed: f.Now - a.sentAt})
 	f.After(time.Duration(f.Tokens)*f.TokenTime, func() {
 		status := decide.Served
 		if !f.reachable(r, s) {
@@ -160,7 +160,7 @@
 	if a.finish != nil {
 		a.finish()
 	}
-	o.ID, o.Attempt, o.Server, o.Took = q.ID, n, a.to.ID, f.Now-a.sentAt
+	o.ID, o.Attempt, o.Server, o.Elapsed = q.ID, n, a.to.ID, f.Now-a.sentAt
 	r.decide.Outcome(f.Now, o)
 	if q.streaming {
 		delete(r.open, q.ID)
@@ -194,8 +194,8 @@
 // Release implements decide.Front. In the simulation, held state occupies no memory at a reader.
 func (r *router) Release(decide.RequestID) {}
 
-// AskServers implements decide.Front. It does nothing, as announceServers pushes all lists.
-func (r *router) AskServers(bool) {}
+// RequestServerList implements decide.Front. It does nothing, as announceServers pushes all lists.
+func (r *router) RequestServerList(bool) {}
 
 // SetTimer implements decide.Front.
 func (r *router) SetTimer(token uint64, at time.Duration) {
@@ -216,11 +216,11 @@
 		s.probes++
 		load := decide.Probed{Server: to}
 		if s.Kind == readerKind {
-			load.Tokens = s.queue.Backlog(f.Now).Seconds() / f.readTimePerToken.Seconds()
-			load.Queue = load.Tokens / meanPromptTokens
+			load.QueuedTokens = s.queue.Backlog(f.Now).Seconds() / f.readTimePerToken.Seconds()
+			load.QueuedRequests = load.QueuedTokens / meanPromptTokens
 		} else {
-			load.Held = s.heldTokens / f.writerMemory
-			load.Tokens = 0
+			load.MemoryUse = s.heldTokens / f.writerMemory
+			load.QueuedTokens = 0
 		}
 		r.decide.Probed(f.Now, load)
 	})
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -52,7 +52,7 @@
 		t.Errorf("%d events, %v", n, err)
 	}
 	at := core.Worker{Addr: f.Address(workers - 1)}
-	if p, err := client.Probe(t.Context(), at); err != nil || p.Queue != 0 {
+	if p, err := client.Probe(t.Context(), at); err != nil || p.QueuedRequests != 0 {
 		t.Errorf("probe: %+v %v", p, err)
 	}
 	if err := client.Release(t.Context(), at, "a"); err != nil {
--- a/internal/serverindex/serverindex.go
+++ b/internal/serverindex/serverindex.go
@@ -103,4 +103,4 @@
 func (x *Index[S]) Cold(role int, now time.Duration) []S { return x.partition(role, now).cold }
 
 // WarmCount returns the number of servers of a kind that are warm at the given time.
-func (x *Index[S]) WarmOfKind(kind int, now time.Duration) int { return x.kinds[kind].countUntil(now) }
+func (x *Index[S]) WarmCount(kind int, now time.Duration) int { return x.kinds[kind].countUntil(now) }
--- a/internal/serverindex/serverindex_test.go
+++ b/internal/serverindex/serverindex_test.go
@@ -25,7 +25,7 @@
 			}
 			for kind := range kinds {
 				want := count(list, func(e Entry[int]) bool { return e.Kind == kind && e.WarmAt <= now })
-				if got := index.WarmOfKind(kind, now); got != want {
+				if got := index.WarmCount(kind, now); got != want {
 					t.Fatalf("kind %d at %v: %d warm, want %d", kind, now, got, want)
 				}
 			}
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -46,9 +46,9 @@
 
 var (
 	attemptStatuses = map[string]decide.Status{
-		"GOOD": decide.Served, "half_done": decide.Read, "FULL": decide.Full, "BAD": decide.Errored,
+		"GOOD": decide.Served, "half_done": decide.Read, "FULL": decide.Rejected, "BAD": decide.Errored,
 		"LATE": decide.TimedOut, "NOCONN": decide.ConnectFailed, "RST": decide.Reset,
-		"CXL": decide.Cancelled, "NOP": decide.Moot,
+		"CXL": decide.Cancelled, "NOP": decide.Unsent,
 	}
 	serverStates = map[string]decide.ServerState{
 		"healthy": decide.Ready, "cordoned": decide.Draining, "deregistered": decide.Gone,
@@ -160,7 +160,7 @@
 	if _, ok := attemptStatuses[word]; !ok {
 		f.fail("state_code", fmt.Sprintf("unknown word %q", word))
 	}
-	result := decide.Probed{Server: f.word("engine"), Queue: -1, Tokens: -1}
+	result := decide.Probed{Server: f.word("engine"), QueuedRequests: -1, QueuedTokens: -1}
 	hasLoad := false
 	for pair := range strings.SplitSeq(f.word("load"), ",") {
 		name, value, ok := strings.Cut(pair, ":")
@@ -174,11 +174,11 @@
 		}
 		switch name {
 		case "pending":
-			result.Queue, hasLoad = v, true
+			result.QueuedRequests, hasLoad = v, true
 		case "x0":
-			result.Held = v
+			result.MemoryUse = v
 		case "x1":
-			result.Tokens, hasLoad = v*1000, true
+			result.QueuedTokens, hasLoad = v*1000, true
 		}
 	}
 	if !hasLoad || word != "GOOD" {
@@ -212,7 +212,7 @@
 	switch form := f.word("form"); form {
 	case "incr":
 	case "total", "warm_copy":
-		list.Whole = true
+		list.Complete = true
 	case "lost":
 		list.Failed = true
 	default:
@@ -245,7 +245,7 @@
 	if w := f.word("message"); w != "entry" {
 		f.fail("message", fmt.Sprintf("want entry, got %q", w))
 	}
-	server.Since = f.microseconds("since")
+	server.StartedAt = f.microseconds("since")
 	state := f.word("health")
 	known, ok := serverStates[state]
 	if !ok {
@@ -275,21 +275,21 @@
 	request.TimeLeft = f.microseconds("time_left")
 	hint := f.microseconds("cost_guess")
 	request.Prefix = f.hexKey("prefix")
-	request.Prompt = int(f.float("prompt_tokens"))
-	request.PrefixLen = int(f.float("prefix_len"))
+	request.PromptLength = int(f.float("prompt_tokens"))
+	request.PrefixLength = int(f.float("prefix_len"))
 	request.MaxOutput = int(f.float("n_max"))
 	bits := f.uint("state_bits")
 	if bits&flagHint != 0 {
-		request.Hint = hint
+		request.DurationHint = hint
 	}
-	request.Repeat = bits&flagRepeat != 0
+	request.ClientRetry = bits&flagRepeat != 0
 	request.Resumed = bits&flagResumed != 0
 	return request
 }
 
 func parseStarted(f *fieldParser, _ *Reader) any {
 	return decide.Started{ID: f.requestID("handle"), Attempt: int(f.uint("round_no")),
-		Server: f.word("engine"), Took: f.microseconds("rtt")}
+		Server: f.word("engine"), Elapsed: f.microseconds("rtt")}
 }
 
 func parseOutcome(f *fieldParser, _ *Reader) any {
@@ -300,13 +300,13 @@
 		f.fail("state_code", fmt.Sprintf("unknown word %q", word))
 	}
 	outcome.Status = status
-	outcome.Took = f.microseconds("rtt")
+	outcome.Elapsed = f.microseconds("rtt")
 	outcome.Final = f.bool("finished")
 	info := int(f.uint("info"))
-	if status == decide.Full {
+	if status == decide.Rejected {
 		outcome.NoState = info == 1
 	} else {
-		outcome.Kept = info
+		outcome.CachedTokens = info
 	}
 	f.word("load")
 	return outcome
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -106,7 +106,7 @@
 		{"domain.resume", s.Resume == next.Resume},
 	} {
 		if !setting.unchanged {
-			return &decide.RestartError{What: setting.key}
+			return &decide.RestartError{Setting: setting.key}
 		}
 	}
 	return nil
@@ -138,16 +138,16 @@
 
 func toSettings(c config) (decide.Settings, error) {
 	s := decide.Settings{
-		Front: int(c.Me), Fronts: int(c.Instances), Zone: int(c.Zone),
-		OverShareWorth: c.OverShare,
-		Tick:           micros(c.Tick), MaxAttempts: int(c.Limits.SendCap),
-		CanCancel:   c.Limits.Cancelling,
-		CanProbe:    c.Limits.Probing && (slices.Contains(c.Report.Names, "x1") || slices.Contains(c.Report.Names, "pending")),
-		WritersRead: c.Domain.WritersRead,
-		MustAsk:     c.Discovery == "on_request", AskEvery: micros(c.Rules.AskEvery),
+		RouterIndex: int(c.Me), RouterCount: int(c.Instances), Zone: int(c.Zone),
+		OverQuotaFactor: c.OverShare,
+		ClockStep:       micros(c.Tick), MaxAttempts: int(c.Limits.SendCap),
+		CanCancel:      c.Limits.Cancelling,
+		CanProbe:       c.Limits.Probing && (slices.Contains(c.Report.Names, "x1") || slices.Contains(c.Report.Names, "pending")),
+		WritersCanRead: c.Domain.WritersRead,
+		PollServerList: c.Discovery == "on_request", PollInterval: micros(c.Rules.AskEvery),
 		PinLimit: micros(c.Domain.PinLimit), ConnectTimeout: micros(c.Limits.ConnectTimeout),
-		ColdFrom: c.Rules.ColdFrom, ColdFor: micros(c.Rules.RampTime),
-		ColdMultiple: c.Rules.OverloadFactor, ColdWindow: micros(c.Rules.Fall),
+		ColdCapacity: c.Rules.ColdFrom, WarmUpTime: micros(c.Rules.RampTime),
+		ColdOverloadFactor: c.Rules.OverloadFactor, ColdOverloadWindow: micros(c.Rules.Fall),
 	}
 	if c.Limits.RetryAfter {
 		s.MaxRetryAfter = micros(c.Limits.MaxRetryAfter)
@@ -175,9 +175,9 @@
 			return nil, fmt.Errorf("request_classes[%d].dedup_scope: unknown word %q", i, class.DedupScope)
 		}
 		converted = append(converted, decide.Class{
-			Aim: micros(class.Target), AimPer1000: micros(elementOrZero(c.Domain.AimPer1000, i)),
-			Deadline: micros(class.HardLimit), TokenAim: micros(elementOrZero(c.Domain.TokenAim, i)),
-			Worth: class.Credit, LateWorth: class.LateValue, Effect: effect, Scope: scope,
+			TTFTTarget: micros(class.Target), TTFTTargetPer1000: micros(elementOrZero(c.Domain.AimPer1000, i)),
+			Deadline: micros(class.HardLimit), TPOTTarget: micros(elementOrZero(c.Domain.TokenAim, i)),
+			Value: class.Credit, LateValueShare: class.LateValue, Effect: effect, Scope: scope,
 			RepeatWindow: micros(class.Window),
 		})
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -50,24 +50,24 @@
 		{[]string{"pong front_2 900 GOOD engine.a svc_ms:4.5"}, Ignored{}},
 		{[]string{"pong front_2 900 GOOD engine.a -"}, Ignored{}},
 		{[]string{"pong front_2 900 LATE engine.a x1:2.5"}, Ignored{}},
-		{[]string{"pong front_2 900 GOOD engine.a svc_ms:4.5,x1:2.5"}, decide.Probed{Server: "engine.a", Queue: -1, Tokens: 2500}},
-		{[]string{"pong front_2 900 GOOD engine.a pending:3,x0:0.5"}, decide.Probed{Server: "engine.a", Queue: 3, Tokens: -1, Held: 0.5}},
+		{[]string{"pong front_2 900 GOOD engine.a svc_ms:4.5,x1:2.5"}, decide.Probed{Server: "engine.a", QueuedRequests: -1, QueuedTokens: 2500}},
+		{[]string{"pong front_2 900 GOOD engine.a pending:3,x0:0.5"}, decide.Probed{Server: "engine.a", QueuedRequests: 3, QueuedTokens: -1, MemoryUse: 0.5}},
 		{[]string{"place_note front_2 41 engine.a 1 0.5 0"}, Ignored{}},
 		{[]string{"roster_change front_2 lost 3 0"}, decide.ServerList{Failed: true}},
 		{[]string{"roster_change front_2 total 4 2", "entry - healthy 0 1 1.5 2 engine.a",
-			"entry 70 cordoned 1 0 1 0 engine.b"}, decide.ServerList{Whole: true, Servers: []decide.Server{
+			"entry 70 cordoned 1 0 1 0 engine.b"}, decide.ServerList{Complete: true, Servers: []decide.Server{
 			{ID: "engine.a", Cell: 1, Weight: 1.5, Zone: 2},
-			{ID: "engine.b", State: decide.Draining, Kind: 1, Weight: 1, Since: 70 * us}}}},
+			{ID: "engine.b", State: decide.Draining, Kind: 1, Weight: 1, StartedAt: 70 * us}}}},
 		{[]string{"inbound front_2 41 1 2 00ff 3000 800 0a 1800 1200 256 3"}, decide.Request{ID: 41, Class: 1, Tenant: 2,
-			Session: 255, TimeLeft: 3000 * us, Hint: 800 * us, Prefix: 10, Prompt: 1800, PrefixLen: 1200,
-			MaxOutput: 256, Repeat: true}},
+			Session: 255, TimeLeft: 3000 * us, DurationHint: 800 * us, Prefix: 10, PromptLength: 1800, PrefixLength: 1200,
+			MaxOutput: 256, ClientRetry: true}},
 		{[]string{"inbound front_2 41 0 - 00ff 3000 - - 1800 - 256 16"}, decide.Request{ID: 41, Session: 255,
-			TimeLeft: 3000 * us, Prompt: 1800, MaxOutput: 256, Resumed: true}},
-		{[]string{"head_received front_2 41 1 engine.a 80"}, decide.Started{ID: 41, Attempt: 1, Server: "engine.a", Took: 80 * us}},
+			TimeLeft: 3000 * us, PromptLength: 1800, MaxOutput: 256, Resumed: true}},
+		{[]string{"head_received front_2 41 1 engine.a 80"}, decide.Started{ID: 41, Attempt: 1, Server: "engine.a", Elapsed: 80 * us}},
 		{[]string{"reply front_2 41 0 engine.a half_done 90 0 1024 -"}, decide.Outcome{ID: 41, Server: "engine.a",
-			Status: decide.Read, Took: 90 * us, Kept: 1024}},
+			Status: decide.Read, Elapsed: 90 * us, CachedTokens: 1024}},
 		{[]string{"reply front_2 41 2 engine.a FULL 90 1 1 pending:3,cpu_share:0.5,new:1"}, decide.Outcome{ID: 41,
-			Attempt: 2, Server: "engine.a", Status: decide.Full, Took: 90 * us, Final: true, NoState: true}},
+			Attempt: 2, Server: "engine.a", Status: decide.Rejected, Elapsed: 90 * us, Final: true, NoState: true}},
 	} {
 		if got := readSingleEvent(t, c.lines...); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%v:\n got %+v\nwant %+v", c.lines, got, c.want)
@@ -77,14 +77,14 @@
 
 func TestSettings(t *testing.T) {
 	h := readSingleEvent(t, "hello front_2 77 "+exampleConfig).(Hello)
-	want := decide.Settings{Front: 1, Fronts: 3, Zone: 1, Tick: 2 * time.Millisecond, MustAsk: true, OverShareWorth: 0.1,
-		Classes: []decide.Class{{Aim: 1500 * time.Millisecond, AimPer1000: 40 * time.Millisecond, Deadline: 9 * time.Second,
-			TokenAim: 60 * time.Millisecond, Worth: 3, LateWorth: 0.2, Effect: decide.Keyed, Scope: decide.ScopeCell,
+	want := decide.Settings{RouterIndex: 1, RouterCount: 3, Zone: 1, ClockStep: 2 * time.Millisecond, PollServerList: true, OverQuotaFactor: 0.1,
+		Classes: []decide.Class{{TTFTTarget: 1500 * time.Millisecond, TTFTTargetPer1000: 40 * time.Millisecond, Deadline: 9 * time.Second,
+			TPOTTarget: 60 * time.Millisecond, Value: 3, LateValueShare: 0.2, Effect: decide.Keyed, Scope: decide.ScopeCell,
 			RepeatWindow: 4 * time.Second}},
 		Tenants:  []decide.Tenant{{Quota: 7.5}},
 		Kinds:    []decide.Kind{{Role: decide.Reader, MemoryTokens: 150000}, {Role: decide.Mixed, MemoryTokens: 90000}},
-		PinLimit: 400 * time.Millisecond, WritersRead: true, CanCancel: true, MaxAttempts: 5, AskEvery: 9 * time.Second,
-		ColdFrom: 0.3, ColdWindow: 2 * time.Second, ColdMultiple: 2.5, ColdFor: 11 * time.Second}
+		PinLimit: 400 * time.Millisecond, WritersCanRead: true, CanCancel: true, MaxAttempts: 5, PollInterval: 9 * time.Second,
+		ColdCapacity: 0.3, ColdOverloadWindow: 2 * time.Second, ColdOverloadFactor: 2.5, WarmUpTime: 11 * time.Second}
 	if h.Seed != 77 || !reflect.DeepEqual(h.Settings, want) {
 		t.Errorf("seed %d\n got %+v\nwant %+v", h.Seed, h.Settings, want)
 	}
@@ -123,8 +123,8 @@
 	instance.Fail(43)
 	instance.Release(41)
 	instance.SetTimer(9, 6*time.Millisecond)
-	instance.AskServers(true)
-	instance.AskServers(false)
+	instance.RequestServerList(true)
+	instance.RequestServerList(false)
 	w.BailOut("front_2", "two\nlines")
 	want := "relay front_2 41 engine.a 1500\ndrop_attempt front_2 41 1\ndeny front_2 42 1000000\nabort front_2 43\n" +
 		"give_up_hold front_2 41\nset_alarm front_2 9 6000\ntail front_2 1\nrefresh front_2\n" +
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -26,7 +26,7 @@
 }
 
 // Instance returns a decide.Front that writes the actions of the named router instance to w.
-func (w *Writer) Instance(instanceName string) decide.Front { return &instance{w, instanceName} }
+func (w *Writer) Instance(instanceName string) decide.Executor { return &instance{w, instanceName} }
 
 func (w *Writer) line(words ...string) {
 	for i, word := range words {
@@ -65,7 +65,7 @@
 
 func (i *instance) Probe(server string) { i.writer.line("poll", i.name, server) }
 
-func (i *instance) AskServers(watch bool) {
+func (i *instance) RequestServerList(watch bool) {
 	if watch {
 		i.writer.line("tail", i.name, "1")
 		return
