--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -164,9 +164,9 @@
 	if p.cacheReports, err = reports.New(p.core, p.operatorFile.Index(), p.log); err != nil {
 		return err
 	}
-	p.core.Texts = p.cacheReports
-	previous := p.core.Moved
-	p.core.Moved = func(ids []string) {
+	p.core.CacheReports = p.cacheReports
+	previous := p.core.OnAvailabilityChange
+	p.core.OnAvailabilityChange = func(ids []string) {
 		if previous != nil {
 			previous(ids)
 		}
--- a/internal/acceptretry/acceptretry.go
+++ b/internal/acceptretry/acceptretry.go
@@ -18,16 +18,16 @@
 
 // IsTerminal reports whether an error of Accept means that there is nothing more to accept: the listener was closed, or a
 // deadline that its owner set has passed.
-func Ends(err error) bool {
+func IsTerminal(err error) bool {
 	return errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
 // Backoff is an exponential backoff between failed calls of Accept. The zero value is ready to use. It does not reset: after
 // a success, the next failure needs a new one.
-type Pause struct{ next time.Duration }
+type Backoff struct{ next time.Duration }
 
 // Wait sleeps after a failure, twice as long each time up to a bound.
-func (p *Pause) Wait() {
+func (p *Backoff) Wait() {
 	time.Sleep(max(p.next, minPause))
 	p.next = min(max(2*p.next, minPause), maxPause)
 }
@@ -43,10 +43,10 @@
 
 // Do calls accept until it succeeds or returns an error for which IsTerminal is true. It backs off between the calls.
 func Do[C any](accept func() (C, error)) (C, error) {
-	var pause Pause
+	var pause Backoff
 	for {
 		c, err := accept()
-		if err == nil || Ends(err) {
+		if err == nil || IsTerminal(err) {
 			return c, err
 		}
 		pause.Wait()
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -32,7 +32,7 @@
 
 // settle fixes the final answer of a request, unless it is fixed already, and has the request deliver it.
 func (x *actions) settle(id decide.RequestID, v Verdict, retryAfter time.Duration) {
-	if req := x.requests[id]; req != nil && req.verdict == Open {
+	if req := x.requests[id]; req != nil && req.verdict == Pending {
 		req.verdict, req.retryAfter = v, retryAfter
 		x.enqueue(id, command{kind: settle})
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -28,9 +28,9 @@
 	decide.Server
 	// UnixStart is when the worker's process started, as Unix time by the worker's own clock; 0: long ago. The core
 	// derives Since from it, on its own clock.
-	Born time.Duration
-	Addr string
-	Wire string // wire protocol that the worker speaks, for transports; the core does not look at it
+	UnixStart time.Duration
+	Addr      string
+	Wire      string // wire protocol that the worker speaks, for transports; the core does not look at it
 }
 
 // Attempt is one send of a request to a worker.
@@ -43,7 +43,7 @@
 	Deadline time.Time
 	// MaySend reports whether the attempt may still be sent. A transport calls it right before it writes the first byte:
 	// since the choice the worker may have begun to drain, or the client may have left.
-	Allowed func() bool
+	MaySend func() bool
 	// Verify asks the transport to make sure that the connection of a write is alive right before it writes, and not to
 	// write where it is not. It is set only where workers may be probed. The transport calls Verified once the connection
 	// has proved alive, or where probes use the same connection.
@@ -51,7 +51,7 @@
 	Verified func()
 	// CancelGrace bounds how long Try may go on after its context has ended, to see the worker end the attempt too.
 	// 0: Try returns at once.
-	Settle time.Duration
+	CancelGrace time.Duration
 }
 
 // Remaining returns how long the router will still wait for the attempt, which is never longer than its client waits.
@@ -67,7 +67,7 @@
 }
 
 // Transport carries out the attempts of one request.
-type Carrier interface {
+type Transport interface {
 	// Try sends the request and blocks until the first token or the end of the attempt. When ctx ends it closes the
 	// attempt and returns, within Attempt.CancelGrace: with Cancelled if the attempt may have reached the worker, with
 	// Moot or ConnectFailed if it can't have.
@@ -86,11 +86,11 @@
 
 // The verdicts.
 const (
-	Open      Verdict = iota // no final answer yet
-	Streaming                // a worker's answer is streamed
-	Refused                  // nothing ran: the client may safely try again
-	Failed                   // nothing is promised: the request may have run
-	Gone                     // the client left first and is owed no answer
+	Pending    Verdict = iota // no final answer yet
+	Streaming                 // a worker's answer is streamed
+	Refused                   // nothing ran: the client may safely try again
+	Failed                    // nothing is promised: the request may have run
+	ClientGone                // the client left first and is owed no answer
 )
 
 // Answer is the one final answer to a request.
@@ -100,7 +100,7 @@
 	Stream     any           // Streaming: the transport's stream, see Result
 	Worker     Worker        // Streaming: the worker that streams
 	// StreamEnded reports how the stream ended. The front calls it once. Set with Streaming only.
-	Ended func(decide.Status)
+	StreamEnded func(decide.Status)
 }
 
 // Core is a router without its protocols. Its methods may be called from several goroutines.
@@ -119,21 +119,21 @@
 	lastContact  map[string]time.Time // when listed workers last answered; no entry where the latest call went unanswered
 	banned       map[string]bool      // workers that operators have taken out of service, listed or not
 	lastID       decide.RequestID
-	running      inflight.Count // requests, and releases that outlive their request
-	stopping     bool           // End was called: no new request is started
+	running      inflight.Counter // requests, and releases that outlive their request
+	stopping     bool             // End was called: no new request is started
 
 	// Guard counts violated invariants, and steps that were stopped in time.
 	Guard invariant.Guard
 
 	// OnAvailabilityChange is called with the workers that have begun or ceased to accept new work, after each change.
 	// Calls for concurrent changes may come in either order: AcceptsWork tells the current state. Set before use.
-	Moved func(ids []string)
+	OnAvailabilityChange func(ids []string)
 	// CacheReports holds what workers report of their caches; nil: there are no reports. Set before use.
-	Texts Texts
+	CacheReports CacheReports
 }
 
 // CacheReports holds what workers report of the prompts in their caches.
-type Texts interface {
+type CacheReports interface {
 	// Kept returns, by worker id, how many tokens of a prompt workers keep. A worker that does not report is missing.
 	Kept(prompt []byte) map[string]int
 	// Found records how many tokens of a prompt a reader was predicted to keep, according to Kept, and how many it found.
@@ -142,10 +142,10 @@
 
 // Kept returns, by worker id, how many tokens of a prompt workers report to keep, nil where there are no reports.
 func (c *Core) Kept(prompt func() []byte) map[string]int {
-	if c.Texts == nil {
+	if c.CacheReports == nil {
 		return nil
 	}
-	return c.Texts.Kept(prompt())
+	return c.CacheReports.Kept(prompt())
 }
 
 // writeArrivalSlack is how long past the pin limit a state may stay held while its write has probably arrived. It is a part
@@ -194,7 +194,7 @@
 
 // ClaimID reserves the id that a client gave to its request until free is called. It fails if an open request has the id
 // already: a second one would share the state that workers hold for the first.
-func (c *Core) Claim(id string) (free func(), ok bool) {
+func (c *Core) ClaimID(id string) (free func(), ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.claimedIDs[id] {
@@ -205,7 +205,7 @@
 }
 
 // BusyRetryAfter returns when a client that a front has no room for may try again, 0 where no advice may be given.
-func (c *Core) Busy() time.Duration { return min(busyRetryAfter, c.Settings().MaxRetryAfter) }
+func (c *Core) BusyRetryAfter() time.Duration { return min(busyRetryAfter, c.Settings().MaxRetryAfter) }
 
 // clockOrigin is what the core's clock reads when the process starts. It is far from zero, so that workers that started
 // before the router have start times above zero.
@@ -235,14 +235,14 @@
 
 // Serve runs a request and returns its final answer. What remains to be done after that (attempts to cancel, states to
 // release, the end of the stream) goes on in the background. ctx ends when the client leaves.
-func (c *Core) Serve(ctx context.Context, q decide.Request, transport Carrier) Answer {
+func (c *Core) Serve(ctx context.Context, q decide.Request, transport Transport) Answer {
 	req := &activeRequest{core: c, client: ctx, transport: transport, arrived: time.Now(), commands: make(chan command, queueCapacity),
 		events: make(chan attemptEvent, queueCapacity), streamEnd: make(chan decide.Status, 1), answer: make(chan Answer, 1)}
 	c.mu.Lock()
 	if c.stopping {
 		c.mu.Unlock()
 		c.Guard.Stopped(invariant.Starting, "shutting down", "txn", q.Label)
-		return Answer{Verdict: Refused, RetryAfter: c.Busy()}
+		return Answer{Verdict: Refused, RetryAfter: c.BusyRetryAfter()}
 	}
 	c.lastID++
 	q.ID = c.lastID
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -108,8 +108,8 @@
 	if a.Verdict != Streaming || a.Stream != "tokens" || a.Worker.ID != "w" {
 		t.Fatalf("got answer %+v, want a stream of worker w", a)
 	}
-	a.Ended(decide.Served)
-	a.Ended(decide.Reset) // ignored: only the first call counts
+	a.StreamEnded(decide.Served)
+	a.StreamEnded(decide.Reset) // ignored: only the first call counts
 	waitSettled(t, c)
 	if len(s.released) > 0 {
 		t.Error("a state that the writer fetched was released")
@@ -153,7 +153,7 @@
 		return Result{Status: decide.Read}
 	}
 	c := newTestCore(t, s, "w")
-	if a := c.Serve(client, newRequest(safeClass, time.Second), s); a.Verdict != Gone {
+	if a := c.Serve(client, newRequest(safeClass, time.Second), s); a.Verdict != ClientGone {
 		t.Errorf("got verdict %d, want ClientGone", a.Verdict)
 	}
 	waitSettled(t, c)
@@ -190,7 +190,7 @@
 		if a.To.ID == "w1" {
 			c.SetWorkers(false, []Worker{{Server: decide.Server{ID: "w1", Kind: 1, State: decide.Draining}},
 				{Server: decide.Server{ID: "w2", Kind: 1}}})
-			if a.Allowed() {
+			if a.MaySend() {
 				t.Error("an attempt at a draining worker is still allowed")
 			}
 			return Result{Status: decide.Unsent}
@@ -202,7 +202,7 @@
 	if a.Verdict != Streaming || a.Stream != "w2" {
 		t.Fatalf("got answer %+v, want a stream of worker w2", a)
 	}
-	a.Ended(decide.Served)
+	a.StreamEnded(decide.Served)
 	waitSettled(t, c)
 }
 
@@ -222,7 +222,7 @@
 	a := c.Serve(client, newRequest(unsafeClass, time.Second), s)
 	leave()
 	<-closed
-	a.Ended(decide.Reset) // as a front reports a stream that is closed while it relays it
+	a.StreamEnded(decide.Reset) // as a front reports a stream that is closed while it relays it
 	waitSettled(t, c)
 	if !strings.Contains(logText.String(), "status=cancelled") {
 		t.Errorf("a stream that its client left was not logged as cancelled: %s", logText.String())
@@ -262,7 +262,7 @@
 	c := newTestCore(t, s, "w1", "w2")
 	gone := []Worker{{Server: decide.Server{ID: "w1", Kind: -1, State: decide.Gone}}}
 	c.SetWorkers(false, gone)
-	if _, kept := c.workers["w1"]; kept || c.Wanted("w1") || !c.Wanted("w2") || c.Wanted("never listed") {
+	if _, kept := c.workers["w1"]; kept || c.AcceptsWork("w1") || !c.AcceptsWork("w2") || c.AcceptsWork("never listed") {
 		t.Errorf("workers after w1 was removed: %+v", c.workers)
 	}
 	c.SetWorkers(false, gone)
@@ -275,12 +275,12 @@
 // An id that an open request has can't be claimed again until it is freed.
 func TestClaim(t *testing.T) {
 	c := newTestCore(t, &scriptedTransport{})
-	free, ok := c.Claim("a")
-	if _, twice := c.Claim("a"); !ok || twice {
+	free, ok := c.ClaimID("a")
+	if _, twice := c.ClaimID("a"); !ok || twice {
 		t.Errorf("claimed: %v, claimed again: %v, want true and false", ok, twice)
 	}
 	free()
-	if _, ok := c.Claim("a"); !ok {
+	if _, ok := c.ClaimID("a"); !ok {
 		t.Error("an id that was freed can't be claimed again")
 	}
 }
@@ -396,7 +396,7 @@
 					}
 					leave()
 				}
-				if a := <-done; a.Verdict != Gone {
+				if a := <-done; a.Verdict != ClientGone {
 					t.Fatalf("got verdict %d, want ClientGone", a.Verdict)
 				}
 				c.SetWorkers(true, all)
@@ -446,15 +446,15 @@
 			var ended, told, next time.Time
 			s := &scriptedTransport{}
 			s.try = func(ctx context.Context, a Attempt) Result {
-				if a.Settle != settle {
-					t.Errorf("class %d: an attempt may take %v to end, want %v", class, a.Settle, settle)
+				if a.CancelGrace != settle {
+					t.Errorf("class %d: an attempt may take %v to end, want %v", class, a.CancelGrace, settle)
 				}
 				if a.Number > 0 {
 					next = time.Now()
 					return Result{Status: decide.Rejected}
 				}
 				<-ctx.Done()
-				time.Sleep(min(a.Settle, workerEndTime))
+				time.Sleep(min(a.CancelGrace, workerEndTime))
 				ended = time.Now()
 				return Result{Status: decide.Cancelled}
 			}
@@ -537,7 +537,7 @@
 				if streams[0].Err() != nil {
 					t.Errorf("%v late: the client was given a stream that is cancelled", late)
 				}
-				a.Ended(decide.Served)
+				a.StreamEnded(decide.Served)
 			case late < 0:
 				t.Errorf("%v late: got verdict %v, want a stream", late, a.Verdict)
 			case a.Verdict == Refused:
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -19,7 +19,7 @@
 	switch {
 	case req.client.Err() != nil:
 		return "client gone"
-	case !req.core.Wanted(a.To.ID):
+	case !req.core.AcceptsWork(a.To.ID):
 		return "worker accepts no new work"
 	case a.Remaining() <= 0:
 		return "time is up"
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -28,7 +28,7 @@
 // hangingWrites returns a try function of which reads succeed and writes wait until they are cancelled.
 func hangingWrites(verified bool) func(ctx context.Context, a Attempt) Result {
 	return func(ctx context.Context, a Attempt) Result {
-		if a.Allowed(); a.Read {
+		if a.MaySend(); a.Read {
 			return Result{Status: decide.Read}
 		}
 		if verified {
@@ -82,7 +82,7 @@
 	asksGuard := true
 	s.try = func(_ context.Context, a Attempt) Result {
 		if asksGuard {
-			a.Allowed()
+			a.MaySend()
 		}
 		if a.Read {
 			return Result{Status: decide.Read}
@@ -156,7 +156,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptedTransport{}
 		s.try = func(ctx context.Context, a Attempt) Result {
-			if a.Allowed(); a.Number == 0 {
+			if a.MaySend(); a.Number == 0 {
 				return Result{Status: decide.Reset}
 			}
 			<-ctx.Done()
--- a/internal/core/life.go
+++ b/internal/core/life.go
@@ -32,7 +32,7 @@
 	core      *Core
 	settings  *decide.Settings // in force when the request came
 	client    context.Context  // ends when the client leaves
-	transport Carrier
+	transport Transport
 	arrived   time.Time
 	commands  chan command       // from the module, in order
 	events    chan attemptEvent  // first tokens and ends of the attempts
@@ -174,7 +174,7 @@
 
 // handleClientGone settles the request once its client has left, or closes the stream that nobody reads any more.
 func (req *activeRequest) handleClientGone() {
-	if req.settleAs(Gone) {
+	if req.settleAs(ClientGone) {
 		req.core.dispatch(func(now time.Duration, r *decide.Router) { r.ClientLeft(now, req.ID) })
 	} else if req.streaming {
 		// Guards against a stream that goes on, or hangs, with nobody to read it.
@@ -207,7 +207,7 @@
 // settleAs fixes and delivers the final answer, unless one is fixed already. It reports whether it did.
 func (req *activeRequest) settleAs(v Verdict) bool {
 	req.core.mu.Lock()
-	won := req.verdict == Open
+	won := req.verdict == Pending
 	if won {
 		req.verdict = v
 	}
@@ -263,8 +263,8 @@
 		remaining = min(remaining, cmd.timeout)
 	}
 	n, now := len(req.attempts), time.Now()
-	a := &attempt{Attempt: Attempt{Number: n, To: w, Deadline: now.Add(remaining), Read: req.isReader(w), Settle: req.cancelGrace()}, began: now, inFlight: true}
-	a.Allowed = func() bool { return req.checkSendAllowed(a) }
+	a := &attempt{Attempt: Attempt{Number: n, To: w, Deadline: now.Add(remaining), Read: req.isReader(w), CancelGrace: req.cancelGrace()}, began: now, inFlight: true}
+	a.MaySend = func() bool { return req.checkSendAllowed(a) }
 	a.Verify = !a.Read && req.stateWaiting && req.settings.CanProbe
 	a.Verified = func() {
 		a.verified.Store(true)
@@ -273,7 +273,7 @@
 	repeatAllowed := req.checkRepeatAllowed(a.Read)
 	req.attempts = append(req.attempts, a)
 	req.inFlight++
-	if w.ID == "" || !repeatAllowed || !a.Allowed() {
+	if w.ID == "" || !repeatAllowed || !a.MaySend() {
 		a.cancel = func(error) {}
 		req.events <- attemptEvent{n, Result{Status: decide.Unsent}}
 		return
@@ -342,7 +342,7 @@
 	a.mayHaveRun = true
 	c.recordContact(a.To.ID, true)
 	c.mu.Lock()
-	won := req.verdict == Open
+	won := req.verdict == Pending
 	if won {
 		req.verdict = Streaming
 		c.dispatchLocked(func(now time.Duration, r *decide.Router) {
@@ -361,7 +361,7 @@
 	req.inFlight--
 	a.inFlight = false
 	var once sync.Once
-	req.answer <- Answer{Verdict: Streaming, Stream: e.Stream, Worker: a.To, Ended: func(s decide.Status) {
+	req.answer <- Answer{Verdict: Streaming, Stream: e.Stream, Worker: a.To, StreamEnded: func(s decide.Status) {
 		once.Do(func() { a.cancel(errCancelled); req.streamEnd <- s })
 	}}
 	req.log(Streaming, a.To.ID)
@@ -397,8 +397,8 @@
 		req.mayHoldState, req.stateWaiting, req.reader = true, true, a.To
 		req.heldSince, req.releasedAtLimit = time.Now(), false
 		req.successfulReads.Add(1)
-		if predicted, ok := req.CachedTokens[a.To.ID]; ok && req.core.Texts != nil {
-			req.core.Texts.Found(a.To.ID, predicted, e.Kept)
+		if predicted, ok := req.CachedTokens[a.To.ID]; ok && req.core.CacheReports != nil {
+			req.core.CacheReports.Found(a.To.ID, predicted, e.Kept)
 		}
 	case e.NoState:
 		req.stateWaiting = false
@@ -427,6 +427,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := decide.Outcome{ID: req.ID, Attempt: n, Server: a.To.ID, Status: res.Status, Elapsed: time.Since(a.began),
-		Final: req.verdict != Open, CachedTokens: res.Kept, NoState: res.NoState}
+		Final: req.verdict != Pending, CachedTokens: res.Kept, NoState: res.NoState}
 	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Outcome(now, o) })
 }
--- a/internal/core/settings_test.go
+++ b/internal/core/settings_test.go
@@ -70,7 +70,7 @@
 	if err := c.Apply(next); !errors.As(err, &restart) || c.Settings() != before {
 		t.Errorf("got error %v, want a RestartError; settings are now %+v", err, c.Settings())
 	}
-	if err := c.Apply(changedSettings()); err != nil || c.Busy() != 40*time.Millisecond {
-		t.Errorf("got error %v, busy clients retry after %v", err, c.Busy())
+	if err := c.Apply(changedSettings()); err != nil || c.BusyRetryAfter() != 40*time.Millisecond {
+		t.Errorf("got error %v, busy clients retry after %v", err, c.BusyRetryAfter())
 	}
 }
--- a/internal/core/workerlist.go
+++ b/internal/core/workerlist.go
@@ -31,7 +31,7 @@
 			w = old
 			w.State = decide.Gone
 		}
-		w.StartedAt = c.workerStarts.startedAt(now, wall, w.ID, w.Born)
+		w.StartedAt = c.workerStarts.startedAt(now, wall, w.ID, w.UnixStart)
 		c.workers[w.ID] = w
 		list.Servers = append(list.Servers, c.moduleView(w))
 	}
@@ -54,7 +54,7 @@
 
 // accepting returns the workers that accept new work, or nil if nobody is to be told of changes.
 func (c *Core) accepting() map[string]bool {
-	if c.Moved == nil {
+	if c.OnAvailabilityChange == nil {
 		return nil
 	}
 	c.mu.Lock()
@@ -71,7 +71,7 @@
 // notifyAcceptingChange calls OnAvailabilityChange with the workers that accept new work now and did not before, or the
 // other way round.
 func (c *Core) notifyAcceptingChange(before map[string]bool) {
-	if c.Moved == nil {
+	if c.OnAvailabilityChange == nil {
 		return
 	}
 	var ids []string
@@ -88,7 +88,7 @@
 	}
 	if len(ids) > 0 {
 		slices.Sort(ids)
-		c.Moved(ids)
+		c.OnAvailabilityChange(ids)
 	}
 }
 
@@ -138,7 +138,7 @@
 }
 
 // AcceptsWork reports whether a worker is listed and accepts new work.
-func (c *Core) Wanted(id string) bool {
+func (c *Core) AcceptsWork(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w, ok := c.workers[id]
--- a/internal/decisions/desk.go
+++ b/internal/decisions/desk.go
@@ -134,7 +134,7 @@
 	if d.table, err = grant.New(config, 0, d.observeStep); err != nil {
 		return nil, err
 	}
-	c.Moved = d.workersChanged
+	c.OnAvailabilityChange = d.workersChanged
 	return d, nil
 }
 
@@ -157,7 +157,7 @@
 	d.moveMu.Lock()
 	defer d.moveMu.Unlock()
 	for _, id := range ids {
-		wanted := d.core.Wanted(id)
+		wanted := d.core.AcceptsWork(id)
 		d.mu.Lock()
 		if wanted {
 			d.table.Open(id)
@@ -265,7 +265,7 @@
 
 // begin registers a request and starts to serve it in the core.
 func (d *Desk) begin(a Ask) (*delegation, error) {
-	releaseID, ok := d.core.Claim(a.Request)
+	releaseID, ok := d.core.ClaimID(a.Request)
 	if !ok {
 		return nil, fmt.Errorf("%w: it is open at another front", grant.ErrOther)
 	}
@@ -299,7 +299,7 @@
 		d.trackStream(s, answer)
 	case core.Refused:
 		err = &Refused{answer.RetryAfter}
-	case core.Gone:
+	case core.ClientGone:
 		err = ErrGone
 		if why := context.Cause(ctx); why != nil && !errors.Is(why, errCallerSilent) {
 			err = why
@@ -326,7 +326,7 @@
 	d.answer(s, nil, core.Worker{}, err)
 }
 
-var verdictNames = map[core.Verdict]string{core.Streaming: "begun", core.Refused: "refused", core.Failed: "failed", core.Gone: "gone"}
+var verdictNames = map[core.Verdict]string{core.Streaming: "begun", core.Refused: "refused", core.Failed: "failed", core.ClientGone: "gone"}
 
 // Outcome returns a channel that receives once how an open request ends; nil means that its response has started. It
 // returns nil if the request is not open.
@@ -371,7 +371,7 @@
 		return
 	}
 	s.chosenOffer = nil
-	if !o.Allowed() {
+	if !o.MaySend() {
 		o.result <- core.Result{Status: decide.Unsent}
 		return
 	}
@@ -511,7 +511,7 @@
 	x := d.streams[id]
 	if x.endStatus != 0 {
 		delete(d.streams, id)
-		go answer.Ended(x.endStatus)
+		go answer.StreamEnded(x.endStatus)
 		return
 	}
 	lifetime := min(s.estimate, maxStreamEstimate)
@@ -519,10 +519,10 @@
 		lifetime = time.Hour
 	} else if len(d.streams) > d.config.Open { // bounds the memory if callers never report the ends of their responses
 		delete(d.streams, id)
-		go answer.Ended(decide.Served)
+		go answer.StreamEnded(decide.Served)
 		return
 	}
-	x.onEnd = answer.Ended
+	x.onEnd = answer.StreamEnded
 	x.timer = time.AfterFunc(lifetime, func() { d.Ended(s.caller, id, decide.Served) })
 }
 
--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -124,7 +124,7 @@
 	c := &call{Server: s, stream: stream, messages: make(chan *extprocv3.ProcessingRequest), caller: callerName(stream.Context()),
 		sequence: sequence{maxBody: maxBodyBytes, modes: modes{requestMode: modev3.ProcessingMode_BUFFERED, responseMode: modev3.ProcessingMode_STREAMED}}}
 	if s.open.Add(1) > s.MaxOpen { // bounds the memory; the client is told when to retry
-		return c.sendFinal(&decisions.Refused{After: s.Core.Busy()})
+		return c.sendFinal(&decisions.Refused{After: s.Core.BusyRetryAfter()})
 	}
 	ctx, stop := context.WithCancel(stream.Context())
 	defer stop()
@@ -340,7 +340,7 @@
 	}
 	c.id, c.grant, c.worker, c.outcome = id, g, worker, c.Desk.Over(id)
 	if _, err := c.Desk.TakeUp(c.caller, g.ID); err != nil { // it has been revoked in the meantime
-		return true, c.sendFinal(&decisions.Refused{After: c.Core.Busy()})
+		return true, c.sendFinal(&decisions.Refused{After: c.Core.BusyRetryAfter()})
 	}
 	return false, c.answerPending()
 }
--- a/internal/grpcfront/bridge.go
+++ b/internal/grpcfront/bridge.go
@@ -68,7 +68,7 @@
 )
 
 // overHTTP returns a carrier of a gRPC client's request for servers that speak HTTP.
-func overHTTP(w *httpfront.Workers, r *pb.CompleteRequest) core.Carrier {
+func overHTTP(w *httpfront.Workers, r *pb.CompleteRequest) core.Transport {
 	body := r.Parameters.AsMap()
 	if body == nil {
 		body = make(map[string]any)
@@ -96,10 +96,10 @@
 }
 
 // chunkDecoder is a carrier that decodes the event streams of another carrier into chunks.
-type chunkDecoder struct{ core.Carrier }
+type chunkDecoder struct{ core.Transport }
 
 func (d chunkDecoder) Try(ctx context.Context, a core.Attempt) core.Result {
-	res := d.Carrier.Try(ctx, a)
+	res := d.Transport.Try(ctx, a)
 	if s, ok := res.Stream.(httpfront.Stream); ok {
 		res.Stream = &eventChunks{Stream: s, in: bufio.NewReader(s)}
 	}
@@ -150,7 +150,7 @@
 }
 
 // Bridge returns a carrier of an HTTP client's request for servers that speak gRPC. It is an httpfront.Bridge.
-func (w *Workers) Bridge(q decide.Request, id, class string, body []byte) core.Carrier {
+func (w *Workers) Bridge(q decide.Request, id, class string, body []byte) core.Transport {
 	r := &pb.CompleteRequest{Id: id, Class: class, Session: q.Session, Prefix: q.Prefix, PromptTokens: int64(q.PromptLength),
 		PrefixTokens: int64(q.PrefixLength), MaxOutputTokens: int64(q.MaxOutput), Estimate: durationpb.New(q.DurationHint),
 		FirstTokenWithin: durationpb.New(q.TimeLeft)}
--- a/internal/grpcfront/bridge_test.go
+++ b/internal/grpcfront/bridge_test.go
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	back := &pb.CompleteRequest{}
-	body := overHTTP(nil, r).(chunkDecoder).Carrier.(*httpfront.Exchange).Body
+	body := overHTTP(nil, r).(chunkDecoder).Transport.(*httpfront.Exchange).Body
 	if err := fromBody(back, body); err != nil || !proto.Equal(r, back) || back.Parameters.Fields["temperature"].GetNumberValue() != 0.5 {
 		t.Errorf("%v: %s", err, body)
 	}
--- a/internal/grpcfront/calledoff_test.go
+++ b/internal/grpcfront/calledoff_test.go
@@ -55,7 +55,7 @@
 	done := make(chan core.Result, 1)
 	go func() {
 		done <- x.Try(ctx, core.Attempt{To: core.Worker{Addr: l.Addr().String(), Wire: Wire}, Read: true, Deadline: time.Now().Add(time.Minute),
-			Settle: time.Minute, Allowed: func() bool { return true }})
+			CancelGrace: time.Minute, MaySend: func() bool { return true }})
 	}()
 	<-s.started
 	stop()
--- a/internal/grpcfront/deadline_test.go
+++ b/internal/grpcfront/deadline_test.go
@@ -45,7 +45,7 @@
 		}
 		x := &exchange{workers: w, req: &pb.CompleteRequest{Id: "a"}}
 		res := x.Try(t.Context(), core.Attempt{To: core.Worker{Addr: "server:1", Wire: Wire}, Read: true,
-			Deadline: time.Now().Add(wait), Allowed: func() bool { return true }})
+			Deadline: time.Now().Add(wait), MaySend: func() bool { return true }})
 		if res.Status != decide.Read {
 			t.Fatalf("%+v", res)
 		}
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -87,14 +87,14 @@
 	case s.openCalls <- struct{}{}:
 		defer func() { <-s.openCalls }()
 	default: // bounds memory; nothing has run
-		return refusal(codes.ResourceExhausted, "too many calls are open", s.core.Busy())
+		return refusal(codes.ResourceExhausted, "too many calls are open", s.core.BusyRetryAfter())
 	}
 	q, err := s.parse(out.Context(), req)
 	if err != nil {
 		s.log.Info("bad request", "err", err)
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
-	releaseID, ok := s.core.Claim(req.Id)
+	releaseID, ok := s.core.ClaimID(req.Id)
 	if !ok { // the earlier request with this id is not affected
 		return status.Errorf(codes.AlreadyExists, "id: %q is open already", req.Id)
 	}
@@ -111,7 +111,7 @@
 		return relay(a, out, s.Over)
 	case core.Refused:
 		return refusal(codes.Unavailable, "refused, nothing has run", a.RetryAfter)
-	case core.Gone:
+	case core.ClientGone:
 		return status.FromContextError(context.Cause(out.Context())).Err()
 	}
 	// Not UNAVAILABLE, DEADLINE_EXCEEDED or ABORTED: clients and service meshes retry those automatically, and the request
@@ -134,23 +134,23 @@
 	defer stream.Close()
 	for first := true; ; first = false {
 		if !first && handOver != nil && handOver.Err() != nil {
-			a.Ended(decide.Cancelled)
+			a.StreamEnded(decide.Cancelled)
 			return status.Error(codes.DataLoss, "the router ends, ask for the rest")
 		}
 		c, err := stream.Recv()
 		switch {
 		case err == io.EOF:
-			a.Ended(decide.Served)
+			a.StreamEnded(decide.Served)
 			return nil
 		case err != nil:
-			a.Ended(decide.Reset)
+			a.StreamEnded(decide.Reset)
 			if out.Context().Err() != nil {
 				return status.FromContextError(out.Context().Err()).Err()
 			}
 			return status.Error(codes.DataLoss, "the stream broke")
 		}
 		if err := out.Send(c); err != nil {
-			a.Ended(decide.Cancelled)
+			a.StreamEnded(decide.Cancelled)
 			return err
 		}
 	}
--- a/internal/grpcfront/workers.go
+++ b/internal/grpcfront/workers.go
@@ -143,7 +143,7 @@
 type exchange struct {
 	workers *Workers
 	req     *pb.CompleteRequest
-	http    core.Carrier // for servers that speak HTTP; nil if there is none
+	http    core.Transport // for servers that speak HTTP; nil if there is none
 }
 
 func (s *Server) exchange(req *pb.CompleteRequest) *exchange {
@@ -176,7 +176,7 @@
 	case err != nil && (ctx.Err() == nil || errors.Is(context.Cause(ctx), errConnectTimeout)):
 		stop(nil)
 		return core.Result{Status: decide.ConnectFailed, Err: err}
-	case err != nil || !a.Allowed(): // cancelled, or the server has started to drain: nothing was sent
+	case err != nil || !a.MaySend(): // cancelled, or the server has started to drain: nothing was sent
 		stop(nil)
 		return core.Result{Status: decide.Unsent, Err: err}
 	}
@@ -234,10 +234,10 @@
 // awaitCancellation waits until the server has seen the cancellation of a call: a later call on the same connection has been
 // answered, or the connection has ended. It waits for at most the attempt's limit.
 func (x *exchange) awaitCancellation(a core.Attempt) {
-	if a.Settle <= 0 {
+	if a.CancelGrace <= 0 {
 		return
 	}
-	ctx, stop := context.WithTimeout(context.Background(), a.Settle)
+	ctx, stop := context.WithTimeout(context.Background(), a.CancelGrace)
 	defer stop()
 	_, _ = x.workers.Probe(ctx, a.To)
 }
--- a/internal/httpfront/calledoff_test.go
+++ b/internal/httpfront/calledoff_test.go
@@ -65,7 +65,7 @@
 func cancelAttempt(t *testing.T, w *scriptedWorker, read bool, limit <-chan time.Time) <-chan core.Result {
 	t.Helper()
 	x, a := attempt(w.addr)
-	a.Settle, a.Read = time.Hour, read
+	a.CancelGrace, a.Read = time.Hour, read
 	settling := make(chan struct{})
 	x.Workers.after = func(time.Duration) <-chan time.Time { close(settling); return limit }
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/httpfront/clients.go
+++ b/internal/httpfront/clients.go
@@ -37,13 +37,13 @@
 	conns       map[*clientConn]bool
 	rejecting   chan struct{} // limits the connections that are being rejected
 	log         *slog.Logger
-	lastWarning time.Time      // when the limit was last reported in the log
-	rejected    int            // new connections rejected since then
-	evicted     int            // connections closed for new ones since then
-	backlogOnly chan struct{}  // closed by closeAfterBacklog
-	closing     atomic.Bool    // connections are closed after their answer
-	open        inflight.Count // connections that are not closed
-	acceptDone  chan struct{}  // closed once Accept is no longer called
+	lastWarning time.Time        // when the limit was last reported in the log
+	rejected    int              // new connections rejected since then
+	evicted     int              // connections closed for new ones since then
+	backlogOnly chan struct{}    // closed by closeAfterBacklog
+	closing     atomic.Bool      // connections are closed after their answer
+	open        inflight.Counter // connections that are not closed
+	acceptDone  chan struct{}    // closed once Accept is no longer called
 }
 
 func newClients(l net.Listener, maxConns int, retryAfter time.Duration, log *slog.Logger) *clients {
@@ -98,10 +98,10 @@
 // acceptNext returns an error only if the listener was closed or closeAfterBacklog was called. If the process has run out
 // of descriptors it evicts a connection.
 func (l *clients) acceptNext() (net.Conn, error) {
-	var pause acceptretry.Pause
+	var pause acceptretry.Backoff
 	for {
 		c, err := l.Listener.Accept()
-		if err == nil || acceptretry.Ends(err) {
+		if err == nil || acceptretry.IsTerminal(err) {
 			return c, err
 		}
 		if outOfDescriptors(err) {
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -33,7 +33,7 @@
 		}
 		x := &Exchange{Workers: w, Method: http.MethodPost, URI: PathChat, Head: head(), Body: []byte(bodyText)}
 		res := x.Try(t.Context(), core.Attempt{To: core.Worker{Addr: "worker:1"}, Read: true,
-			Deadline: time.Now().Add(wait), Allowed: func() bool { return true }})
+			Deadline: time.Now().Add(wait), MaySend: func() bool { return true }})
 		if res.Status != decide.Read {
 			t.Fatalf("%+v", res)
 		}
--- a/internal/httpfront/discovery.go
+++ b/internal/httpfront/discovery.go
@@ -86,7 +86,7 @@
 	if n.Wire != nil {
 		wire = n.Wire(e)
 	}
-	return core.Worker{Addr: e.Dial, Wire: wire, Born: time.Duration(e.BornMs * float64(time.Millisecond)),
+	return core.Worker{Addr: e.Dial, Wire: wire, UnixStart: time.Duration(e.BornMs * float64(time.Millisecond)),
 		Server: decide.Server{ID: e.Host, State: state, Kind: kind, Cell: e.Block, Zone: zone, Weight: e.Share}}, nil
 }
 
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -33,7 +33,7 @@
 
 // Bridge returns a Carrier that sends a client's request to workers over another protocol. The streams of its results
 // must implement Stream.
-type Bridge func(q decide.Request, id, class string, body []byte) core.Carrier
+type Bridge func(q decide.Request, id, class string, body []byte) core.Transport
 
 // Front serves the requests of clients over HTTP/1.1. Its methods are safe for concurrent use.
 type Front struct {
@@ -104,7 +104,7 @@
 	if f.connLimit > 0 {
 		maxConns = f.connLimit
 	}
-	f.clients = newClients(l, maxConns, f.core.Busy(), f.log)
+	f.clients = newClients(l, maxConns, f.core.BusyRetryAfter(), f.log)
 	f.clients.closing.Store(f.standby || f.closing)
 	current := f.clients
 	f.mu.Unlock()
@@ -144,7 +144,7 @@
 	defer reservation.release()
 	if !ok {
 		f.log.Info("refused", "why", "too many request bodies are held", "txn", r.Header.Get(headTxn))
-		setRetryAfter(w.Header(), f.core.Busy())
+		setRetryAfter(w.Header(), f.core.BusyRetryAfter())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -161,7 +161,7 @@
 	}
 	if err == nil {
 		id := r.Header.Get(headTxn)
-		if release, ok := f.core.Claim(id); ok {
+		if release, ok := f.core.ClaimID(id); ok {
 			defer release()
 		} else { // the first request with this id is not affected
 			status, err = http.StatusConflict, fmt.Errorf("%s: %q is open already", headTxn, id)
@@ -251,14 +251,14 @@
 				res.Header.Set(name, v)
 			}
 		}
-		res.Body = &relay{Stream: s, ended: a.Ended, client: parsed.client, writes: t.front.writes, over: t.front.over, heirs: &t.front.successorPath, log: t.front.log}
+		res.Body = &relay{Stream: s, ended: a.StreamEnded, client: parsed.client, writes: t.front.writes, over: t.front.over, heirs: &t.front.successorPath, log: t.front.log}
 		if out.ProtoAtLeast(1, 1) {
 			res.Body.(*relay).conn = conn
 		}
 	case core.Refused:
 		res.StatusCode = http.StatusServiceUnavailable
 		setRetryAfter(res.Header, a.RetryAfter)
-	case core.Gone:
+	case core.ClientGone:
 		return nil, context.Canceled
 	default:
 		res.StatusCode = statusFailed
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -208,7 +208,7 @@
 			io.WriteString(rw, c.body)
 		}))
 		x := &Exchange{Workers: w, Method: http.MethodPost, URI: "/", Head: head(), Body: []byte(bodyText)}
-		a := core.Attempt{To: core.Worker{Addr: s.Listener.Addr().String()}, Read: c.read, Deadline: time.Now().Add(time.Second), Allowed: func() bool { return true }}
+		a := core.Attempt{To: core.Worker{Addr: s.Listener.Addr().String()}, Read: c.read, Deadline: time.Now().Add(time.Second), MaySend: func() bool { return true }}
 		if res := x.Try(context.Background(), a); res.Status != c.want || res.NoState != c.noState {
 			t.Errorf("%s: %+v", c.name, res)
 		}
@@ -217,7 +217,7 @@
 		if res := x.Try(context.Background(), a); res.Status != decide.ConnectFailed {
 			t.Errorf("refused: %+v", res)
 		}
-		a.Allowed = func() bool { return false }
+		a.MaySend = func() bool { return false }
 		a.To.Addr = s.Listener.Addr().String()
 		if res := x.Try(context.Background(), a); res.Status != decide.ConnectFailed && res.Status != decide.Unsent {
 			t.Errorf("not allowed: %+v", res)
--- a/internal/httpfront/guard_test.go
+++ b/internal/httpfront/guard_test.go
@@ -316,7 +316,7 @@
 // attempt returns a request and what Try needs to send it to addr as a write.
 func attempt(addr string) (*Exchange, core.Attempt) {
 	return &Exchange{Workers: NewWorkers(time.Second, 15*time.Second, 100, quiet), Method: http.MethodPost, URI: PathChat, Head: head(), Body: []byte(bodyText)},
-		core.Attempt{To: core.Worker{Addr: addr}, Deadline: time.Now().Add(time.Minute), Allowed: func() bool { return true }}
+		core.Attempt{To: core.Worker{Addr: addr}, Deadline: time.Now().Add(time.Minute), MaySend: func() bool { return true }}
 }
 
 // An answer that is malformed or ends before the first event is complete is a failed attempt that has consumed the state. A
--- a/internal/httpfront/handed.go
+++ b/internal/httpfront/handed.go
@@ -106,7 +106,7 @@
 	over       context.Context // once it is done the streams are handed over to the next process
 	next       *heir
 
-	running inflight.Count
+	running inflight.Counter
 }
 
 // heir holds the path at which the process that takes over receives streams, or "" if there is none.
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	h := &Handed{listener: listener, log: f.log, retryAfter: retryAfterLine(f.core.Busy()), over: f.over, next: &f.successorPath}
+	h := &Handed{listener: listener, log: f.log, retryAfter: retryAfterLine(f.core.BusyRetryAfter()), over: f.over, next: &f.successorPath}
 	f.mu.Lock()
 	f.receiver = h
 	f.mu.Unlock()
--- a/internal/httpfront/silence_test.go
+++ b/internal/httpfront/silence_test.go
@@ -92,7 +92,7 @@
 			c.Close()
 		}
 	})
-	if !acceptretry.Ends(net.ErrClosed) {
+	if !acceptretry.IsTerminal(net.ErrClosed) {
 		t.Error("accepting goes on after the listener was closed")
 	}
 }
--- a/internal/httpfront/workers.go
+++ b/internal/httpfront/workers.go
@@ -115,7 +115,7 @@
 // wireCarrier carries the request to workers that speak another wire protocol.
 type other struct {
 	wire string
-	core.Carrier
+	core.Transport
 }
 
 // bodyReader gives the request body to the transport once. net/http does not know how to rewind this type, so the
@@ -154,8 +154,8 @@
 	x.mu.Lock()
 	payload, others := x.Body, x.others
 	x.mu.Unlock()
-	if allowed := a.Allowed; x.Left != nil {
-		a.Allowed = func() bool { return !x.Left() && allowed() }
+	if allowed := a.MaySend; x.Left != nil {
+		a.MaySend = func() bool { return !x.Left() && allowed() }
 	}
 	for _, o := range others {
 		if o.wire == a.To.Wire {
@@ -181,7 +181,7 @@
 // verify makes the worker reply on the connection that a write will use: the transport hands out the one used last. A
 // write into a connection that has silently died would leave open whether it arrived.
 func (w *Workers) verify(ctx context.Context, a core.Attempt) error {
-	if !a.Allowed() {
+	if !a.MaySend() {
 		return errWithdrawn
 	}
 	verifyCtx, stop := context.WithTimeoutCause(ctx, verifyTimeout, errNoReply)
@@ -196,11 +196,11 @@
 // no longer usable, which is no failure of the worker.
 func (x *Exchange) send(ctx context.Context, a core.Attempt, payload []byte) (result core.Result, unsent bool) {
 	w := x.Workers
-	body := &bodyReader{r: bytes.NewReader(payload), allowed: a.Allowed}
+	body := &bodyReader{r: bytes.NewReader(payload), allowed: a.MaySend}
 	var wrote, writeFailed, reused, answerBegun atomic.Bool
 	var idle atomic.Int64
 	var outgoing atomic.Pointer[http.Request]
-	watch := watchAttempt(ctx, a.Settle, &body.fullyRead, w.after)
+	watch := watchAttempt(ctx, a.CancelGrace, &body.fullyRead, w.after)
 	traced := httptrace.WithClientTrace(watch.requestCtx, &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
 			reused.Store(i.Reused)
@@ -212,7 +212,7 @@
 				}
 				watch.conn.Store(c)
 				c.setWatch(watch)
-				c.mayWrite.Store(&a.Allowed)
+				c.mayWrite.Store(&a.MaySend)
 				// No wait for reads, which have no effect and whose answer is not passed on. A second answer to a call
 				// without a body is neither a stream nor a refusal, and a connection just verified must be used at
 				// once, as it may die meanwhile.
--- a/internal/inflight/inflight.go
+++ b/internal/inflight/inflight.go
@@ -8,21 +8,21 @@
 )
 
 // Counter counts operations in flight. The zero value counts none and is ready to use.
-type Count struct {
+type Counter struct {
 	mu   sync.Mutex
 	n    int
 	idle chan struct{} // closed when n falls to 0; nil: nobody waits
 }
 
 // Begin counts an operation that begins.
-func (c *Count) Begin() {
+func (c *Counter) Begin() {
 	c.mu.Lock()
 	c.n++
 	c.mu.Unlock()
 }
 
 // End counts an operation that has ended. There must have been a Begin for it.
-func (c *Count) End() {
+func (c *Counter) End() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.n--; c.n == 0 && c.idle != nil {
@@ -32,7 +32,7 @@
 }
 
 // Wait blocks until no operation is in flight, and returns true, or until ctx ends, and returns false.
-func (c *Count) Wait(ctx context.Context) bool {
+func (c *Counter) Wait(ctx context.Context) bool {
 	c.mu.Lock()
 	if c.n == 0 {
 		c.mu.Unlock()
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -8,7 +8,7 @@
 
 func TestWaitReturnsWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var c Count
+		var c Counter
 		if !c.Wait(t.Context()) {
 			t.Error("Wait returned false with nothing in flight")
 		}
@@ -36,7 +36,7 @@
 }
 
 func TestWaitReturnsWhenItsContextEnds(t *testing.T) {
-	var c Count
+	var c Counter
 	c.Begin()
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
--- a/internal/reports/reports_test.go
+++ b/internal/reports/reports_test.go
@@ -56,7 +56,7 @@
 	must(err)
 	listener, err := reports.New(c, kvindex.Settings{Blocks: 1 << 16, Workers: 16, Bound: 2 * time.Second, Buffered: 64, Rate: 1e5, Burst: 1e5}, log)
 	must(err)
-	c.Texts, c.Moved = listener, listener.Moved
+	c.CacheReports, c.OnAvailabilityChange = listener, listener.Moved
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
 	g := listener.GRPC()
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -38,7 +38,7 @@
 	x := &httpfront.Exchange{Workers: client, Method: http.MethodPost, URI: httpfront.PathChat, Head: http.Header{"X-Txn": {"a"}}, Body: []byte("{}")}
 	attempt := func(worker int, read bool) core.Result {
 		return x.Try(t.Context(), core.Attempt{To: core.Worker{Addr: f.Address(worker)}, Read: read,
-			Deadline: time.Now().Add(time.Minute), Allowed: func() bool { return true }})
+			Deadline: time.Now().Add(time.Minute), MaySend: func() bool { return true }})
 	}
 	if res := attempt(reader, true); res.Status != decide.Read {
 		t.Errorf("read: %+v", res)
