--- a/cmd/rowanyard/main.go
+++ b/cmd/rowanyard/main.go
@@ -83,7 +83,7 @@
 		return err
 	}
 	p.takeOverStreams()
-	awaitDiscovery(ctx, p.discovery.Told(), p.shared.Alone(), p.log)
+	awaitDiscovery(ctx, p.discovery.FirstListReceived(), p.shared.Alone(), p.log)
 	if ctx.Err() != nil { // no front is open and no other process relies on this one
 		p.core.Guard.Stopped(invariant.Starting, "told to end before it served")
 		return nil
--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -206,8 +206,8 @@
 		}
 	}
 	p.budget.apply(1)
-	for _, spare := range []*httpfront.Descriptors{p.workers.Spare, p.discovery.Spare} {
-		spare.From(p.front.Shed)
+	for _, spare := range []*httpfront.DescriptorSource{p.workers.Descriptors, p.discovery.Descriptors} {
+		spare.SetReclaim(p.front.CloseIdleClient)
 	}
 }
 
@@ -249,7 +249,7 @@
 	}
 	p.onClose(func() { l.Close() })
 	go func() {
-		if err := p.control.Serve(acceptretry.Listener(p.discovery.Spare.Listener(l)), max(minOperatorConns, p.descriptors/descriptorsPerOperatorConn)); err != nil {
+		if err := p.control.Serve(acceptretry.Listener(p.discovery.Descriptors.Listener(l)), max(minOperatorConns, p.descriptors/descriptorsPerOperatorConn)); err != nil {
 			p.log.Error("operator API closed", "err", err)
 		}
 	}()
--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -447,7 +447,7 @@
 			turnedAway = value != ""
 		}
 	}
-	result, fate := httpfront.Judge(code, turnedAway), grant.Begun
+	result, fate := httpfront.ClassifyStatus(code, turnedAway), grant.Begun
 	space := msg.GetMetadataContext().GetFilterMetadata()[MetadataSpace]
 	if served := space.GetFields()[ServedKey].GetStringValue(); served != "" && served != c.worker.Addr {
 		// The proxy has used another endpoint, so it is unknown what ran there and whether anything runs at the granted one.
--- a/internal/grpcfront/workers.go
+++ b/internal/grpcfront/workers.go
@@ -307,7 +307,7 @@
 		s.first = nil
 		return c, nil
 	}
-	s.stallTimer.Reset(httpfront.StallLimit)
+	s.stallTimer.Reset(httpfront.StreamStallTimeout)
 	defer s.stallTimer.Stop()
 	c := new(pb.Chunk)
 	if err := s.call.RecvMsg(c); err != nil {
--- a/internal/httpfront/answers.go
+++ b/internal/httpfront/answers.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	answerHead        = 16 << 10    // of a response's head, and of all 1xx heads before it
-	answerHeadTimeout = time.Second // from a head's first byte until it is complete
-	maxChunk          = 256 << 10   // a chunk may not be larger than a request body
-	maxChunkLineBytes = 4 << 10     // of a chunk extension or a trailer
-	maxEventBytes     = 64 << 10    // of a line of a stream, and of its first event
-	firstEventTimeout = time.Second // from the head until the first event is complete
-	headerLoadReport  = "X-Pressure"
-	lateAnswerWindow  = 25 * time.Millisecond // a second response to a request may arrive this late after the first
+	maxAnswerHeadBytes = 16 << 10    // of a response's head, and of all 1xx heads before it
+	answerHeadTimeout  = time.Second // from a head's first byte until it is complete
+	maxChunkBytes      = 256 << 10   // a chunk may not be larger than a request body
+	maxChunkLineBytes  = 4 << 10     // of a chunk extension or a trailer
+	maxEventBytes      = 64 << 10    // of a line of a stream, and of its first event
+	firstEventTimeout  = time.Second // from the head until the first event is complete
+	headerLoadReport   = "X-Pressure"
+	lateAnswerWindow   = 25 * time.Millisecond // a second response to a request may arrive this late after the first
 )
 
 var (
@@ -45,12 +45,12 @@
 // workerConn is a connection to a worker. Its Read returns one response at a time.
 type workerConn struct {
 	net.Conn
-	open              *atomic.Int64 // counts the client's open connections
+	openConns         *atomic.Int64 // counts the client's open connections
 	closed            atomic.Bool
-	asked             atomic.Bool                 // a request was written after the end of the last response
+	awaitingAnswer    atomic.Bool                 // a request was written after the end of the last response
 	mayWrite          atomic.Pointer[func() bool] // called before that write, nil: no check
 	answerEnded       atomic.Int64                // when the last response ended, since epoch
-	over              chan struct{}               // closed with the connection
+	done              chan struct{}               // closed with the connection
 	unusable          atomic.Bool                 // must not be used for another request
 	lastWasCall       atomic.Bool                 // the latest request was a call without a body, not an attempt
 	handOverRequested atomic.Bool                 // another process is to continue the response
@@ -68,7 +68,7 @@
 	informationalBytes int    // size of the 1xx heads before this one
 	state              answerState
 	bodyLeft           int64 // bytes of the body still to come
-	chunks             chunkScan
+	chunks             chunkScanner
 	err                error
 }
 
@@ -84,8 +84,8 @@
 // Close implements net.Conn.
 func (c *workerConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
-		c.open.Add(-1)
-		close(c.over)
+		c.openConns.Add(-1)
+		close(c.done)
 		if c.registry != nil {
 			c.registry.remove(c)
 		}
@@ -96,14 +96,14 @@
 // Write refuses to send a request on a connection with unread input, which could be taken for its answer, and to send
 // one that is no longer wanted: the transport writes the head before it reads the body.
 func (c *workerConn) Write(p []byte) (int, error) {
-	if !c.asked.Load() {
+	if !c.awaitingAnswer.Load() {
 		if mayWrite := c.mayWrite.Swap(nil); mayWrite != nil && !(*mayWrite)() {
 			return 0, errWithdrawn
 		}
 		if c.unusable.Load() || hasUnreadInput(c.Conn) {
 			return 0, errUnreadInput
 		}
-		c.asked.Store(true)
+		c.awaitingAnswer.Store(true)
 	}
 	return c.Conn.Write(p)
 }
@@ -117,7 +117,7 @@
 	}
 	select {
 	case <-after(wait):
-	case <-c.over:
+	case <-c.done:
 	case <-ctx.Done():
 	}
 }
@@ -135,7 +135,7 @@
 }
 
 // isDisconnected reports whether a connection was ended by the peer or by a network error and has no unread input.
-func hungUp(c net.Conn) bool {
+func isDisconnected(c net.Conn) bool {
 	n, err := peek(c)
 	if err == nil {
 		return n == 0
@@ -228,7 +228,7 @@
 	}
 	for {
 		if len(c.buf) > 0 {
-			if !c.asked.Load() {
+			if !c.awaitingAnswer.Load() {
 				return errExtraBytes
 			}
 			if !c.headBegun { // bounds the time for a head that arrives slowly or never ends
@@ -240,8 +240,8 @@
 				c.headBegun = false
 				return c.parseHead(end)
 			}
-			if c.informationalBytes+len(c.buf) > answerHead {
-				return malformed("head over %d bytes", answerHead)
+			if c.informationalBytes+len(c.buf) > maxAnswerHeadBytes {
+				return malformed("head over %d bytes", maxAnswerHeadBytes)
 			}
 		}
 		if cap(c.buf) == len(c.buf) {
@@ -269,8 +269,8 @@
 	}
 	if code < 200 { // an interim response
 		c.informationalBytes += end
-		if c.buf = c.buf[end:]; c.informationalBytes > answerHead {
-			return malformed("1xx heads over %d bytes", answerHead)
+		if c.buf = c.buf[end:]; c.informationalBytes > maxAnswerHeadBytes {
+			return malformed("1xx heads over %d bytes", maxAnswerHeadBytes)
 		}
 		return nil
 	}
@@ -287,7 +287,7 @@
 	case code == 204 || code == 304 || f.told && f.length == 0:
 		return c.end(len(c.buf) - c.readyBytes)
 	case f.chunked:
-		c.state, c.chunks = inChunkedBody, chunkScan{}
+		c.state, c.chunks = inChunkedBody, chunkScanner{}
 	case f.told:
 		c.state, c.bodyLeft = inSizedBody, f.length
 	default:
@@ -323,19 +323,19 @@
 	if extra > 0 {
 		c.buf = c.buf[:c.readyBytes]
 		c.unusable.Store(true)
-		c.asked.Store(false)
+		c.awaitingAnswer.Store(false)
 		return errExtraBytes
 	}
-	c.asked.Store(false)
+	c.awaitingAnswer.Store(false)
 	return nil
 }
 
 // chunkScanner follows a chunked body. The zero value is at its start.
-type chunkScan struct {
-	state chunkState
-	left  int64          // of the chunk's data
-	count int            // of the line at hand
-	keep  func(p []byte) // receives the data, may be nil
+type chunkScanner struct {
+	state     chunkState
+	bytesLeft int64          // of the chunk's data
+	lineBytes int            // of the line at hand
+	onData    func(p []byte) // receives the data, may be nil
 }
 
 type chunkState int
@@ -353,17 +353,17 @@
 )
 
 // feed processes the next bytes. It returns how many of them belong to the body and whether the body has ended.
-func (s *chunkScan) feed(p []byte) (n int, end bool, err error) {
+func (s *chunkScanner) feed(p []byte) (n int, end bool, err error) {
 	for n < len(p) {
 		b := p[n]
 		switch s.state {
 		case chunkData:
-			take := min(s.left, int64(len(p)-n))
-			if s.keep != nil {
-				s.keep(p[n : n+int(take)])
+			take := min(s.bytesLeft, int64(len(p)-n))
+			if s.onData != nil {
+				s.onData(p[n : n+int(take)])
 			}
 			n += int(take)
-			if s.left -= take; s.left == 0 {
+			if s.bytesLeft -= take; s.bytesLeft == 0 {
 				s.state = chunkCR
 			}
 			continue
@@ -371,19 +371,19 @@
 			digit := unhex(b)
 			switch {
 			case digit >= 0:
-				s.left = s.left<<4 | int64(digit)
-				if s.count++; s.left > maxChunk || s.count > 16 {
-					return n, false, malformed("chunk over %d bytes", maxChunk)
+				s.bytesLeft = s.bytesLeft<<4 | int64(digit)
+				if s.lineBytes++; s.bytesLeft > maxChunkBytes || s.lineBytes > 16 {
+					return n, false, malformed("chunk over %d bytes", maxChunkBytes)
 				}
-			case s.count > 0 && b == '\r':
+			case s.lineBytes > 0 && b == '\r':
 				s.state = chunkSizeLF
-			case s.count > 0 && (b == ';' || b == ' ' || b == '\t'):
-				s.state, s.count = chunkExt, 0
+			case s.lineBytes > 0 && (b == ';' || b == ' ' || b == '\t'):
+				s.state, s.lineBytes = chunkExt, 0
 			default:
 				return n, false, malformed("malformed chunk size")
 			}
 		case chunkExt, trailerLine:
-			if s.count++; s.count > maxChunkLineBytes {
+			if s.lineBytes++; s.lineBytes > maxChunkLineBytes {
 				return n, false, malformed("chunk extension or trailer over %d bytes", maxChunkLineBytes)
 			}
 			if b == '\r' && s.state == chunkExt {
@@ -395,8 +395,8 @@
 			if b != '\n' {
 				return n, false, malformed("malformed chunk size")
 			}
-			s.state, s.count = chunkData, 0
-			if s.left == 0 {
+			s.state, s.lineBytes = chunkData, 0
+			if s.bytesLeft == 0 {
 				s.state = trailer
 			}
 		case chunkCR, chunkLF:
@@ -437,45 +437,45 @@
 
 // eventScanner follows an event stream: lines of a field name, a colon and a value, comments with any content, and
 // empty lines.
-type eventScan struct {
-	line  []byte // the line's first bytes, at most as many as the longest field name has
-	count int    // length of the line so far
-	fine  bool   // what precedes the colon is valid
-	note  bool   // the line is a comment
+type eventScanner struct {
+	namePrefix []byte // the line's first bytes, at most as many as the longest field name has
+	lineBytes  int    // length of the line so far
+	validName  bool   // what precedes the colon is valid
+	isComment  bool   // the line is a comment
 }
 
 var eventFields = []string{"data", "event", "id", "retry"}
 
 // feed processes the next bytes. It returns how many of them are valid and the position behind the last empty line.
-func (s *eventScan) feed(p []byte) (n, blank int, err error) {
+func (s *eventScanner) feed(p []byte) (n, blank int, err error) {
 	for i, b := range p {
 		if b == '\n' {
-			if name := bytes.TrimSuffix(s.line, []byte("\r")); !s.fine && len(name) > 0 && !isEventField(name) {
-				return i, blank, malformed("malformed line %.20q", s.line)
+			if name := bytes.TrimSuffix(s.namePrefix, []byte("\r")); !s.validName && len(name) > 0 && !isEventField(name) {
+				return i, blank, malformed("malformed line %.20q", s.namePrefix)
 			}
-			if s.count == 0 || s.count == 1 && string(s.line) == "\r" {
+			if s.lineBytes == 0 || s.lineBytes == 1 && string(s.namePrefix) == "\r" {
 				blank = i + 1
 			}
-			*s = eventScan{line: s.line[:0]}
+			*s = eventScanner{namePrefix: s.namePrefix[:0]}
 			continue
 		}
-		if s.count++; s.count > maxEventBytes {
+		if s.lineBytes++; s.lineBytes > maxEventBytes {
 			return i, blank, malformed("event line over %d bytes", maxEventBytes)
 		}
 		switch {
-		case s.note:
-		case s.fine:
+		case s.isComment:
+		case s.validName:
 			if b < ' ' && b != '\t' && b != '\r' {
 				return i, blank, malformed("control character in an event line")
 			}
 		case b == ':':
-			s.note = len(s.line) == 0
-			if s.fine = true; !s.note && !isEventField(s.line) {
-				return i, blank, malformed("malformed line %.20q", s.line)
+			s.isComment = len(s.namePrefix) == 0
+			if s.validName = true; !s.isComment && !isEventField(s.namePrefix) {
+				return i, blank, malformed("malformed line %.20q", s.namePrefix)
 			}
 		default:
-			if s.line = append(s.line, b); !isEventFieldPrefix(s.line) {
-				return i, blank, malformed("malformed line %.20q", s.line)
+			if s.namePrefix = append(s.namePrefix, b); !isEventFieldPrefix(s.namePrefix) {
+				return i, blank, malformed("malformed line %.20q", s.namePrefix)
 			}
 		}
 	}
--- a/internal/httpfront/calledoff.go
+++ b/internal/httpfront/calledoff.go
@@ -38,7 +38,7 @@
 	conn := w.conn.Load()
 	if w.settleTimeout > 0 && conn != nil && w.sent.Load() && conn.closeWriteFor(w) {
 		select {
-		case <-conn.over: // the worker's close was read, and the transport has closed the connection
+		case <-conn.done: // the worker's close was read, and the transport has closed the connection
 		case <-w.requestCtx.Done():
 		case <-w.after(w.settleTimeout): // an unreachable worker never closes
 		}
--- a/internal/httpfront/calledoff_test.go
+++ b/internal/httpfront/calledoff_test.go
@@ -139,7 +139,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		w := watchAttempt(ctx, time.Hour, new(atomic.Bool), nil)
 		if connected {
-			c := &workerConn{Conn: noHalfClose{nil, t}, over: make(chan struct{})}
+			c := &workerConn{Conn: noHalfClose{nil, t}, done: make(chan struct{})}
 			w.conn.Store(c)
 			c.setWatch(w)
 		}
@@ -153,7 +153,7 @@
 func TestLateCancellationLeavesNextRequestAlone(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
-	c := &workerConn{Conn: noHalfClose{here, t}, over: make(chan struct{})}
+	c := &workerConn{Conn: noHalfClose{here, t}, done: make(chan struct{})}
 	w := &attemptWatch{}
 	c.setWatch(w)
 	c.state = inSizedBody
--- a/internal/httpfront/clientconn.go
+++ b/internal/httpfront/clientconn.go
@@ -38,16 +38,16 @@
 	answerComplete atomic.Bool  // refusals may follow the current request's answer
 
 	// Used by Read only, which net/http does not call concurrently.
-	buf         []byte       // read from the socket and not yet returned
-	firstByteAt time.Time    // when the first byte of buf was read
-	deliverable int          // length of the part of buf that may be returned
-	bodyLeft    int64        // bytes of the request's body that are not ready to be returned yet
-	chunks      *chunkScan   // scans a chunked body, nil if there is none
-	passthrough bool         // everything is returned unscanned; the connection ends with this request
-	readsEnded  bool         // Read returns io.EOF
-	overflowed  bool         // pipelined data exceeded maxReadAhead and what followed was discarded
-	fillerLeft  int          // filler bytes to return in place of the discarded rest of an oversized head
-	headsRead   atomic.Int32 // complete heads
+	buf         []byte        // read from the socket and not yet returned
+	firstByteAt time.Time     // when the first byte of buf was read
+	deliverable int           // length of the part of buf that may be returned
+	bodyLeft    int64         // bytes of the request's body that are not ready to be returned yet
+	chunks      *chunkScanner // scans a chunked body, nil if there is none
+	passthrough bool          // everything is returned unscanned; the connection ends with this request
+	readsEnded  bool          // Read returns io.EOF
+	overflowed  bool          // pipelined data exceeded maxReadAhead and what followed was discarded
+	fillerLeft  int           // filler bytes to return in place of the discarded rest of an oversized head
+	headsRead   atomic.Int32  // complete heads
 }
 
 type connKey struct{}
@@ -120,7 +120,7 @@
 const malformedRequest = "x\r\n\r\n"
 
 // clientGone reports whether the connection was closed here or by the client, as far as can be told without blocking.
-func (c *clientConn) clientGone() bool { return c.ends.isClosed() || hungUp(c.Conn) }
+func (c *clientConn) clientGone() bool { return c.ends.isClosed() || isDisconnected(c.Conn) }
 
 // Read implements net.Conn. It returns heads and bodies one after the other, never bytes of both at once, and no head
 // before the previous request is answered: net/http reads ahead to detect that the client has left, and would not see a
@@ -230,7 +230,7 @@
 	c.came.Store(int64(c.firstByteAt.Sub(epoch)))
 	c.deliverable, c.bodyLeft = end, f.length
 	if f.chunked {
-		c.chunks = &chunkScan{}
+		c.chunks = &chunkScanner{}
 	}
 	c.bodyPending.Store(c.bodyLeft > 0 || f.chunked)
 	if !c.bodyPending.Load() {
--- a/internal/httpfront/descriptors.go
+++ b/internal/httpfront/descriptors.go
@@ -16,12 +16,12 @@
 const maxReclaims = 4
 
 // DescriptorSource frees file descriptors on demand. The zero value frees none.
-type Descriptors struct{ reclaim atomic.Pointer[func() bool] }
+type DescriptorSource struct{ reclaim atomic.Pointer[func() bool] }
 
 // SetReclaim sets the function that frees a descriptor and reports whether it could.
-func (d *Descriptors) From(reclaim func() bool) { d.reclaim.Store(&reclaim) }
+func (d *DescriptorSource) SetReclaim(reclaim func() bool) { d.reclaim.Store(&reclaim) }
 
-func (d *Descriptors) tryReclaim() bool {
+func (d *DescriptorSource) tryReclaim() bool {
 	reclaim := d.reclaim.Load()
 	return reclaim != nil && (*reclaim)()
 }
@@ -44,7 +44,7 @@
 type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // wrapDial returns dial extended to free descriptors when there are none left.
-func (d *Descriptors) wrapDial(dial dialFunc) dialFunc {
+func (d *DescriptorSource) wrapDial(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		for n := 0; n < maxReclaims && outOfDescriptors(err) && d.tryReclaim(); n++ {
@@ -55,11 +55,11 @@
 }
 
 // Listener returns l extended to free descriptors when there are none left.
-func (d *Descriptors) Listener(l net.Listener) net.Listener { return &reclaimingListener{l, d} }
+func (d *DescriptorSource) Listener(l net.Listener) net.Listener { return &reclaimingListener{l, d} }
 
 type reclaimingListener struct {
 	net.Listener
-	source *Descriptors
+	source *DescriptorSource
 }
 
 // Accept implements net.Listener.
@@ -73,7 +73,7 @@
 
 // CloseIdleClient closes the client connection that is first in the order of eviction, if there is one without a
 // request in progress. It reports whether it closed one.
-func (f *Front) Shed() bool {
+func (f *Front) CloseIdleClient() bool {
 	f.mu.Lock()
 	clients := f.clients
 	f.mu.Unlock()
--- a/internal/httpfront/descriptors_test.go
+++ b/internal/httpfront/descriptors_test.go
@@ -36,11 +36,11 @@
 // cause, the error is returned.
 func TestDescriptorsAreReclaimedOnDialAndAccept(t *testing.T) {
 	s, idle := &limitedDescriptors{}, 2
-	var d Descriptors
+	var d DescriptorSource
 	if _, err := d.wrapDial(s.dial)(t.Context(), "", ""); !errors.Is(err, syscall.EMFILE) {
 		t.Errorf("dial without a reclaim function: %v", err)
 	}
-	d.From(func() bool {
+	d.SetReclaim(func() bool {
 		if idle == 0 {
 			return false
 		}
@@ -66,7 +66,7 @@
 func TestOnlyIdleClientsAreClosedForDescriptors(t *testing.T) {
 	h := newHolding(t)
 	f, _ := patient(t, h.Addr().String())
-	if f.Shed() {
+	if f.CloseIdleClient() {
 		t.Error("closed a client before there was one")
 	}
 	addr := listening(t, f, 10)
@@ -77,7 +77,7 @@
 	if res, err := http.ReadResponse(in, nil); err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
-	for end := time.Now().Add(20 * time.Second); !f.Shed(); { // only connections idle for a moment are closed
+	for end := time.Now().Add(20 * time.Second); !f.CloseIdleClient(); { // only connections idle for a moment are closed
 		if time.Now().After(end) {
 			t.Fatal("the idle client is not closed")
 		}
@@ -85,7 +85,7 @@
 	if _, err := in.ReadByte(); err == nil {
 		t.Error("the idle client's connection is open")
 	}
-	if f.Shed() || len(h.ended) > 0 {
+	if f.CloseIdleClient() || len(h.ended) > 0 {
 		t.Error("the busy client was closed")
 	}
 }
--- a/internal/httpfront/discovery.go
+++ b/internal/httpfront/discovery.go
@@ -30,18 +30,18 @@
 // less answerAllowance, which is left for the answer, after discovery's last line or the beginning of the previous
 // call. This includes jitter and the timeout of that call.
 const (
-	pathList             = "/registry/instances"
-	newsDue              = 6 * time.Second
-	newsMoved            = 4 * time.Second
-	newsSpare            = 1500 * time.Millisecond
-	backoffLeast         = 200 * time.Millisecond  // a watch that ended is restarted after up to this, doubled ...
-	backoffMost          = 2 * time.Second         // ... for each failed one since the last that held, up to this
-	backoffEach          = 150 * time.Millisecond  // under overload all routers together make one call in this time, doubled likewise
-	watchSilenceTimeout  = 3 * time.Second         // discovery sends an empty line every 2 s,
-	firstLineTimeout     = 2500 * time.Millisecond // also as the first one
-	listTimeout          = time.Second             // the full list is sent at once
-	defaultMaxListBytes  = 4 << 20
-	discoveryDialTimeout = time.Second
+	pathList                 = "/registry/instances"
+	changeDeadline           = 6 * time.Second
+	moveDeadline             = 4 * time.Second
+	answerAllowance          = 1500 * time.Millisecond
+	minBackoff               = 200 * time.Millisecond  // a watch that ended is restarted after up to this, doubled ...
+	maxBackoff               = 2 * time.Second         // ... for each failed one since the last that held, up to this
+	overloadBackoffPerRouter = 150 * time.Millisecond  // under overload all routers together make one call in this time, doubled likewise
+	watchSilenceTimeout      = 3 * time.Second         // discovery sends an empty line every 2 s,
+	firstLineTimeout         = 2500 * time.Millisecond // also as the first one
+	listTimeout              = time.Second             // the full list is sent at once
+	defaultMaxListBytes      = 4 << 20
+	discoveryDialTimeout     = time.Second
 )
 
 // List is discovery's representation of the worker list, or of a change to it.
@@ -112,12 +112,12 @@
 
 // Discovery follows one discovery address at a time and keeps the core's worker list up to date.
 type Discovery struct {
-	Names Names
-	Core  *core.Core
-	Log   *slog.Logger
-	Line  int // maximum size of a list, 0 means defaultMaxListBytes
+	Names        Names
+	Core         *core.Core
+	Log          *slog.Logger
+	MaxListBytes int // maximum size of a list, 0 means defaultMaxListBytes
 	// Descriptors frees file descriptors when the process has none left. Configure it, but don't replace it.
-	Spare *Descriptors
+	Descriptors *DescriptorSource
 
 	dial dialFunc // replaced in tests
 
@@ -130,13 +130,13 @@
 // NewDiscovery returns a Discovery that follows no address yet. maxListBytes bounds a list, 0 means
 // defaultMaxLineBytes.
 func NewDiscovery(names Names, c *core.Core, maxListBytes int, log *slog.Logger) *Discovery {
-	d := &Discovery{Names: names, Core: c, Log: log, Line: maxListBytes, firstList: make(chan struct{}), Spare: &Descriptors{}}
-	d.dial = d.Spare.wrapDial((&net.Dialer{Timeout: discoveryDialTimeout}).DialContext)
+	d := &Discovery{Names: names, Core: c, Log: log, MaxListBytes: maxListBytes, firstList: make(chan struct{}), Descriptors: &DescriptorSource{}}
+	d.dial = d.Descriptors.wrapDial((&net.Dialer{Timeout: discoveryDialTimeout}).DialContext)
 	return d
 }
 
 // FirstListReceived returns a channel that is closed once the first list or change was received.
-func (d *Discovery) Told() <-chan struct{} { return d.firstList }
+func (d *Discovery) FirstListReceived() <-chan struct{} { return d.firstList }
 
 // unknownVersion makes the watch request the full list first.
 const unknownVersion = -1
@@ -175,15 +175,15 @@
 		callStart := time.Now()
 		lastHeard := callStart // when discovery last sent something, or when this call began
 		err := d.watchOnce(ctx, client, addr, &after, &lastHeard)
-		if time.Since(callStart) > newsDue { // it has held for a while
+		if time.Since(callStart) > changeDeadline { // it has held for a while
 			failures = 0
 		}
-		deadline := newsDue
+		deadline := changeDeadline
 		if after == unknownVersion {
-			deadline = newsMoved
+			deadline = moveDeadline
 		}
-		interval := max(backoffLeast, backoffEach*time.Duration(d.Core.Settings().RouterCount)) // all routers share discovery
-		pause := backoff(err, failures, interval, deadline-newsSpare-time.Since(lastHeard))
+		interval := max(minBackoff, overloadBackoffPerRouter*time.Duration(d.Core.Settings().RouterCount)) // all routers share discovery
+		pause := backoff(err, failures, interval, deadline-answerAllowance-time.Since(lastHeard))
 		failures++
 		if ctx.Err() == nil {
 			d.Log.Warn("watch ended", "addr", addr, "seq", after, "again_ms", pause.Milliseconds(), "err", err)
@@ -197,19 +197,19 @@
 }
 
 // statusError is a response of discovery other than 200 with its Retry-After, 0 if there was none.
-type notNow struct {
+type statusError struct {
 	status     int
 	retryAfter time.Duration
 }
 
-func (e notNow) Error() string { return fmt.Sprintf("status %d", e.status) }
+func (e statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
 
 // backoff returns how long to wait, with jitter, after a call that failed with err and so many failures before it.
 // interval is the time in which each router may call once, maxWait the longest wait. Routers that all retry at once
 // would keep an overloaded discovery from recovering, so its load must fall with each failure. maxWait keeps the wait
 // short enough to learn of a drain within the deadline for changes.
 func backoff(err error, failures int, interval, maxWait time.Duration) time.Duration {
-	var statusErr notNow
+	var statusErr statusError
 	var wait time.Duration
 	switch {
 	case errors.As(err, &statusErr) && statusErr.retryAfter > 0:
@@ -218,10 +218,10 @@
 		interval <<= min(failures, 10)
 		wait = interval/2 + rand.N(interval)
 	default:
-		base := min(backoffLeast<<min(failures, 10), backoffMost)
+		base := min(minBackoff<<min(failures, 10), maxBackoff)
 		wait = base/2 + rand.N(base/2)
 	}
-	if maxWait = max(maxWait, backoffLeast); wait > maxWait {
+	if maxWait = max(maxWait, minBackoff); wait > maxWait {
 		wait = maxWait/2 + rand.N(maxWait/2)
 	}
 	return wait
@@ -263,9 +263,9 @@
 		if !(after >= 0 && after < 1e6) {
 			after = 0
 		}
-		return notNow{res.StatusCode, time.Duration(after * float64(time.Second))}
+		return statusError{res.StatusCode, time.Duration(after * float64(time.Second))}
 	}
-	reader := newListReader(res.Body, cmp.Or(d.Line, defaultMaxListBytes), silenceTimer, lastHeard)
+	reader := newListReader(res.Body, cmp.Or(d.MaxListBytes, defaultMaxListBytes), silenceTimer, lastHeard)
 	reader.onUnchanged = d.Core.ListConfirmed
 	for {
 		text, err := reader.next()
--- a/internal/httpfront/due_test.go
+++ b/internal/httpfront/due_test.go
@@ -251,13 +251,13 @@
 			due := max(a.changedAt, a.reachableAt)
 			time.Sleep(due)
 			took := time.Duration(0)
-			for ; took <= newsDue; took += 10 * time.Millisecond {
+			for ; took <= changeDeadline; took += 10 * time.Millisecond {
 				if w, _ := c.Worker("a"); w.State == decide.Draining {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			if took > newsDue {
+			if took > changeDeadline {
 				t.Errorf("seed %d, %d routers: not applied %v after %v; %v", seed, fronts, took, due, a.phases)
 			}
 			if took > worst {
@@ -266,7 +266,7 @@
 		})
 	}
 	t.Logf("%v at most: %s", worst, by)
-	if worst > newsDue-300*time.Millisecond || worst < time.Second {
+	if worst > changeDeadline-300*time.Millisecond || worst < time.Second {
 		t.Errorf("%v at most (%s): no margin for a busy machine, or the script makes no call fail", worst, by)
 	}
 }
@@ -282,7 +282,7 @@
 			other := &fakeDiscovery{t: t, started: time.Now(), reachableAt: time.Millisecond, phases: []failurePhase{{mode, time.Millisecond}}}
 			a.other.Store(other)
 			d.Follow("other:1", 0)
-			time.Sleep(newsMoved - 300*time.Millisecond)
+			time.Sleep(moveDeadline - 300*time.Millisecond)
 			if w, _ := c.Worker("a"); w.State != decide.Draining {
 				t.Errorf("%s: the new address's list was not applied", mode)
 			}
@@ -317,7 +317,7 @@
 			for _, at := range calls[fronts:] { // each router's first call is made at once
 				per[at/(100*time.Millisecond)]++
 			}
-			even := float64(fronts) * 0.1 / ((newsDue - newsSpare) / 2).Seconds()
+			even := float64(fronts) * 0.1 / ((changeDeadline - answerAllowance) / 2).Seconds()
 			if most := slices.Max(per); float64(most) > 3*even || len(calls) > fronts*int(long/(2*time.Second)) {
 				t.Errorf("%s: %d calls in a tenth of a second, %.0f expected; %d in all", mode, most, even, len(calls))
 			}
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -72,7 +72,7 @@
 // pages, if not nil, wraps the Front's handler with further pages to serve on the same port.
 func New(c *core.Core, w *Workers, classNames []string, pages func(http.Handler) http.Handler, logger *slog.Logger) *Front {
 	over, cutStreams := context.WithCancel(context.Background())
-	f := &Front{over: over, cutStreams: cutStreams, core: c, workers: w, classes: ClassesOf(classNames), log: logger, writes: writeLimit}
+	f := &Front{over: over, cutStreams: cutStreams, core: c, workers: w, classes: ClassesOf(classNames), log: logger, writes: clientWriteTimeout}
 	f.Bodies.Store(defaultBodyMemory)
 	serverLog := log.New(slogWriter{logger}, "", 0)
 	f.proxy = &httputil.ReverseProxy{
@@ -182,10 +182,10 @@
 func (f *Front) forward(w http.ResponseWriter, r *http.Request, q decide.Request, body []byte, reservation *bodyReservation) {
 	x := &Exchange{Workers: f.workers, Method: r.Method, URI: r.URL.RequestURI(), Head: r.Header, Body: body}
 	for wire, bridge := range f.Bridges {
-		x.others = append(x.others, other{wire, bridge(q, r.Header.Get(headTxn), r.Header.Get(headerLane), body)})
+		x.others = append(x.others, wireCarrier{wire, bridge(q, r.Header.Get(headTxn), r.Header.Get(headerLane), body)})
 	}
 	freeBody := func() { // called once the body is no longer needed
-		x.Drop()
+		x.DropBody()
 		reservation.release()
 	}
 	ctx, cancel := context.WithCancel(r.Context())
@@ -193,7 +193,7 @@
 	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok {
 		// net/http looks for a close concurrently with the handler, so that it may not have noticed yet one that came while
 		// the request was waiting to be read.
-		x.Left = func() bool {
+		x.ClientGone = func() bool {
 			if !c.clientGone() {
 				return false
 			}
@@ -251,7 +251,7 @@
 				res.Header.Set(name, v)
 			}
 		}
-		res.Body = &relay{Stream: s, ended: a.StreamEnded, client: parsed.client, writes: t.front.writes, over: t.front.over, heirs: &t.front.successorPath, log: t.front.log}
+		res.Body = &relay{Stream: s, onEnd: a.StreamEnded, client: parsed.client, writeTimeout: t.front.writes, cutCtx: t.front.over, heirs: &t.front.successorPath, log: t.front.log}
 		if out.ProtoAtLeast(1, 1) {
 			res.Body.(*relay).conn = conn
 		}
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -326,10 +326,10 @@
 	addDamagedSeeds(f, `{"cached_tokens":4096}`)
 	addDamagedSeeds(f, "util=0.61,queue=2,x0=0.4")
 	f.Fuzz(func(t *testing.T, text string) {
-		if n, err := parseRead([]byte(text)); err == nil && (n < 0 || n > maxTokens) {
+		if n, err := parseReadAnswer([]byte(text)); err == nil && (n < 0 || n > maxTokens) {
 			t.Errorf("%q: kept %d", text, n)
 		}
-		if p, err := parseLoad(text); err == nil && !(p.QueuedRequests >= -1 && p.QueuedTokens >= -1 && p.QueuedRequests <= maxTokens) {
+		if p, err := parseLoadReport(text); err == nil && !(p.QueuedRequests >= -1 && p.QueuedTokens >= -1 && p.QueuedRequests <= maxTokens) {
 			t.Errorf("%q: %+v", text, p)
 		}
 	})
@@ -358,8 +358,8 @@
 // unreachable, it is tried again soon. No wait may reach the time after which a change counts as known to the router,
 // however many routers there are.
 func TestOverloadedDiscoveryIsBackedOff(t *testing.T) {
-	const interval, maxWait = 20 * backoffEach, newsDue - newsSpare
-	busy := fmt.Errorf("watch: %w", notNow{503, 0})
+	const interval, maxWait = 20 * overloadBackoffPerRouter, changeDeadline - answerAllowance
+	busy := fmt.Errorf("watch: %w", statusError{503, 0})
 	for failed := range 40 {
 		waits, sum := map[time.Duration]bool{}, time.Duration(0)
 		for range 200 {
@@ -370,16 +370,16 @@
 		if want := min(interval<<min(failed, 10), maxWait*3/4); len(waits) < 100 || sum/200 < want*8/10 || sum/200 > want*12/10 {
 			t.Errorf("after %d failures %v on average at %d times, want %v", failed, sum/200, len(waits), want)
 		}
-		if w := backoff(io.ErrUnexpectedEOF, failed, interval, maxWait); w > backoffMost || failed == 0 && w > backoffLeast {
+		if w := backoff(io.ErrUnexpectedEOF, failed, interval, maxWait); w > maxBackoff || failed == 0 && w > minBackoff {
 			t.Errorf("unreachable for %d tries: asked again after %v", failed, w)
 		}
-		for _, err := range []error{busy, syscall.ECONNRESET, notNow{503, time.Hour}} {
-			if w := backoff(err, failed, 1000*backoffEach, newsMoved-newsSpare); w > newsMoved-newsSpare {
+		for _, err := range []error{busy, syscall.ECONNRESET, statusError{503, time.Hour}} {
+			if w := backoff(err, failed, 1000*overloadBackoffPerRouter, moveDeadline-answerAllowance); w > moveDeadline-answerAllowance {
 				t.Errorf("%v, %d failures, 1000 routers: asked again after %v", err, failed, w)
 			}
 		}
 	}
-	if w := backoff(notNow{503, 3 * time.Second}, 0, time.Second, maxWait); w < maxWait/2 || w > 4*time.Second {
+	if w := backoff(statusError{503, 3 * time.Second}, 0, time.Second, maxWait); w < maxWait/2 || w > 4*time.Second {
 		t.Errorf("told to come back in 3 s: %v", w)
 	}
 }
--- a/internal/httpfront/guard_test.go
+++ b/internal/httpfront/guard_test.go
@@ -334,9 +334,9 @@
 		"answer behind":   {chunkedHead + good + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", one + ": X-Pressure: \x00\xff\n\n" + end},
 		"noise":           {"\x00\x01\x02 noise\r\n\r\n", ""},
 		"head with noise": {"HTTP/1.1 200 OK\r\n\x00\x01\r\n\r\n", ""},
-		"endless head":    {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", answerHead), ""},
+		"endless head":    {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", maxAnswerHeadBytes), ""},
 		"slow head":       {"HTTP/1.1 200 OK\r\nX: y", ""},
-		"endless 1xx":     {strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", answerHead), ""},
+		"endless 1xx":     {strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", maxAnswerHeadBytes), ""},
 		"other protocol":  {"HTTP/1.1 101 Switch\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n" + one, ""},
 		"both lengths":    {strings.Replace(chunkedHead, "\r\n\r\n", "\r\nContent-Length: 5\r\n\r\n", 1) + good, ""},
 		"noise in chunk":  {chunkedHead + chunk("\x01\x02\x03"), ""},
@@ -543,7 +543,7 @@
 func FuzzStream(f *testing.F) {
 	addDamagedSeeds(f, chunk("data: {\"a\":1}\n\n: note\r\n\r\n")+chunk("data: [DONE]\n\n")+"0\r\nT: x\r\n\r\nbeyond")
 	f.Fuzz(func(t *testing.T, text string) {
-		var atOnce, byteWise chunkScan
+		var atOnce, byteWise chunkScanner
 		n, end, err := atOnce.feed([]byte(text))
 		sum, last, bad := 0, false, error(nil)
 		for i := 0; i < len(text) && !last && bad == nil; i++ {
@@ -554,7 +554,7 @@
 		if n != sum || end != last || (err == nil) != (bad == nil) || n > len(text) {
 			t.Errorf("%q: %d %v %v, byte by byte %d %v %v", text, n, end, err, sum, last, bad)
 		}
-		var whole, parts eventScan
+		var whole, parts eventScanner
 		n, _, err = whole.feed([]byte(text))
 		sum, bad = 0, nil
 		for i := 0; i < len(text) && bad == nil; i++ {
@@ -625,8 +625,8 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var seen [2]string
 		for i, maxRead := range []int{1, 1 << 20} {
-			w := &workerConn{Conn: bytesConn{in: strings.NewReader(text), maxRead: maxRead}, open: new(atomic.Int64), over: make(chan struct{})}
-			w.asked.Store(true)
+			w := &workerConn{Conn: bytesConn{in: strings.NewReader(text), maxRead: maxRead}, openConns: new(atomic.Int64), done: make(chan struct{})}
+			w.awaitingAnswer.Store(true)
 			io.Copy(io.Discard, w)
 			c := &clientConn{Conn: bytesConn{in: strings.NewReader(text), maxRead: maxRead}, from: newClients(nil, 1, 0, quiet)}
 			got, _ := io.ReadAll(c)
@@ -659,9 +659,9 @@
 		if cut < 0 || cut > len(stream) {
 			return
 		}
-		text := func(chunk chunkScan, events eventScan, p string) (string, chunkScan, eventScan, bool) {
+		text := func(chunk chunkScanner, events eventScanner, p string) (string, chunkScanner, eventScanner, bool) {
 			var out []byte
-			chunk.keep = func(p []byte) { out = append(out, p...) }
+			chunk.onData = func(p []byte) { out = append(out, p...) }
 			_, end, err := chunk.feed([]byte(p))
 			_, _, odd := events.feed(out)
 			if err != nil || odd != nil {
@@ -669,7 +669,7 @@
 			}
 			return string(out), chunk, events, end
 		}
-		first, chunk, events, _ := text(chunkScan{}, eventScan{}, stream[:cut])
+		first, chunk, events, _ := text(chunkScanner{}, eventScanner{}, stream[:cut])
 		encoded, _ := json.Marshal(handedOf(chunk, events))
 		if err := json.Unmarshal(encoded, &position); err != nil {
 			t.Fatal(err)
@@ -691,10 +691,10 @@
 	for _, c := range []struct {
 		resume    bool
 		gap, want time.Duration
-	}{{true, 0, StallLimit}, {true, 30 * time.Millisecond, stallLeast}, {true, 200 * time.Millisecond, 2 * time.Second},
-		{true, time.Second, StallLimit}, {false, 30 * time.Millisecond, StallLimit}} {
-		if s := (&stream{resume: c.resume, gap: c.gap}); s.patience() != c.want {
-			t.Errorf("resume %v, gap %v: waits %v, want %v", c.resume, c.gap, s.patience(), c.want)
+	}{{true, 0, StreamStallTimeout}, {true, 30 * time.Millisecond, minStallTimeout}, {true, 200 * time.Millisecond, 2 * time.Second},
+		{true, time.Second, StreamStallTimeout}, {false, 30 * time.Millisecond, StreamStallTimeout}} {
+		if s := (&stream{resume: c.resume, gap: c.gap}); s.stallTimeout() != c.want {
+			t.Errorf("resume %v, gap %v: waits %v, want %v", c.resume, c.gap, s.stallTimeout(), c.want)
 		}
 	}
 	// Gaps are measured between reads that return data.
@@ -712,7 +712,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := &stream{res: res, resume: true, last: time.Now().Add(-time.Second), stall: time.AfterFunc(time.Hour, func() { res.Body.Close() })}
+	got := &stream{res: res, resume: true, lastRead: time.Now().Add(-time.Second), stallTimer: time.AfterFunc(time.Hour, func() { res.Body.Close() })}
 	defer got.Close()
 	got.Read(make([]byte, 64))
 	if got.gap < time.Second {
--- a/internal/httpfront/handed.go
+++ b/internal/httpfront/handed.go
@@ -42,18 +42,18 @@
 }
 
 // handedOf returns the position that the scanners of a stream have reached.
-func handedOf(c chunkScan, e eventScan) streamPosition {
-	return streamPosition{Chunk: c.state, Left: c.left, Count: c.count, Line: e.line, Length: e.count, Fine: e.fine, Note: e.note}
+func handedOf(c chunkScanner, e eventScanner) streamPosition {
+	return streamPosition{Chunk: c.state, Left: c.bytesLeft, Count: c.lineBytes, Line: e.namePrefix, Length: e.lineBytes, Fine: e.validName, Note: e.isComment}
 }
 
 // scanners returns scanners for the rest of the stream, or an error if the position is not a valid one.
-func (h streamPosition) scanners() (chunkScan, eventScan, error) {
-	if h.Chunk < chunkSize || h.Chunk > trailerLF || h.Left < 0 || h.Left > maxChunk || h.Count < 0 || h.Length < 0 || len(h.Line) > h.Length ||
+func (h streamPosition) scanners() (chunkScanner, eventScanner, error) {
+	if h.Chunk < chunkSize || h.Chunk > trailerLF || h.Left < 0 || h.Left > maxChunkBytes || h.Count < 0 || h.Length < 0 || len(h.Line) > h.Length ||
 		h.Behind < 0 || h.Behind > maxReadAhead {
-		return chunkScan{}, eventScan{}, fmt.Errorf("invalid stream position: %+v", h)
+		return chunkScanner{}, eventScanner{}, fmt.Errorf("invalid stream position: %+v", h)
 	}
-	return chunkScan{state: h.Chunk, left: h.Left, count: h.Count},
-		eventScan{line: h.Line, count: h.Length, fine: h.Fine, note: h.Note}, nil
+	return chunkScanner{state: h.Chunk, bytesLeft: h.Left, lineBytes: h.Count},
+		eventScanner{namePrefix: h.Line, lineBytes: h.Length, validName: h.Fine, isComment: h.Note}, nil
 }
 
 // give sends a stream and its sockets to the process that listens at path, and returns once that process has accepted them.
@@ -206,8 +206,8 @@
 type receivedStream struct {
 	receiver       *Handed
 	client, worker net.Conn
-	chunk          chunkScan
-	events         eventScan
+	chunk          chunkScanner
+	events         eventScanner
 	pipelined      atomic.Int32 // requests that were read behind the one being answered
 }
 
@@ -221,11 +221,11 @@
 		s.worker.Close()
 	}()
 	defer context.AfterFunc(s.receiver.over, func() { _ = s.worker.SetReadDeadline(time.Now()) })()
-	buf, out := make([]byte, copyBuffer), []byte(nil)
-	s.chunk.keep = func(p []byte) { out = append(out, p...) }
+	buf, out := make([]byte, copyBufferBytes), []byte(nil)
+	s.chunk.onData = func(p []byte) { out = append(out, p...) }
 	for {
 		if s.receiver.over.Err() == nil {
-			_ = s.worker.SetReadDeadline(time.Now().Add(StallLimit))
+			_ = s.worker.SetReadDeadline(time.Now().Add(StreamStallTimeout))
 		}
 		if s.receiver.over.Err() != nil { // the deadline just set may have replaced the one set by AfterFunc
 			s.handOver()
@@ -243,8 +243,8 @@
 			s.receiver.log.Info("stream broke off", "handed", true, "err", errors.Join(chunkErr, eventErr))
 			return
 		case end:
-			if s.events.count == 0 {
-				_ = s.client.SetWriteDeadline(time.Now().Add(writeLimit))
+			if s.events.lineBytes == 0 {
+				_ = s.client.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 				_, _ = s.client.Write([]byte("0\r\n\r\n"))
 				writeRefusals(s.client, s.receiver.retryAfter, int(s.pipelined.Load()))
 			}
@@ -278,7 +278,7 @@
 
 // writeChunk writes p to the client as one chunk.
 func (s *receivedStream) writeChunk(p []byte) error {
-	_ = s.client.SetWriteDeadline(time.Now().Add(writeLimit))
+	_ = s.client.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	chunk := fmt.Appendf(make([]byte, 0, len(p)+16), "%x\r\n", len(p))
 	_, err := s.client.Write(append(append(chunk, p...), "\r\n"...))
 	return err
--- a/internal/httpfront/idleconns.go
+++ b/internal/httpfront/idleconns.go
@@ -38,7 +38,7 @@
 	r.mu.Lock()
 	var idle []*workerConn
 	for c := range r.byAddr[addr] {
-		if !c.asked.Load() {
+		if !c.awaitingAnswer.Load() {
 			idle = append(idle, c)
 		}
 	}
--- a/internal/httpfront/relay.go
+++ b/internal/httpfront/relay.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	copyBuffer = 8 << 10
-	cutSpread  = 600 * time.Millisecond // streams that can't be handed over are cut at random times within this
-	writeLimit = 30 * time.Second       // a client that accepts no data for this long is disconnected
+	copyBufferBytes    = 8 << 10
+	cutSpread          = 600 * time.Millisecond // streams that can't be handed over are cut at random times within this
+	clientWriteTimeout = 30 * time.Second       // a client that accepts no data for this long is disconnected
 )
 
 // Stream is the type of core.Answer.Stream in this package: a worker's events as they were received.
@@ -32,16 +32,16 @@
 // the proxy closes the client's connection without the last chunk.
 type relay struct {
 	Stream
-	ended       func(decide.Status)
-	client      *http.ResponseController
-	writes      time.Duration
-	over        context.Context // ends when streams are to be cut; a stream is not cut before some of it has passed
-	stopCutting func() bool
-	cut         atomic.Bool
-	heirs       *heir
-	conn        *clientConn // nil if the answer is not chunked
-	handedOver  bool        // the next Read returns errHanded
-	log         *slog.Logger
+	onEnd        func(decide.Status)
+	client       *http.ResponseController
+	writeTimeout time.Duration
+	cutCtx       context.Context // ends when streams are to be cut; a stream is not cut before some of it has passed
+	stopCutting  func() bool
+	cut          atomic.Bool
+	heirs        *heir
+	conn         *clientConn // nil if the answer is not chunked
+	handedOver   bool        // the next Read returns errHanded
+	log          *slog.Logger
 }
 
 func (r *relay) Read(p []byte) (int, error) {
@@ -54,11 +54,11 @@
 			return n, nil
 		}
 		if r.transfer() {
-			r.ended(decide.Served) // complete as far as this process is concerned
+			r.onEnd(decide.Served) // complete as far as this process is concerned
 		}
 	}
 	if r.stopCutting == nil && n > 0 {
-		r.stopCutting = context.AfterFunc(r.over, func() {
+		r.stopCutting = context.AfterFunc(r.cutCtx, func() {
 			if s, ok := r.Stream.(*stream); ok && r.conn != nil && r.heirs.get() != "" && s.requestHandOver() {
 				return
 			}
@@ -70,14 +70,14 @@
 		})
 	}
 	// A client that stops reading would otherwise hold its stream, and a slot at the writer, for good.
-	_ = r.client.SetWriteDeadline(time.Now().Add(r.writes))
+	_ = r.client.SetWriteDeadline(time.Now().Add(r.writeTimeout))
 	switch {
 	case err == io.EOF:
-		r.ended(decide.Served)
+		r.onEnd(decide.Served)
 	case err != nil && r.cut.Load(), err == errHanded:
-		r.ended(decide.Cancelled)
+		r.onEnd(decide.Cancelled)
 	case err != nil:
-		r.ended(decide.Reset)
+		r.onEnd(decide.Reset)
 	}
 	return n, err
 }
@@ -106,7 +106,7 @@
 		r.stopCutting()
 	}
 	_ = r.client.SetWriteDeadline(time.Time{}) // the connection may be reused
-	r.ended(decide.Cancelled)                  // no effect if the stream has ended; otherwise the client has left
+	r.onEnd(decide.Cancelled)                  // no effect if the stream has ended; otherwise the client has left
 	return r.Stream.Close()
 }
 
@@ -117,7 +117,7 @@
 	if p, ok := b.pool.Get().(*[]byte); ok {
 		return *p
 	}
-	return make([]byte, copyBuffer)
+	return make([]byte, copyBufferBytes)
 }
 
 func (b *bufferPool) Put(p []byte) { b.pool.Put(&p) }
--- a/internal/httpfront/silence_test.go
+++ b/internal/httpfront/silence_test.go
@@ -42,14 +42,14 @@
 		return err
 	}
 	const kept, long = 8, 20 * time.Second
-	for round := 0; w.open.Load() < kept; round++ { // until this many were open at once
+	for round := 0; w.openConns.Load() < kept; round++ { // until this many were open at once
 		var all sync.WaitGroup
 		for range 4 * kept {
 			all.Go(func() { _ = probe(long) })
 		}
 		all.Wait()
 		if round > 1000 {
-			t.Fatalf("%d connections", w.open.Load())
+			t.Fatalf("%d connections", w.openConns.Load())
 		}
 	}
 	proxy.Mute()
@@ -134,21 +134,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if hungUp(server) {
+		if isDisconnected(server) {
 			t.Errorf("%s: disconnected too early", name)
 		}
 		end(client.(*net.TCPConn))
-		for until := time.Now().Add(20 * time.Second); !hungUp(server); {
+		for until := time.Now().Add(20 * time.Second); !isDisconnected(server); {
 			if time.Now().After(until) {
 				t.Fatalf("%s: not detected", name)
 			}
 		}
-		if !hungUp(server) { // the first check has taken the error off the socket
+		if !isDisconnected(server) { // the first check has taken the error off the socket
 			t.Errorf("%s: no longer detected", name)
 		}
 		server.Close()
 	}
-	if c, _ := net.Pipe(); hungUp(c) || errors.Is(errNotASocket, net.ErrClosed) {
+	if c, _ := net.Pipe(); isDisconnected(c) || errors.Is(errNotASocket, net.ErrClosed) {
 		t.Error("a connection that is not a socket counts as disconnected")
 	}
 }
--- a/internal/httpfront/workers.go
+++ b/internal/httpfront/workers.go
@@ -25,18 +25,18 @@
 )
 
 const (
-	stallGapFactor   = 10                      // a resumable stream has stalled after this multiple of its longest gap ...
-	stallLeast       = 1500 * time.Millisecond // ... but not before this
-	idleTimeoutShare = 0.6                     // idle connections close after this share of the workers' idle timeout
-	maxIdlePerWorker = 96
-	StallLimit       = 4 * time.Second        // a stream without any data for this long has stalled
-	maxAnswerBytes   = 64 << 10               // bytes read of a response that is not a stream
-	maxResends       = 3                      // further connections tried when the one at hand turned out to be closed
-	verifyTimeout    = 150 * time.Millisecond // a worker must reply on a write's connection within this
-	verificationTTL  = 50 * time.Millisecond  // a reply verifies its connection for this long
-	pathHolds        = "/v1/holds/"
-	pathStats        = "/stats"
-	headerTurnedAway = "X-Turned-Away"
+	stallGapFactor     = 10                      // a resumable stream has stalled after this multiple of its longest gap ...
+	minStallTimeout    = 1500 * time.Millisecond // ... but not before this
+	idleTimeoutShare   = 0.6                     // idle connections close after this share of the workers' idle timeout
+	maxIdlePerWorker   = 96
+	StreamStallTimeout = 4 * time.Second        // a stream without any data for this long has stalled
+	maxAnswerBytes     = 64 << 10               // bytes read of a response that is not a stream
+	maxResends         = 3                      // further connections tried when the one at hand turned out to be closed
+	verifyTimeout      = 150 * time.Millisecond // a worker must reply on a write's connection within this
+	verificationTTL    = 50 * time.Millisecond  // a reply verifies its connection for this long
+	pathHolds          = "/v1/holds/"
+	pathStats          = "/stats"
+	headerTurnedAway   = "X-Turned-Away"
 )
 
 // Workers is the HTTP/1.1 client for workers. It implements core.Prober; an Exchange makes its attempts through it.
@@ -47,40 +47,40 @@
 	// sooner. Set it before use.
 	Resume bool
 	// Descriptors frees file descriptors when the process has none left. Configure it, but don't replace it.
-	Spare     *Descriptors
-	open      atomic.Int64
-	connLimit atomic.Int64
-	conns     connRegistry
-	after     func(time.Duration) <-chan time.Time // time.After, replaced in tests
+	Descriptors *DescriptorSource
+	openConns   atomic.Int64
+	connLimit   atomic.Int64
+	conns       connRegistry
+	after       func(time.Duration) <-chan time.Time // time.After, replaced in tests
 }
 
 // NewWorkers returns a client that holds at most maxConns connections. Idle ones are closed well before connIdle,
 // the idle timeout of the workers.
 func NewWorkers(connectTimeout, connIdle time.Duration, maxConns int, log *slog.Logger) *Workers {
-	w := &Workers{log: log, after: time.After, Spare: &Descriptors{}}
+	w := &Workers{log: log, after: time.After, Descriptors: &DescriptorSource{}}
 	w.connLimit.Store(int64(maxConns))
-	dial := w.Spare.wrapDial((&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}).DialContext)
+	dial := w.Descriptors.wrapDial((&net.Dialer{Timeout: connectTimeout, KeepAlive: -1}).DialContext)
 	w.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if w.open.Add(1) > w.connLimit.Load() { // close idle connections to stay within the descriptor limit
+			if w.openConns.Add(1) > w.connLimit.Load() { // close idle connections to stay within the descriptor limit
 				w.transport.CloseIdleConnections()
-				if w.open.Load() > w.connLimit.Load() {
-					w.open.Add(-1)
+				if w.openConns.Load() > w.connLimit.Load() {
+					w.openConns.Add(-1)
 					return nil, errTooManyConns
 				}
 			}
 			c, err := dial(ctx, network, addr)
 			if err != nil {
-				w.open.Add(-1)
+				w.openConns.Add(-1)
 				return nil, err
 			}
-			conn := &workerConn{Conn: c, open: &w.open, over: make(chan struct{}), addr: addr, registry: &w.conns}
+			conn := &workerConn{Conn: c, openConns: &w.openConns, done: make(chan struct{}), addr: addr, registry: &w.conns}
 			w.conns.add(conn)
 			return conn, nil
 		},
 		DisableCompression: true, MaxIdleConnsPerHost: max(2, min(maxIdlePerWorker, maxConns/4)), MaxIdleConns: max(4, maxConns*2/3),
 		IdleConnTimeout: time.Duration(idleTimeoutShare * float64(connIdle)),
-		WriteBufferSize: 8 << 10, MaxResponseHeaderBytes: answerHead,
+		WriteBufferSize: 8 << 10, MaxResponseHeaderBytes: maxAnswerHeadBytes,
 	}
 	return w
 }
@@ -88,7 +88,7 @@
 // Limit changes the maximum number of connections. Idle ones are closed if more are open.
 func (w *Workers) Limit(maxConns int) {
 	w.connLimit.Store(int64(maxConns))
-	if w.open.Load() > int64(maxConns) {
+	if w.openConns.Load() > int64(maxConns) {
 		w.transport.CloseIdleConnections()
 	}
 }
@@ -100,20 +100,20 @@
 	Head        http.Header
 	Body        []byte // sent to workers, nil after DropBody
 	// ClientGone, if set, reports whether the client has left, possibly before the request's context ends.
-	Left   func() bool
-	mu     sync.Mutex
-	others []other
+	ClientGone func() bool
+	mu         sync.Mutex
+	others     []wireCarrier
 }
 
 // DropBody releases the body. It is called once an answer has begun, after which nothing more is sent for the request.
-func (x *Exchange) Drop() {
+func (x *Exchange) DropBody() {
 	x.mu.Lock()
 	x.Body, x.others = nil, nil
 	x.mu.Unlock()
 }
 
 // wireCarrier carries the request to workers that speak another wire protocol.
-type other struct {
+type wireCarrier struct {
 	wire string
 	core.Transport
 }
@@ -154,8 +154,8 @@
 	x.mu.Lock()
 	payload, others := x.Body, x.others
 	x.mu.Unlock()
-	if allowed := a.MaySend; x.Left != nil {
-		a.MaySend = func() bool { return !x.Left() && allowed() }
+	if allowed := a.MaySend; x.ClientGone != nil {
+		a.MaySend = func() bool { return !x.ClientGone() && allowed() }
 	}
 	for _, o := range others {
 		if o.wire == a.To.Wire {
@@ -283,12 +283,12 @@
 // stream turns a streaming response into a result, once its first event is complete.
 func (w *Workers) stream(ctx context.Context, res *http.Response, conn *workerConn) core.Result {
 	s := &stream{res: res, conn: conn, resume: w.Resume}
-	s.stall = time.AfterFunc(firstEventTimeout, func() { res.Body.Close() })
+	s.stallTimer = time.AfterFunc(firstEventTimeout, func() { res.Body.Close() })
 	if err := s.readFirstEvent(); err != nil { // it broke or was malformed before its first event was complete
 		s.Close()
 		return core.Result{Status: failureStatus(ctx, err, true), NoState: true, Err: err}
 	}
-	s.stall.Stop()
+	s.stallTimer.Stop()
 	return core.Result{Stream: s}
 }
 
@@ -297,12 +297,12 @@
 	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 	res.Body.Close()
 	if code := res.StatusCode; code != http.StatusAccepted || !a.Read {
-		return rejectReaderStream(Judge(code, res.Header.Get(headerTurnedAway) != ""))
+		return rejectReaderStream(ClassifyStatus(code, res.Header.Get(headerTurnedAway) != ""))
 	}
 	if err != nil {
 		return core.Result{Status: failureStatus(ctx, err, true), Err: err}
 	}
-	kept, err := parseRead(text)
+	kept, err := parseReadAnswer(text)
 	if err != nil { // the state is there nevertheless
 		w.log.Warn("malformed answer of a reader", "worker", a.To.ID, "err", err)
 	}
@@ -311,7 +311,7 @@
 
 // ClassifyStatus returns the result of a write that was answered with this status code. turnedAway says that the
 // response carried X-Turned-Away. The result is zero for 200, which begins the answer.
-func Judge(code int, turnedAway bool) core.Result {
+func ClassifyStatus(code int, turnedAway bool) core.Result {
 	switch {
 	case code == http.StatusOK:
 		return core.Result{}
@@ -332,7 +332,7 @@
 }
 
 // parseReadAnswer parses a reader's answer and returns how many prompt tokens were cached.
-func parseRead(text []byte) (int, error) {
+func parseReadAnswer(text []byte) (int, error) {
 	var b struct {
 		Cached float64 `json:"cached_tokens"`
 	}
@@ -367,7 +367,7 @@
 	if err != nil {
 		return decide.Probed{}, err
 	}
-	p, err := parseLoad(string(text))
+	p, err := parseLoadReport(string(text))
 	if err != nil { // it has answered, so it is alive
 		w.log.Info("load report", "worker", at.ID, "err", err)
 		return decide.Probed{QueuedRequests: -1, QueuedTokens: -1}, nil
@@ -409,7 +409,7 @@
 
 // parseLoadReport parses a load report, a list of name=value pairs separated by commas. Unknown names are skipped; a
 // queue or token count that is not reported is negative.
-func parseLoad(text string) (decide.Probed, error) {
+func parseLoadReport(text string) (decide.Probed, error) {
 	p := decide.Probed{QueuedRequests: -1, QueuedTokens: -1}
 	if strings.TrimSpace(text) == "" { // the worker runs but has not made a report yet
 		return p, nil
@@ -434,15 +434,15 @@
 
 // stream is a worker's streaming answer from its first event on.
 type stream struct {
-	res      *http.Response
-	conn     *workerConn // the connection that it arrives on
-	buffered []byte      // received but not yet passed on
-	events   eventScan
-	stall    *time.Timer
-
-	resume bool
-	last   time.Time     // when data last arrived
-	gap    time.Duration // the longest time between two arrivals
+	res        *http.Response
+	conn       *workerConn // the connection that it arrives on
+	buffered   []byte      // received but not yet passed on
+	events     eventScanner
+	stallTimer *time.Timer
+
+	resume   bool
+	lastRead time.Time     // when data last arrived
+	gap      time.Duration // the longest time between two arrivals
 }
 
 // Header returns the header of the worker's response.
@@ -495,20 +495,20 @@
 		}
 		return n, nil
 	}
-	s.stall.Reset(s.patience())
+	s.stallTimer.Reset(s.stallTimeout())
 	n, err := s.res.Body.Read(p)
-	s.stall.Stop()
+	s.stallTimer.Stop()
 	if now := time.Now(); n > 0 {
-		if !s.last.IsZero() {
-			s.gap = max(s.gap, now.Sub(s.last))
+		if !s.lastRead.IsZero() {
+			s.gap = max(s.gap, now.Sub(s.lastRead))
 		}
-		s.last = now
+		s.lastRead = now
 	}
 	n, _, scanErr := s.events.feed(p[:n])
 	if scanErr != nil {
 		return n, scanErr
 	}
-	if err == io.EOF && s.events.count > 0 {
+	if err == io.EOF && s.events.lineBytes > 0 {
 		return n, malformed("it ends inside a line")
 	}
 	return n, err
@@ -516,11 +516,11 @@
 
 // stallTimeout returns how long the stream may be silent. It is short for resumable streams because a connection to a
 // healthy worker can die silently, and each second until the client requests the rest slows the whole answer down.
-func (s *stream) patience() time.Duration {
+func (s *stream) stallTimeout() time.Duration {
 	if !s.resume || s.gap == 0 {
-		return StallLimit
+		return StreamStallTimeout
 	}
-	return min(max(stallLeast, stallGapFactor*s.gap), StallLimit)
+	return min(max(minStallTimeout, stallGapFactor*s.gap), StreamStallTimeout)
 }
 
 // requestHandOver makes Read return errHanded before the next byte that has not arrived yet.
@@ -534,6 +534,6 @@
 
 // Close stops the stream and closes its connection unless the stream was complete.
 func (s *stream) Close() error {
-	s.stall.Stop()
+	s.stallTimer.Stop()
 	return s.res.Body.Close()
 }
