--- a/cmd/rowanyard/budget.go
+++ b/cmd/rowanyard/budget.go
@@ -50,7 +50,7 @@
 	debug.SetMemoryLimit(int64(gcLimitShare * share * b.memoryBytes))
 	b.workers.Limit(max(1, int(workerDescriptorShare*b.usableDescriptors(share))))
 	b.front.Limit(b.clientsPerFront(share))
-	b.front.Bodies.Store(int64(bodyMemoryShare * share * b.memoryBytes))
+	b.front.BodyMemory.Store(int64(bodyMemoryShare * share * b.memoryBytes))
 }
 
 // followOverlap reduces the limits of this process while an older or newer process of the router runs, until ctx ends.
--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -193,7 +193,7 @@
 func (p *process) setUpHTTPFront() {
 	p.front = httpfront.New(p.core, p.workers, p.site.ClassNames, describe.Handler, p.log)
 	if p.site.Resume {
-		p.front.HandOver = guaranteedDrain + killMargin - handOverMargin
+		p.front.HandOverAfter = guaranteedDrain + killMargin - handOverMargin
 	}
 	if len(p.operatorFile.GRPC.WorkerHosts) > 0 {
 		p.front.Bridges = map[string]httpfront.Bridge{grpcfront.Wire: p.grpcWorkers.Bridge}
@@ -263,7 +263,7 @@
 		return
 	}
 	p.log.Info("taking over")
-	if err := p.front.TakeFrom(p.control.Socket()); err != nil {
+	if err := p.front.ReceiveStreams(p.control.Socket()); err != nil {
 		p.log.Error("streams can't be taken over", "err", err)
 	}
 }
--- a/cmd/rowanyard/serve.go
+++ b/cmd/rowanyard/serve.go
@@ -115,8 +115,8 @@
 	p.log.Info("draining", "for_at_most", drainTime.String(), "handed_on", hasSuccessor)
 	ctx, cancel := context.WithTimeout(context.Background(), drainTime+killMargin-exitMargin)
 	defer cancel()
-	if p.front.HandOver > 0 && p.handOverStreams != nil {
-		defer time.AfterFunc(p.front.HandOver, p.handOverStreams).Stop()
+	if p.front.HandOverAfter > 0 && p.handOverStreams != nil {
+		defer time.AfterFunc(p.front.HandOverAfter, p.handOverStreams).Stop()
 	}
 	drained := make(chan struct{})
 	go func() {
--- a/internal/httpfront/answers.go
+++ b/internal/httpfront/answers.go
@@ -202,7 +202,7 @@
 			// The transport closes the connection as soon as it has the error.
 			if c.handOverRequested.Load() && errors.Is(err, os.ErrDeadlineExceeded) && c.state == inChunkedBody && n == 0 {
 				if fd, err := dup(c.Conn); err == nil {
-					c.handOverFD, c.err = fd, errHanded
+					c.handOverFD, c.err = fd, errHandedOver
 				}
 			}
 		}
@@ -235,7 +235,7 @@
 				c.headBegun = true
 				_ = c.Conn.SetReadDeadline(time.Now().Add(answerHeadTimeout))
 			}
-			if end := headEnd(c.buf); end > 0 {
+			if end := headLength(c.buf); end > 0 {
 				_ = c.Conn.SetReadDeadline(time.Time{})
 				c.headBegun = false
 				return c.parseHead(end)
@@ -277,19 +277,19 @@
 	c.informationalBytes = 0
 	// Load reports are requested by probes only. An unreadable one must not invalidate the head that carries it.
 	keep := func(name []byte) bool { return !bytes.EqualFold(name, []byte(headerLoadReport)) }
-	f, kept, ok := fields(c.buf[first:end], keep, append(make([]byte, 0, len(c.buf)), c.buf[:first]...))
+	f, kept, ok := parseFields(c.buf[first:end], keep, append(make([]byte, 0, len(c.buf)), c.buf[:first]...))
 	if !ok {
 		return malformed("ambiguous framing in its head")
 	}
 	c.readyBytes = len(kept)
 	c.buf = append(kept, c.buf[end:]...)
 	switch {
-	case code == 204 || code == 304 || f.told && f.length == 0:
+	case code == 204 || code == 304 || f.hasLength && f.contentLength == 0:
 		return c.end(len(c.buf) - c.readyBytes)
 	case f.chunked:
 		c.state, c.chunks = inChunkedBody, chunkScanner{}
-	case f.told:
-		c.state, c.bodyLeft = inSizedBody, f.length
+	case f.hasLength:
+		c.state, c.bodyLeft = inSizedBody, f.contentLength
 	default:
 		c.state = inBodyToClose
 	}
--- a/internal/httpfront/body.go
+++ b/internal/httpfront/body.go
@@ -30,7 +30,7 @@
 	if length >= 0 {
 		reservation.bytes = min(maxBodyBytes, length)
 	}
-	return reservation, f.bodyMemoryUsed.Add(reservation.bytes) <= f.Bodies.Load()
+	return reservation, f.bodyMemoryUsed.Add(reservation.bytes) <= f.BodyMemory.Load()
 }
 
 // resize changes the reservation to the given number of bytes.
--- a/internal/httpfront/calledoff_test.go
+++ b/internal/httpfront/calledoff_test.go
@@ -64,7 +64,7 @@
 // timeout.
 func cancelAttempt(t *testing.T, w *scriptedWorker, read bool, limit <-chan time.Time) <-chan core.Result {
 	t.Helper()
-	x, a := attempt(w.addr)
+	x, a := newAttempt(w.addr)
 	a.CancelGrace, a.Read = time.Hour, read
 	settling := make(chan struct{})
 	x.Workers.after = func(time.Duration) <-chan time.Time { close(settling); return limit }
@@ -124,7 +124,7 @@
 // An attempt that may run twice is cancelled without waiting.
 func TestCancelledRepeatableAttemptReturnsAtOnce(t *testing.T) {
 	w := newScriptedWorker(t)
-	x, a := attempt(w.addr)
+	x, a := newAttempt(w.addr)
 	x.Workers.after = func(time.Duration) <-chan time.Time { t.Error("waited for the worker"); return nil }
 	ctx, stop := context.WithCancel(t.Context())
 	go func() { <-w.received; stop() }()
--- a/internal/httpfront/clientconn.go
+++ b/internal/httpfront/clientconn.go
@@ -25,16 +25,16 @@
 // passed are not changed. Requests that arrive while another one is being answered are kept until it is.
 type clientConn struct {
 	net.Conn
-	from        *clients
-	connectedAt time.Time
-	state       atomic.Int32
-	stateSince  atomic.Int64 // since epoch
-	bodyPending atomic.Bool  // the request's body is incomplete; whoever resets it decides whether the request is served
-	owes        atomic.Bool  // a request has been passed to net/http and its answer is not complete
-	ends        socketState
-	came        atomic.Int64 // when the first byte of the current head was read, since epoch
+	owner         *clientListener
+	connectedAt   time.Time
+	state         atomic.Int32
+	stateSince    atomic.Int64 // since epoch
+	bodyPending   atomic.Bool  // the request's body is incomplete; whoever resets it decides whether the request is served
+	answerPending atomic.Bool  // a request has been passed to net/http and its answer is not complete
+	socket        socketState
+	arrivedAt     atomic.Int64 // when the first byte of the current head was read, since epoch
 
-	behind         atomic.Int32 // pipelined requests read after the current one
+	pipelined      atomic.Int32 // pipelined requests read after the current one
 	answerComplete atomic.Bool  // refusals may follow the current request's answer
 
 	// Used by Read only, which net/http does not call concurrently.
@@ -52,8 +52,8 @@
 
 type connKey struct{}
 
-// withConn is a ConnContext for http.Server that makes the connection available to handlers.
-func withConn(ctx context.Context, c net.Conn) context.Context {
+// contextWithConn is a ConnContext for http.Server that makes the connection available to handlers.
+func contextWithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
@@ -65,11 +65,11 @@
 	return time.Now().Add(laterBodyTimeout)
 }
 
-// onItsWay returns the time since the first byte of the current request was read. The time that a client gives its
+// timeSinceArrival returns the time since the first byte of the current request was read. The time that a client gives its
 // request counts from there, however slowly the rest arrives and whatever it waits for.
-func onItsWay(ctx context.Context) time.Duration {
+func timeSinceArrival(ctx context.Context) time.Duration {
 	if c, ok := ctx.Value(connKey{}).(*clientConn); ok {
-		return time.Since(epoch) - time.Duration(c.came.Load())
+		return time.Since(epoch) - time.Duration(c.arrivedAt.Load())
 	}
 	return 0
 }
@@ -93,9 +93,9 @@
 	if c, ok := c.(*clientConn); ok {
 		switch state {
 		case http.StateIdle: // Read is not running
-			c.owes.Store(false)
-			c.ends.setAnswered(len(c.buf) > 0)
-			if c.setState(connIdle) && c.from.closing.Load() {
+			c.answerPending.Store(false)
+			c.socket.setAnswered(len(c.buf) > 0)
+			if c.setState(connIdle) && c.owner.closing.Load() {
 				c.closeIfIdle()
 			}
 		case http.StateActive:
@@ -120,7 +120,7 @@
 const malformedRequest = "x\r\n\r\n"
 
 // clientGone reports whether the connection was closed here or by the client, as far as can be told without blocking.
-func (c *clientConn) clientGone() bool { return c.ends.isClosed() || isDisconnected(c.Conn) }
+func (c *clientConn) clientGone() bool { return c.socket.isClosed() || isDisconnected(c.Conn) }
 
 // Read implements net.Conn. It returns heads and bodies one after the other, never bytes of both at once, and no head
 // before the previous request is answered: net/http reads ahead to detect that the client has left, and would not see a
@@ -171,13 +171,13 @@
 				return 0, err
 			}
 			continue
-		case c.owes.Load():
+		case c.answerPending.Load():
 			if err := c.readAhead(); err != nil {
 				return 0, err
 			}
 			continue
 		}
-		if end := headEnd(c.buf); end > 0 {
+		if end := headLength(c.buf); end > 0 {
 			if err := c.deliverHead(end); err != nil {
 				return 0, err
 			}
@@ -208,13 +208,13 @@
 // headTooLong reports whether buf holds an incomplete head of at least maxHeadBytes and nothing else. Such a request is
 // left to net/http to answer: a refusal would have the client repeat it.
 func (c *clientConn) headTooLong() bool {
-	return len(c.buf) >= maxHeadBytes && bytes.IndexByte(c.buf, '\n') >= 0 && headEnd(c.buf) == 0
+	return len(c.buf) >= maxHeadBytes && bytes.IndexByte(c.buf, '\n') >= 0 && headLength(c.buf) == 0
 }
 
 // deliverHead makes the head at the start of buf, which is complete and end bytes long, available to Read.
 func (c *clientConn) deliverHead(end int) error {
 	f, ok := requestFraming(c.buf[:end])
-	if c.overflowed && (f.chunked || int64(len(c.buf)-end) < f.length) {
+	if c.overflowed && (f.chunked || int64(len(c.buf)-end) < f.contentLength) {
 		return c.refuseRest()
 	}
 	c.headsRead.Add(1)
@@ -226,9 +226,9 @@
 		c.buf, c.deliverable, c.readsEnded = []byte(malformedRequest), len(malformedRequest), true
 		return nil
 	}
-	c.owes.Store(true)
-	c.came.Store(int64(c.firstByteAt.Sub(epoch)))
-	c.deliverable, c.bodyLeft = end, f.length
+	c.answerPending.Store(true)
+	c.arrivedAt.Store(int64(c.firstByteAt.Sub(epoch)))
+	c.deliverable, c.bodyLeft = end, f.contentLength
 	if f.chunked {
 		c.chunks = &chunkScanner{}
 	}
@@ -242,7 +242,7 @@
 // beginRequest records that net/http is given the next request. What was counted as pipelined is now current.
 func (c *clientConn) beginRequest() {
 	c.answerComplete.Store(false)
-	c.behind.Store(0)
+	c.pipelined.Store(0)
 }
 
 // fillBuffer reads from the socket into buf.
@@ -278,12 +278,12 @@
 }
 
 // countPipelined counts the requests in buf behind the current one, which has been returned or is deliverable.
-func (c *clientConn) countPipelined() { c.behind.Store(int32(countRequests(c.buf[c.deliverable:]))) }
+func (c *clientConn) countPipelined() { c.pipelined.Store(int32(countRequests(c.buf[c.deliverable:]))) }
 
 // refuseRest ends the reads where the rest of a request was discarded, and refuses that request and those after it.
 func (c *clientConn) refuseRest() error {
 	c.readsEnded = true
-	c.behind.Store(0) // these are counted below
+	c.pipelined.Store(0) // these are counted below
 	c.refuse(countRequests(c.buf))
 	return io.EOF
 }
--- a/internal/httpfront/clients.go
+++ b/internal/httpfront/clients.go
@@ -25,11 +25,11 @@
 	rejectionTimeout        = 200 * time.Millisecond  // reads what the client sends: a reset could discard the answer
 )
 
-// clients is a listener that holds at most maxConns connections. When the limit is reached, a new connection replaces one
+// clientListener is a listener that holds at most maxConns connections. When the limit is reached, a new connection replaces one
 // without a request in progress: one that has not sent a complete head, else an idle one, else one whose body has
 // stopped arriving, and among those the one that has been so for longest. A connection whose request is complete and not yet
 // answered is never closed for another. If there is none to replace, the new connection is answered with 503.
-type clients struct {
+type clientListener struct {
 	net.Listener
 	maxConns    int
 	retryAfter  string // the Retry-After line of refusals, may be empty
@@ -46,13 +46,13 @@
 	acceptDone  chan struct{}    // closed once Accept is no longer called
 }
 
-func newClients(l net.Listener, maxConns int, retryAfter time.Duration, log *slog.Logger) *clients {
-	return &clients{Listener: l, maxConns: max(1, maxConns), retryAfter: retryAfterLine(retryAfter), conns: make(map[*clientConn]bool), rejecting: make(chan struct{}, maxConcurrentRejections), log: log,
+func newClientListener(l net.Listener, maxConns int, retryAfter time.Duration, log *slog.Logger) *clientListener {
+	return &clientListener{Listener: l, maxConns: max(1, maxConns), retryAfter: retryAfterLine(retryAfter), conns: make(map[*clientConn]bool), rejecting: make(chan struct{}, maxConcurrentRejections), log: log,
 		backlogOnly: make(chan struct{}), acceptDone: make(chan struct{})}
 }
 
 // Accept implements net.Listener. It rejects connections beyond the limit that can replace no other.
-func (l *clients) Accept() (net.Conn, error) {
+func (l *clientListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.accept()
 		if err != nil {
@@ -72,7 +72,7 @@
 
 // accept returns the next connection and retries after temporary errors. After closeAfterBacklog it returns the
 // connections in the socket's queue and then closes the socket.
-func (l *clients) accept() (net.Conn, error) {
+func (l *clientListener) accept() (net.Conn, error) {
 	c, err := l.acceptNext()
 	if err == nil {
 		return c, nil
@@ -97,7 +97,7 @@
 
 // acceptNext returns an error only if the listener was closed or closeAfterBacklog was called. If the process has run out
 // of descriptors it evicts a connection.
-func (l *clients) acceptNext() (net.Conn, error) {
+func (l *clientListener) acceptNext() (net.Conn, error) {
 	var pause acceptretry.Backoff
 	for {
 		c, err := l.Listener.Accept()
@@ -105,7 +105,7 @@
 			return c, err
 		}
 		if outOfDescriptors(err) {
-			if freed, _ := l.makeRoom(); freed {
+			if freed, _ := l.evictOne(); freed {
 				continue
 			}
 		}
@@ -147,7 +147,7 @@
 
 // closeAfterBacklog stops listening in favor of another process on the same address. Connections that are already in the
 // socket's queue are still accepted, since closing the socket would reset them.
-func (l *clients) closeAfterBacklog() {
+func (l *clientListener) closeAfterBacklog() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
@@ -162,14 +162,14 @@
 }
 
 // limit sets how many connections are held.
-func (l *clients) limit(maxConns int) {
+func (l *clientListener) limit(maxConns int) {
 	l.mu.Lock()
 	l.maxConns = max(1, maxConns)
 	l.mu.Unlock()
 }
 
 // closeInactive closes the connections on which no complete request is being served.
-func (l *clients) closeInactive() {
+func (l *clientListener) closeInactive() {
 	l.mu.Lock()
 	var inactive []*clientConn
 	for c := range l.conns {
@@ -188,19 +188,19 @@
 	}
 }
 
-// Guard returns a listener for server that holds at most maxConns connections from l at once and, at that limit, replaces
+// LimitListener returns a listener for server that holds at most maxConns connections from l at once and, at that limit, replaces
 // inactive connections by new ones. It sets ConnContext, ConnState and MaxHeaderBytes of server.
-func Guard(server *http.Server, l net.Listener, maxConns int, log *slog.Logger) net.Listener {
-	server.ConnContext, server.ConnState, server.MaxHeaderBytes = withConn, trackConnState, maxHeadBytes
-	return newClients(l, maxConns, 0, log)
+func LimitListener(server *http.Server, l net.Listener, maxConns int, log *slog.Logger) net.Listener {
+	server.ConnContext, server.ConnState, server.MaxHeaderBytes = contextWithConn, trackConnState, maxHeadBytes
+	return newClientListener(l, maxConns, 0, log)
 }
 
 // admit registers a connection. It returns nil if the limit is reached and no connection can be evicted.
-func (l *clients) admit(c net.Conn) *clientConn {
+func (l *clientListener) admit(c net.Conn) *clientConn {
 	for {
 		l.mu.Lock()
 		if len(l.conns) < l.maxConns {
-			x := &clientConn{Conn: c, from: l, connectedAt: time.Now()}
+			x := &clientConn{Conn: c, owner: l, connectedAt: time.Now()}
 			x.setState(connAwaitingHead)
 			l.conns[x] = true
 			l.open.Begin()
@@ -208,7 +208,7 @@
 			return x
 		}
 		l.mu.Unlock()
-		switch freed, wait := l.makeRoom(); {
+		switch freed, wait := l.evictOne(); {
 		case !freed && wait == 0:
 			return nil
 		case !freed:
@@ -217,9 +217,9 @@
 	}
 }
 
-// makeRoom evicts one connection, never one whose complete request is being served. If there is none to evict, wait is the
+// evictOne evicts one connection, never one whose complete request is being served. If there is none to evict, wait is the
 // time until there may be one, or 0 if waiting does not help.
-func (l *clients) makeRoom() (freed bool, wait time.Duration) {
+func (l *clientListener) evictOne() (freed bool, wait time.Duration) {
 	for {
 		l.mu.Lock()
 		candidate, wait := l.victim()
@@ -237,7 +237,7 @@
 
 // victim returns the connection to evict first. If all candidates have been inactive for too short a time, wait is the
 // time until one can be evicted. The caller must hold l.mu.
-func (l *clients) victim() (first *clientConn, wait time.Duration) {
+func (l *clientListener) victim() (first *clientConn, wait time.Duration) {
 	best, age := len(minAgeBeforeEviction), time.Duration(0)
 	for c := range l.conns {
 		kind, since := int(c.state.Load()), time.Since(epoch)-time.Duration(c.stateSince.Load())
@@ -265,7 +265,7 @@
 
 // reportFull increments counter, one of the counts of what the limit of connections led to, and logs them at most once a
 // second.
-func (l *clients) reportFull(counter *int) {
+func (l *clientListener) reportFull(counter *int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	*counter++
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -22,7 +22,7 @@
 func TestRemainingTimeIsSetWhenRequestIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const dialDelay, wait = 240 * time.Millisecond, time.Second
-		w := NewWorkers(time.Second, 15*time.Second, 10, quiet)
+		w := NewWorkers(time.Second, 15*time.Second, 10, discardLogger)
 		defer w.transport.CloseIdleConnections()
 		told := make(chan time.Duration, 1)
 		w.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
@@ -31,7 +31,7 @@
 			go serveOneRead(there, told)
 			return here, nil
 		}
-		x := &Exchange{Workers: w, Method: http.MethodPost, URI: PathChat, Head: head(), Body: []byte(bodyText)}
+		x := &Exchange{Workers: w, Method: http.MethodPost, URI: PathChat, Head: requestHeader(), Body: []byte(requestBody)}
 		res := x.Try(t.Context(), core.Attempt{To: core.Worker{Addr: "worker:1"}, Read: true,
 			Deadline: time.Now().Add(wait), MaySend: func() bool { return true }})
 		if res.Status != decide.Read {
@@ -49,9 +49,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		const step = 100 * time.Millisecond
 		here, there := net.Pipe()
-		c := &clientConn{Conn: there, from: &clients{conns: make(map[*clientConn]bool)}}
-		ctx := withConn(t.Context(), c)
-		text := message("one", length(bodyText), bodyText)
+		c := &clientConn{Conn: there, owner: &clientListener{conns: make(map[*clientConn]bool)}}
+		ctx := contextWithConn(t.Context(), c)
+		text := requestText("one", contentLength(requestBody), requestBody)
 		go func() {
 			defer here.Close()
 			for _, piece := range []string{text[:10], text[10:60], text[60 : len(text)-9], text[len(text)-9:] + text} {
@@ -68,7 +68,7 @@
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				t.Fatal(err)
 			}
-			if got := onItsWay(ctx); got != want {
+			if got := timeSinceArrival(ctx); got != want {
 				t.Errorf("%v on its way, want %v", got, want)
 			}
 			peeked := make(chan struct{}) // net/http reads ahead while a request is answered
@@ -80,7 +80,7 @@
 			there.SetReadDeadline(time.Now())
 			<-peeked
 			there.SetReadDeadline(time.Time{})
-			c.owes.Store(false)
+			c.answerPending.Store(false)
 		}
 	})
 }
@@ -89,19 +89,19 @@
 func TestSlowClientReducesRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const slow, aim = 700 * time.Millisecond, time.Second
-		f, c := aimingAt(t, "worker:1", aim)
+		f, c := newFrontWithTarget(t, "worker:1", aim)
 		told := make(chan time.Duration, 9)
 		f.workers.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
 			here, there := net.Pipe()
 			go serveOneRead(there, told)
 			return here, nil
 		}
-		conn := &clientConn{from: newClients(nil, 1, 0, quiet)}
-		conn.came.Store(int64(time.Since(epoch)))
+		conn := &clientConn{owner: newClientListener(nil, 1, 0, discardLogger)}
+		conn.arrivedAt.Store(int64(time.Since(epoch)))
 		time.Sleep(slow)
-		r := httptest.NewRequest(http.MethodPost, PathChat, strings.NewReader(bodyText)).WithContext(withConn(t.Context(), conn))
-		r.Header = head()
-		r.Header.Set(headLeft, "1000")
+		r := httptest.NewRequest(http.MethodPost, PathChat, strings.NewReader(requestBody)).WithContext(contextWithConn(t.Context(), conn))
+		r.Header = requestHeader()
+		r.Header.Set(headerRemaining, "1000")
 		f.ServeHTTP(httptest.NewRecorder(), r)
 		if got := <-told; got > time.Second-slow {
 			t.Errorf("the worker was told %v, want at most %v", got, time.Second-slow)
@@ -119,7 +119,7 @@
 		return
 	}
 	io.Copy(io.Discard, r.Body)
-	left, _ := strconv.Atoi(r.Header.Get(headLeft))
+	left, _ := strconv.Atoi(r.Header.Get(headerRemaining))
 	told <- time.Duration(left) * time.Millisecond
 	io.WriteString(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":1}")
 }
--- a/internal/httpfront/descriptors.go
+++ b/internal/httpfront/descriptors.go
@@ -80,6 +80,6 @@
 	if clients == nil {
 		return false
 	}
-	made, _ := clients.makeRoom()
+	made, _ := clients.evictOne()
 	return made
 }
--- a/internal/httpfront/descriptors_test.go
+++ b/internal/httpfront/descriptors_test.go
@@ -64,15 +64,15 @@
 
 // Idle client connections are closed for their descriptors, busy ones never.
 func TestOnlyIdleClientsAreClosedForDescriptors(t *testing.T) {
-	h := newHolding(t)
-	f, _ := patient(t, h.Addr().String())
+	h := newUnresponsiveWorker(t)
+	f, _ := newPatientFront(t, h.Addr().String())
 	if f.CloseIdleClient() {
 		t.Error("closed a client before there was one")
 	}
-	addr := listening(t, f, 10)
-	dial(t, addr, patiently(message("busy", length(bodyText), bodyText)))
-	receive(t, h.came, "the busy request at its worker")
-	idle := dial(t, addr, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	addr := serveOnTCP(t, f, 10)
+	dialAndSend(t, addr, withLongDeadline(requestText("busy", contentLength(requestBody), requestBody)))
+	receive(t, h.requests, "the busy request at its worker")
+	idle := dialAndSend(t, addr, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	in := bufio.NewReader(idle)
 	if res, err := http.ReadResponse(in, nil); err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
@@ -85,7 +85,7 @@
 	if _, err := in.ReadByte(); err == nil {
 		t.Error("the idle client's connection is open")
 	}
-	if f.CloseIdleClient() || len(h.ended) > 0 {
+	if f.CloseIdleClient() || len(h.closed) > 0 {
 		t.Error("the busy client was closed")
 	}
 }
--- a/internal/httpfront/discovery_test.go
+++ b/internal/httpfront/discovery_test.go
@@ -119,7 +119,7 @@
 			t.Parallel()
 			log := &logRecorder{applied: make(chan struct{})}
 			logger := slog.New(slog.NewTextHandler(log, nil))
-			c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
+			c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, discardLogger)
 			d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 1<<10, logger)
 			defer d.Close()
 			kept := make(chan error, 1)
@@ -164,8 +164,8 @@
 
 // An invalid entry must neither remove its worker from a full list nor delay the other entries' changes.
 func TestUnreadableEntryKeepsItsWorker(t *testing.T) {
-	c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
-	d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 0, quiet)
+	c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, discardLogger)
+	d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 0, discardLogger)
 	ctx := t.Context()
 	apply := func(text string) error {
 		l, err := parseList([]byte(text))
@@ -204,7 +204,7 @@
 // A list may be indented over many lines. A parser that reads line by line would miss starts and drains, and send to
 // cold workers as if they were warm.
 func TestIndentedListsAreRead(t *testing.T) {
-	c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
+	c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, discardLogger)
 	log := &logRecorder{applied: make(chan struct{})}
 	d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 0, slog.New(slog.NewTextHandler(log, nil)))
 	defer d.Close()
@@ -232,7 +232,7 @@
 // SIGHUP names another address while a list from the old one is in flight. The current list stays in use until the new
 // address has sent one; nothing from the old address is applied after that, even if it was partly read.
 func TestListFromOldAddressIsIgnoredAfterMove(t *testing.T) {
-	c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
+	c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, discardLogger)
 	log := &logRecorder{applied: make(chan struct{})}
 	d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 0, slog.New(slog.NewTextHandler(log, nil)))
 	defer d.Close()
--- a/internal/httpfront/due_test.go
+++ b/internal/httpfront/due_test.go
@@ -227,12 +227,12 @@
 
 // follow returns a Discovery that follows a, for one of that many routers, and its core.
 func (a *fakeDiscovery) follow(fronts int) (*Discovery, *core.Core) {
-	c, err := core.New(decide.Settings{RouterCount: fronts, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
+	c, err := core.New(decide.Settings{RouterCount: fronts, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, discardLogger)
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	c.SetWorkers(true, []core.Worker{{Addr: "127.0.0.1:1", Server: decide.Server{ID: "a"}}})
-	d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 0, quiet)
+	d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 0, discardLogger)
 	d.dial = a.dial
 	d.Follow("agent:1", 7)
 	return d, c
--- a/internal/httpfront/flush_test.go
+++ b/internal/httpfront/flush_test.go
@@ -26,7 +26,7 @@
 	if r.Method != http.MethodPost {
 		return
 	}
-	id := r.Header.Get(headTxn)
+	id := r.Header.Get(headerTxn)
 	s.mu.Lock()
 	first := !s.read[id]
 	s.read[id] = true
@@ -55,18 +55,18 @@
 func TestEachEventIsForwardedImmediately(t *testing.T) {
 	const streams, rounds = 24, 6
 	worker := &stepWorker{read: make(map[string]bool), pieces: make(map[string]chan string)}
-	front, c := bed(t, worker.ServeHTTP)
+	front, c := startFront(t, worker.ServeHTTP)
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
 	open := func(id string, first string) (io.ReadCloser, chan string) {
-		h := head()
-		h.Set(headTxn, id)
+		h := requestHeader()
+		h.Set(headerTxn, id)
 		pieces := make(chan string, 1)
 		worker.mu.Lock()
 		worker.pieces[id] = pieces
 		worker.mu.Unlock()
 		pieces <- first
-		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, front.URL+PathChat, strings.NewReader(bodyText))
+		req, _ := http.NewRequestWithContext(ctx, http.MethodPost, front.URL+PathChat, strings.NewReader(requestBody))
 		req.Header = h
 		res, err := http.DefaultClient.Do(req)
 		if err != nil || res.StatusCode != http.StatusOK {
--- a/internal/httpfront/framing.go
+++ b/internal/httpfront/framing.go
@@ -5,9 +5,9 @@
 	"strconv"
 )
 
-// headEnd returns the length of the head at the start of text, including the empty line that ends it, or 0 if the head is
+// headLength returns the length of the head at the start of text, including the empty line that ends it, or 0 if the head is
 // incomplete. A head that begins with an empty line consists of that line only.
-func headEnd(text []byte) int {
+func headLength(text []byte) int {
 	for at := 0; ; {
 		i := bytes.IndexByte(text[at:], '\n')
 		if i < 0 {
@@ -23,16 +23,16 @@
 
 // framing describes how the body behind a head ends.
 type framing struct {
-	length  int64
-	told    bool // there was a Content-Length
-	chunked bool
+	contentLength int64
+	hasLength     bool // there was a Content-Length
+	chunked       bool
 }
 
-// fields parses the framing in the header lines of a head, without its first line. It returns false for all that two
+// parseFields parses the framing in the header lines of a head, without its first line. It returns false for all that two
 // parsers could understand differently: a length together with an encoding, a repeated or malformed length or encoding,
 // folded lines, spaces before the colon, a lone CR. The lines for which keep returns true, or all if keep is nil, are
 // appended to out.
-func fields(head []byte, keep func(name []byte) bool, out []byte) (framing, []byte, bool) {
+func parseFields(head []byte, keep func(name []byte) bool, out []byte) (framing, []byte, bool) {
 	var f framing
 	encoded := 0
 	for len(head) > 0 {
@@ -59,10 +59,10 @@
 		switch {
 		case len(name) == len("Content-Length") && bytes.EqualFold(name, []byte("Content-Length")):
 			n, err := strconv.ParseUint(string(value), 10, 63)
-			if err != nil || f.told {
+			if err != nil || f.hasLength {
 				return f, out, false
 			}
-			f.length, f.told = int64(n), true
+			f.contentLength, f.hasLength = int64(n), true
 		case len(name) == len("Transfer-Encoding") && bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			if encoded++; encoded > 1 || !bytes.EqualFold(value, []byte("chunked")) {
 				return f, out, false
@@ -70,7 +70,7 @@
 			f.chunked = true
 		}
 	}
-	return f, out, !(f.told && f.chunked)
+	return f, out, !(f.hasLength && f.chunked)
 }
 
 // requestFraming parses the framing of a request's head. It returns false if the framing is ambiguous.
@@ -80,7 +80,7 @@
 	if len(first) == 0 || bytes.IndexByte(first, '\r') >= 0 {
 		return framing{}, false
 	}
-	f, _, ok := fields(head[i+1:], nil, nil)
+	f, _, ok := parseFields(head[i+1:], nil, nil)
 	// HTTP/1.0 has no transfer encodings: one parser may ignore them there, another may not.
 	return f, ok && (!f.chunked || bytes.HasSuffix(first, []byte(" HTTP/1.1")))
 }
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -40,12 +40,12 @@
 	// Bridges holds a Bridge for each protocol of workers besides HTTP/1.1, by the value of core.Worker.Wire. It must
 	// not change after Serve was called.
 	Bridges map[string]Bridge
-	// Bodies limits the bytes of request bodies that are held at once. New requests beyond it are refused with 503.
-	Bodies atomic.Int64
-	// HandOver is how long after the start of Shutdown the streams that are still running are cut or handed over. The
+	// BodyMemory limits the bytes of request bodies that are held at once. New requests beyond it are refused with 503.
+	BodyMemory atomic.Int64
+	// HandOverAfter is how long after the start of Shutdown the streams that are still running are cut or handed over. The
 	// clients of cut streams request the rest from another router while there is one. 0 disables it, for clients that
 	// don't request the rest.
-	HandOver time.Duration
+	HandOverAfter time.Duration
 
 	core           *core.Core
 	workers        *Workers
@@ -53,27 +53,27 @@
 	log            *slog.Logger
 	proxy          *httputil.ReverseProxy
 	server         *http.Server
-	writes         time.Duration // for a client to accept data, shorter in tests
+	writeTimeout   time.Duration // for a client to accept data, shorter in tests
 	bodyMemoryUsed atomic.Int64
-	over           context.Context    // done once streams are to be handed over or cut
+	cutCtx         context.Context    // done once streams are to be handed over or cut
 	cutStreams     context.CancelFunc // cancels it
 
 	mu            sync.Mutex
-	clients       *clients // nil before Serve
-	receiver      *Handed  // nil if no streams are taken over from another process
-	successorPath heir
+	clients       *clientListener // nil before Serve
+	receiver      *StreamReceiver // nil if no streams are taken over from another process
+	successorPath successor
 	connLimit     int  // set by Limit, 0 if it was not called
 	standby       bool // an operator wants the router to have no clients
 	closing       bool // Shutdown has begun
-	heir          bool // during Shutdown: another process serves in place of this one
+	successor     bool // during Shutdown: another process serves in place of this one
 }
 
 // New returns a Front that passes requests to c. classNames are the names of the classes in the order of their numbers.
 // pages, if not nil, wraps the Front's handler with further pages to serve on the same port.
 func New(c *core.Core, w *Workers, classNames []string, pages func(http.Handler) http.Handler, logger *slog.Logger) *Front {
-	over, cutStreams := context.WithCancel(context.Background())
-	f := &Front{over: over, cutStreams: cutStreams, core: c, workers: w, classes: ClassesOf(classNames), log: logger, writes: clientWriteTimeout}
-	f.Bodies.Store(defaultBodyMemory)
+	cutCtx, cutStreams := context.WithCancel(context.Background())
+	f := &Front{cutCtx: cutCtx, cutStreams: cutStreams, core: c, workers: w, classes: ClassesOf(classNames), log: logger, writeTimeout: clientWriteTimeout}
+	f.BodyMemory.Store(defaultBodyMemory)
 	serverLog := log.New(slogWriter{logger}, "", 0)
 	f.proxy = &httputil.ReverseProxy{
 		Rewrite:       func(*httputil.ProxyRequest) {}, // the core chooses the worker, in RoundTrip
@@ -93,7 +93,7 @@
 		handler = pages(f)
 	}
 	f.server = &http.Server{Handler: withConnectionHeader(handler), ReadHeaderTimeout: firstHeadTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeadBytes, ErrorLog: serverLog, ConnContext: withConn, ConnState: trackConnState}
+		MaxHeaderBytes: maxHeadBytes, ErrorLog: serverLog, ConnContext: contextWithConn, ConnState: trackConnState}
 	return f
 }
 
@@ -104,7 +104,7 @@
 	if f.connLimit > 0 {
 		maxConns = f.connLimit
 	}
-	f.clients = newClients(l, maxConns, f.core.BusyRetryAfter(), f.log)
+	f.clients = newClientListener(l, maxConns, f.core.BusyRetryAfter(), f.log)
 	f.clients.closing.Store(f.standby || f.closing)
 	current := f.clients
 	f.mu.Unlock()
@@ -143,7 +143,7 @@
 	reservation, ok := f.reserveBody(r.ContentLength)
 	defer reservation.release()
 	if !ok {
-		f.log.Info("refused", "why", "too many request bodies are held", "txn", r.Header.Get(headTxn))
+		f.log.Info("refused", "why", "too many request bodies are held", "txn", r.Header.Get(headerTxn))
 		setRetryAfter(w.Header(), f.core.BusyRetryAfter())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -160,11 +160,11 @@
 		q, status, err = f.classes.Parse(r.Header, body)
 	}
 	if err == nil {
-		id := r.Header.Get(headTxn)
+		id := r.Header.Get(headerTxn)
 		if release, ok := f.core.ClaimID(id); ok {
 			defer release()
 		} else { // the first request with this id is not affected
-			status, err = http.StatusConflict, fmt.Errorf("%s: %q is open already", headTxn, id)
+			status, err = http.StatusConflict, fmt.Errorf("%s: %q is open already", headerTxn, id)
 		}
 	}
 	if err != nil {
@@ -172,8 +172,8 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	q.Label = r.Header.Get(headTxn)
-	q.TimeLeft = max(0, q.TimeLeft-onItsWay(r.Context()))
+	q.Label = r.Header.Get(headerTxn)
+	q.TimeLeft = max(0, q.TimeLeft-timeSinceArrival(r.Context()))
 	q.CachedTokens = f.core.Kept(func() []byte { return Prompt(body) })
 	f.forward(w, r, q, body, reservation)
 }
@@ -182,7 +182,7 @@
 func (f *Front) forward(w http.ResponseWriter, r *http.Request, q decide.Request, body []byte, reservation *bodyReservation) {
 	x := &Exchange{Workers: f.workers, Method: r.Method, URI: r.URL.RequestURI(), Head: r.Header, Body: body}
 	for wire, bridge := range f.Bridges {
-		x.others = append(x.others, wireCarrier{wire, bridge(q, r.Header.Get(headTxn), r.Header.Get(headerLane), body)})
+		x.others = append(x.others, wireCarrier{wire, bridge(q, r.Header.Get(headerTxn), r.Header.Get(headerLane), body)})
 	}
 	freeBody := func() { // called once the body is no longer needed
 		x.DropBody()
@@ -251,7 +251,7 @@
 				res.Header.Set(name, v)
 			}
 		}
-		res.Body = &relay{Stream: s, onEnd: a.StreamEnded, client: parsed.client, writeTimeout: t.front.writes, cutCtx: t.front.over, heirs: &t.front.successorPath, log: t.front.log}
+		res.Body = &relay{Stream: s, onEnd: a.StreamEnded, client: parsed.client, writeTimeout: t.front.writeTimeout, cutCtx: t.front.cutCtx, heirs: &t.front.successorPath, log: t.front.log}
 		if out.ProtoAtLeast(1, 1) {
 			res.Body.(*relay).conn = conn
 		}
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -19,11 +19,11 @@
 	"rowanyard/internal/core"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
-var bodyText = `{"model":"chat","stream":true,"max_tokens":9,"messages":[{"role":"user","content":"` + strings.Repeat("x", 5000) + `"}]}`
+var requestBody = `{"model":"chat","stream":true,"max_tokens":9,"messages":[{"role":"user","content":"` + strings.Repeat("x", 5000) + `"}]}`
 
-func head() http.Header {
+func requestHeader() http.Header {
 	h := http.Header{}
 	for k, v := range map[string]string{"X-Txn": "9b1f03aa5c7e2d41", "X-Lane": "chat", "X-Entity": "7f3a9c21e0b4d655",
 		"X-Remaining-Ms": "4800", "X-Estimate": "120000", "X-Resent": "again",
@@ -33,8 +33,8 @@
 	return h
 }
 
-// bed serves a front whose core knows one reader and one writer, both served by worker.
-func bed(t *testing.T, worker http.HandlerFunc) (*httptest.Server, *core.Core) {
+// startFront serves a front whose core knows one reader and one writer, both served by worker.
+func startFront(t *testing.T, worker http.HandlerFunc) (*httptest.Server, *core.Core) {
 	t.Helper()
 	s := httptest.NewServer(worker)
 	t.Cleanup(s.Close)
@@ -47,24 +47,24 @@
 // newFront returns a front whose core knows one reader and one writer, both at addr.
 func newFront(t *testing.T, addr string) (*Front, *core.Core) {
 	t.Helper()
-	return aimingAt(t, addr, time.Second)
+	return newFrontWithTarget(t, addr, time.Second)
 }
 
-// aimingAt is like newFront, with aim as the target for the first token. No request is given up before a good part
+// newFrontWithTarget is like newFront, with aim as the target for the first token. No request is given up before a good part
 // of it has passed.
-func aimingAt(t *testing.T, addr string, aim time.Duration) (*Front, *core.Core) {
+func newFrontWithTarget(t *testing.T, addr string, aim time.Duration) (*Front, *core.Core) {
 	t.Helper()
-	w := NewWorkers(250*time.Millisecond, 15*time.Second, 100, quiet)
+	w := NewWorkers(250*time.Millisecond, 15*time.Second, 100, discardLogger)
 	c, err := core.New(decide.Settings{RouterCount: 1, ClockStep: 2 * time.Millisecond, MaxAttempts: 4, CanCancel: true, PinLimit: 300 * time.Millisecond,
 		MaxRetryAfter: 500 * time.Millisecond,
 		Kinds:         []decide.Kind{{Role: decide.Reader, MemoryTokens: 1e5}, {Role: decide.Writer, MemoryTokens: 1e5}},
-		Classes:       []decide.Class{{TTFTTarget: aim, Deadline: 5 * aim, Value: 1, Effect: decide.Unsafe}}}, 1, w, quiet)
+		Classes:       []decide.Class{{TTFTTarget: aim, Deadline: 5 * aim, Value: 1, Effect: decide.Unsafe}}}, 1, w, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.SetWorkers(true, []core.Worker{{Addr: addr, Server: decide.Server{ID: "r", Kind: 0}}, {Addr: addr, Server: decide.Server{ID: "w", Kind: 1}}})
-	f := New(c, w, []string{"chat"}, nil, quiet)
-	f.writes = 100 * time.Millisecond
+	f := New(c, w, []string{"chat"}, nil, discardLogger)
+	f.writeTimeout = 100 * time.Millisecond
 	return f, c
 }
 
@@ -99,27 +99,27 @@
 
 func TestStreamPassesUnchanged(t *testing.T) {
 	events := "data: {\"a\": 1}\n\n: X-Pressure: queue=1\r\n\ndata: [DONE]\n\n"
-	front, _ := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
+	front, _ := startFront(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RequestURI() != "/v1/chat/completions?q=1" || r.Header.Get("X-Txn") != "9b1f03aa5c7e2d41" {
 			t.Errorf("%s, id %q", r.URL, r.Header.Get("X-Txn"))
 		}
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, events)
 	}))
-	res, text, err := post(t, front.URL, head(), bodyText)
+	res, text, err := post(t, front.URL, requestHeader(), requestBody)
 	if res.StatusCode != 200 || text != events || err != nil {
 		t.Errorf("%d %q %v", res.StatusCode, text, err)
 	}
 }
 
 func TestBrokenWorkerStreamBreaksClientStream(t *testing.T) {
-	front, c := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
+	front, c := startFront(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, "data: {}\n\n")
 		http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}))
-	res, text, err := post(t, front.URL, head(), bodyText)
+	res, text, err := post(t, front.URL, requestHeader(), requestBody)
 	if res.StatusCode != 200 || text != "data: {}\n\n" || err == nil {
 		t.Errorf("%d %q: the broken stream ended without an error", res.StatusCode, text)
 	}
@@ -128,7 +128,7 @@
 
 func TestClientThatStopsReadingIsDisconnected(t *testing.T) {
 	writerDone := make(chan struct{})
-	front, c := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
+	front, c := startFront(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
 		defer close(writerDone)
 		for event := bytes.Repeat([]byte("data: {\"a\": 1}\n\n"), 1<<12); ; {
 			if _, err := w.Write(event); err != nil {
@@ -136,8 +136,8 @@
 			}
 		}
 	}))
-	req, _ := http.NewRequest(http.MethodPost, front.URL+PathChat, strings.NewReader(bodyText))
-	req.Header = head()
+	req, _ := http.NewRequest(http.MethodPost, front.URL+PathChat, strings.NewReader(requestBody))
+	req.Header = requestHeader()
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Fatal(err)
@@ -151,11 +151,11 @@
 // itself, and the outcome must tell that the request may have run.
 func TestResetAfterTheLastByteIsSentOnce(t *testing.T) {
 	var writes atomic.Int64
-	front, _ := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
+	front, _ := startFront(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
 		writes.Add(1)
 		panic(http.ErrAbortHandler)
 	}))
-	res, _, _ := post(t, front.URL, head(), bodyText)
+	res, _, _ := post(t, front.URL, requestHeader(), requestBody)
 	if res.StatusCode != http.StatusBadGateway || writes.Load() != 1 {
 		t.Errorf("%d after %d writes", res.StatusCode, writes.Load())
 	}
@@ -177,7 +177,7 @@
 }
 
 func TestAttemptOutcomes(t *testing.T) {
-	w := NewWorkers(250*time.Millisecond, 15*time.Second, 100, quiet)
+	w := NewWorkers(250*time.Millisecond, 15*time.Second, 100, discardLogger)
 	refused := closedPort(t)
 	for _, c := range []struct {
 		name    string
@@ -207,7 +207,7 @@
 			rw.WriteHeader(c.code)
 			io.WriteString(rw, c.body)
 		}))
-		x := &Exchange{Workers: w, Method: http.MethodPost, URI: "/", Head: head(), Body: []byte(bodyText)}
+		x := &Exchange{Workers: w, Method: http.MethodPost, URI: "/", Head: requestHeader(), Body: []byte(requestBody)}
 		a := core.Attempt{To: core.Worker{Addr: s.Listener.Addr().String()}, Read: c.read, Deadline: time.Now().Add(time.Second), MaySend: func() bool { return true }}
 		if res := x.Try(context.Background(), a); res.Status != c.want || res.NoState != c.noState {
 			t.Errorf("%s: %+v", c.name, res)
@@ -226,24 +226,24 @@
 }
 
 func TestBadRequestsGet4xxAndNoAttempt(t *testing.T) {
-	front, _ := bed(t, func(w http.ResponseWriter, r *http.Request) { t.Error("an attempt was made") })
+	front, _ := startFront(t, func(w http.ResponseWriter, r *http.Request) { t.Error("an attempt was made") })
 	for name, bad := range map[string]string{"X-Txn": "a/b", "X-Lane": "none", "X-Entity": "xyz", "X-Remaining-Ms": "1e3",
 		"X-Estimate": "NaN", "X-Resent": "2", "X-Labels": "prompt_len=-1"} {
-		h := head()
+		h := requestHeader()
 		h.Set(name, bad)
-		if res, text, _ := post(t, front.URL, h, bodyText); res.StatusCode != 400 || !strings.Contains(text, name) {
+		if res, text, _ := post(t, front.URL, h, requestBody); res.StatusCode != 400 || !strings.Contains(text, name) {
 			t.Errorf("%s: %d %q", name, res.StatusCode, text)
 		}
 	}
-	if res, _, _ := post(t, front.URL, head(), bodyText[:50]); res.StatusCode != 400 {
+	if res, _, _ := post(t, front.URL, requestHeader(), requestBody[:50]); res.StatusCode != 400 {
 		t.Errorf("cut body: %d", res.StatusCode)
 	}
 	for _, empty := range []string{`{"model":"chat"}`, `{"messages":[ ]}`, `{"messages":{"a":1}}`, `{"messages":null}`} {
-		if res, _, _ := post(t, front.URL, head(), empty); res.StatusCode != 400 {
+		if res, _, _ := post(t, front.URL, requestHeader(), empty); res.StatusCode != 400 {
 			t.Errorf("%s: %d", empty, res.StatusCode)
 		}
 	}
-	if res, _, _ := post(t, front.URL, head(), strings.Repeat(" ", maxBodyBytes+1)); res.StatusCode != 413 {
+	if res, _, _ := post(t, front.URL, requestHeader(), strings.Repeat(" ", maxBodyBytes+1)); res.StatusCode != 413 {
 		t.Errorf("large body: %d", res.StatusCode)
 	}
 }
@@ -268,8 +268,8 @@
 		<-r.Context().Done()
 	}))
 	defer s.Close()
-	c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
-	d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 0, quiet)
+	c, _ := core.New(decide.Settings{RouterCount: 1, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, discardLogger)
+	d := NewDiscovery(Names{Kinds: []string{"m"}, Zones: []string{"a"}}, c, 0, discardLogger)
 	defer d.Close()
 	d.Follow(s.Listener.Addr().String(), 41)
 	if a, b := <-versions, <-versions; a != "41" || b != "" {
@@ -297,7 +297,7 @@
 }
 
 func FuzzLabels(f *testing.F) {
-	addDamagedSeeds(f, head().Get("X-Labels"))
+	addDamagedSeeds(f, requestHeader().Get("X-Labels"))
 	f.Fuzz(func(t *testing.T, text string) {
 		var q decide.Request
 		if err := parseLabels(&q, text); err == nil && (q.PromptLength < 0 || q.PrefixLength < 0 || q.MaxOutput < 0 || q.PromptLength > maxTokens) {
@@ -314,7 +314,7 @@
 		if err != nil {
 			return
 		}
-		for _, w := range names.Workers(l, quiet) {
+		for _, w := range names.Workers(l, discardLogger) {
 			if w.State != decide.Gone && (w.Kind != 0 || w.Zone != 0 || w.ID == "" || w.Addr == "") {
 				t.Errorf("%q: %+v", text, w)
 			}
@@ -337,7 +337,7 @@
 
 func FuzzHead(f *testing.F) {
 	var b bytes.Buffer
-	head().Write(&b)
+	requestHeader().Write(&b)
 	addDamagedSeeds(f, b.String())
 	classes := ClassesOf([]string{"chat"})
 	f.Fuzz(func(t *testing.T, text string) {
@@ -347,7 +347,7 @@
 				h.Set(k, v)
 			}
 		}
-		if q, err := classes.parseHead(h); err == nil && (q.Class != 0 || q.TimeLeft < 0 || q.DurationHint < 0 || !ValidID(h.Get(headTxn))) {
+		if q, err := classes.parseHead(h); err == nil && (q.Class != 0 || q.TimeLeft < 0 || q.DurationHint < 0 || !ValidID(h.Get(headerTxn))) {
 			t.Error(fmt.Sprintf("%q: %+v", text, q))
 		}
 	})
@@ -394,8 +394,8 @@
 		<-r.Context().Done()
 	}))
 	defer s.Close()
-	c, _ := core.New(decide.Settings{RouterCount: 1 << 20, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, quiet)
-	d := NewDiscovery(Names{}, c, 0, quiet)
+	c, _ := core.New(decide.Settings{RouterCount: 1 << 20, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, discardLogger)
+	d := NewDiscovery(Names{}, c, 0, discardLogger)
 	defer d.Close()
 	d.Follow(s.Listener.Addr().String(), 41)
 	receive(t, requests, "the request to discovery: a turn among so many routers would take a day")
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -30,17 +30,17 @@
 	net.Listener
 	mu       sync.Mutex
 	received []string
-	came     chan string
-	ended    chan struct{}
+	requests chan string
+	closed   chan struct{}
 }
 
-func newHolding(t *testing.T) *unresponsiveWorker {
+func newUnresponsiveWorker(t *testing.T) *unresponsiveWorker {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	h := &unresponsiveWorker{Listener: l, came: make(chan string, 1000), ended: make(chan struct{}, 1000)}
+	h := &unresponsiveWorker{Listener: l, requests: make(chan string, 1000), closed: make(chan struct{}, 1000)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -67,68 +67,68 @@
 			continue
 		}
 		h.mu.Lock()
-		h.received = append(h.received, r.Header.Get(headTxn))
+		h.received = append(h.received, r.Header.Get(headerTxn))
 		h.mu.Unlock()
-		h.came <- r.Header.Get(headTxn)
+		h.requests <- r.Header.Get(headerTxn)
 		in.ReadByte()
-		h.ended <- struct{}{}
+		h.closed <- struct{}{}
 		return
 	}
 }
 
-// patient returns a front whose requests wait for the worker for as long as their clients stay connected.
-func patient(t *testing.T, worker string) (*Front, *core.Core) {
+// newPatientFront returns a front whose requests wait for the worker for as long as their clients stay connected.
+func newPatientFront(t *testing.T, worker string) (*Front, *core.Core) {
 	t.Helper()
-	w := NewWorkers(time.Minute, 15*time.Second, 2000, quiet)
+	w := NewWorkers(time.Minute, 15*time.Second, 2000, discardLogger)
 	c, err := core.New(decide.Settings{RouterCount: 1, ClockStep: time.Millisecond, CanCancel: true,
 		Kinds:   []decide.Kind{{Role: decide.Reader}, {Role: decide.Writer}},
-		Classes: []decide.Class{{TTFTTarget: time.Hour, Deadline: 2 * time.Hour, Value: 1}}}, 1, w, quiet)
+		Classes: []decide.Class{{TTFTTarget: time.Hour, Deadline: 2 * time.Hour, Value: 1}}}, 1, w, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.SetWorkers(true, []core.Worker{{Addr: worker, Server: decide.Server{ID: "r", Kind: 0}}, {Addr: worker, Server: decide.Server{ID: "w", Kind: 1}}})
-	return New(c, w, []string{"chat"}, nil, quiet), c
+	return New(c, w, []string{"chat"}, nil, discardLogger), c
 }
 
-// patiently replaces the remaining time of a request, given as text, with an hour.
-func patiently(text string) string {
+// withLongDeadline replaces the remaining time of a request, given as text, with an hour.
+func withLongDeadline(text string) string {
 	return strings.Replace(text, "X-Remaining-Ms: 4800", "X-Remaining-Ms: 3600000", 1)
 }
 
 // A client's close must be detected whatever data was sent behind its request: net/http by itself does not see a close
 // behind a byte of another request, nor behind unread data.
 func TestCloseIsDetectedBehindUnreadData(t *testing.T) {
-	second := message("second", length(bodyText), bodyText)
-	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(bodyText), bodyText)
+	second := requestText("second", contentLength(requestBody), requestBody)
+	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(requestBody), requestBody)
 	closeConn := func(c net.Conn) { c.Close() }
 	for name, x := range map[string]struct {
 		text  string
 		leave func(net.Conn)
 	}{
-		"nothing":                 {message("first", length(bodyText), bodyText), closeConn},
-		"a request":               {message("first", length(bodyText), bodyText) + second, closeConn},
-		"half a head":             {message("first", length(bodyText), bodyText) + second[:40], closeConn},
-		"a byte":                  {message("first", length(bodyText), bodyText) + "P", closeConn},
-		"half a body":             {message("first", length(bodyText), bodyText) + second[:len(second)-9], closeConn},
-		"a flood":                 {message("first", length(bodyText), bodyText) + strings.Repeat(second, 200), closeConn},
-		"noise":                   {message("first", length(bodyText), bodyText) + strings.Repeat("\x00", 1<<20), closeConn},
-		"chunks":                  {message("first", "Transfer-Encoding: chunked\r\n", chunked), closeConn},
-		"a request behind chunks": {message("first", "Transfer-Encoding: chunked\r\n", chunked) + second, closeConn},
-		"a reset":                 {message("first", length(bodyText), bodyText) + second, func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }},
-		"half-closed":             {message("first", length(bodyText), bodyText), func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
-		"half-closed, pipelined":  {message("first", length(bodyText), bodyText) + second, func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
+		"nothing":                 {requestText("first", contentLength(requestBody), requestBody), closeConn},
+		"a request":               {requestText("first", contentLength(requestBody), requestBody) + second, closeConn},
+		"half a head":             {requestText("first", contentLength(requestBody), requestBody) + second[:40], closeConn},
+		"a byte":                  {requestText("first", contentLength(requestBody), requestBody) + "P", closeConn},
+		"half a body":             {requestText("first", contentLength(requestBody), requestBody) + second[:len(second)-9], closeConn},
+		"a flood":                 {requestText("first", contentLength(requestBody), requestBody) + strings.Repeat(second, 200), closeConn},
+		"noise":                   {requestText("first", contentLength(requestBody), requestBody) + strings.Repeat("\x00", 1<<20), closeConn},
+		"chunks":                  {requestText("first", "Transfer-Encoding: chunked\r\n", chunked), closeConn},
+		"a request behind chunks": {requestText("first", "Transfer-Encoding: chunked\r\n", chunked) + second, closeConn},
+		"a reset":                 {requestText("first", contentLength(requestBody), requestBody) + second, func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }},
+		"half-closed":             {requestText("first", contentLength(requestBody), requestBody), func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
+		"half-closed, pipelined":  {requestText("first", contentLength(requestBody), requestBody) + second, func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHolding(t)
-			f, c := patient(t, h.Addr().String())
-			client := dial(t, listening(t, f, 10), patiently(x.text))
-			receive(t, h.came, "its attempt")
+			h := newUnresponsiveWorker(t)
+			f, c := newPatientFront(t, h.Addr().String())
+			client := dialAndSend(t, serveOnTCP(t, f, 10), withLongDeadline(x.text))
+			receive(t, h.requests, "its attempt")
 			x.leave(client)
-			receive(t, h.ended, "the end of its attempt, which would go on for an hour")
+			receive(t, h.closed, "the end of its attempt, which would go on for an hour")
 			waitForCore(t, c)
-			if n := len(h.came); n > 0 {
-				t.Errorf("%d more attempts: %v", n, <-h.came)
+			if n := len(h.requests); n > 0 {
+				t.Errorf("%d more attempts: %v", n, <-h.requests)
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 // Pipelined requests are kept until their turn. If there is more data than is kept, the connection ends after the answer;
 // the client must not be taken to have left.
 func TestPipelinedRequestWaitsForItsTurn(t *testing.T) {
-	for name, behind := range map[string]string{"a request": message("two", length(bodyText), bodyText), "a flood": strings.Repeat("x", 1<<20)} {
+	for name, behind := range map[string]string{"a request": requestText("two", contentLength(requestBody), requestBody), "a flood": strings.Repeat("x", 1<<20)} {
 		answers := []string{"202 X\r\nContent-Length: 2\r\n\r\n{}", "200 X\r\nContent-Length: 10\r\n\r\ndata: {}\n\n"}
 		written := make(chan struct{})
 		w, _ := rawWorker(t, func(n int) string {
@@ -147,7 +147,7 @@
 			return "HTTP/1.1 " + answers[n%2]
 		})
 		f, _ := newFront(t, w)
-		c := dial(t, listening(t, f, 10), message("one", length(bodyText), bodyText)+behind)
+		c := dialAndSend(t, serveOnTCP(t, f, 10), requestText("one", contentLength(requestBody), requestBody)+behind)
 		close(written)
 		in := bufio.NewReader(c)
 		for n := range 2 {
@@ -191,20 +191,20 @@
 
 // A busy router may accept a connection only after its client has sent a request and closed it. No attempt is made then.
 func TestNoAttemptForClientsGoneBeforeAccept(t *testing.T) {
-	h := newHolding(t)
-	f, c := patient(t, h.Addr().String())
+	h := newUnresponsiveWorker(t)
+	f, c := newPatientFront(t, h.Addr().String())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { f.server.Close() })
 	for i := range 100 {
-		dial(t, l.Addr().String(), patiently(message(fmt.Sprint("gone", i), length(bodyText), bodyText))).Close()
+		dialAndSend(t, l.Addr().String(), withLongDeadline(requestText(fmt.Sprint("gone", i), contentLength(requestBody), requestBody))).Close()
 	}
 	go f.Serve(&delayingListener{l, 100}, 1000)
-	stays := dial(t, l.Addr().String(), patiently(message("stays", length(bodyText), bodyText)))
+	stays := dialAndSend(t, l.Addr().String(), withLongDeadline(requestText("stays", contentLength(requestBody), requestBody)))
 	for id := ""; id != "stays"; {
-		id = receive(t, h.came, "the attempt for the client that stays")
+		id = receive(t, h.requests, "the attempt for the client that stays")
 	}
 	stays.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
@@ -225,9 +225,9 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	listener := newClients(l, 4, 0, quiet)
+	listener := newClientListener(l, 4, 0, discardLogger)
 	accepted := func(text string) (client net.Conn, c *clientConn) {
-		client = dial(t, l.Addr().String(), text)
+		client = dialAndSend(t, l.Addr().String(), text)
 		server, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -325,7 +325,7 @@
 func TestRequestReadAsShutdownBeginsIsServed(t *testing.T) {
 	answers := []string{"202 X\r\nContent-Length: 2\r\n\r\n{}", "200 X\r\nContent-Length: 10\r\n\r\ndata: {}\n\n"}
 	w, _ := rawWorker(t, func(n int) string { return "HTTP/1.1 " + answers[n%2] })
-	f, _ := aimingAt(t, w, time.Hour)
+	f, _ := newFrontWithTarget(t, w, time.Hour)
 	shutdownDone := make(chan struct{})
 	states := followStates(f)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -342,11 +342,11 @@
 			}()
 		}
 	}}, 9)
-	c := dial(t, l.Addr().String(), "")
+	c := dialAndSend(t, l.Addr().String(), "")
 	in := bufio.NewReader(c)
 	for n := range 2 {
 		armed.Store(n == 1)
-		io.WriteString(c, message("one", length(bodyText), bodyText))
+		io.WriteString(c, requestText("one", contentLength(requestBody), requestBody))
 		res, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatalf("%d: %v", n, err)
--- a/internal/httpfront/guard_test.go
+++ b/internal/httpfront/guard_test.go
@@ -21,8 +21,8 @@
 	"rowanyard/internal/core"
 )
 
-// listening serves a front on a TCP port with at most maxConns clients and returns its address.
-func listening(t *testing.T, f *Front, maxConns int) string {
+// serveOnTCP serves a front on a TCP port with at most maxConns clients and returns its address.
+func serveOnTCP(t *testing.T, f *Front, maxConns int) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,8 +33,8 @@
 	return l.Addr().String()
 }
 
-// dial connects to addr and sends text.
-func dial(t *testing.T, addr, text string) net.Conn {
+// dialAndSend connects to addr and sends text.
+func dialAndSend(t *testing.T, addr, text string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -46,45 +46,45 @@
 	return c
 }
 
-// message returns a complete request as text, with framing as the header lines that describe its body's length.
-func message(id, framing, body string) string {
+// requestText returns a complete request as text, with framing as the header lines that describe its body's length.
+func requestText(id, framing, body string) string {
 	var b strings.Builder
-	h := head()
+	h := requestHeader()
 	h.Set("X-Txn", id)
 	h.Write(&b)
 	return "POST " + PathChat + "?q=1 HTTP/1.1\r\nHost: x\r\n" + b.String() + framing + "\r\n" + body
 }
 
-// length returns the Content-Length line for body.
-func length(body string) string { return fmt.Sprintf("Content-Length: %d\r\n", len(body)) }
+// contentLength returns the Content-Length line for body.
+func contentLength(body string) string { return fmt.Sprintf("Content-Length: %d\r\n", len(body)) }
 
 // If two parsers disagree on the length of a body, the body can smuggle another request. A request with ambiguous framing
 // must get an error, no attempt may be made for it, and nothing behind it may be parsed as a request.
 func TestAmbiguousFramingIsRejected(t *testing.T) {
 	f, _ := newFront(t, "127.0.0.1:1")
-	addr := listening(t, f, 50)
-	smuggled := message("hidden", length(bodyText), bodyText)
-	lengthLine := length(bodyText)
+	addr := serveOnTCP(t, f, 50)
+	smuggled := requestText("hidden", contentLength(requestBody), requestBody)
+	lengthLine := contentLength(requestBody)
 	for name, text := range map[string]string{
-		"both":            message("a", lengthLine+"Transfer-Encoding: chunked\r\n", "0\r\n\r\n"+smuggled),
-		"both, other way": message("a", "Transfer-Encoding: chunked\r\n"+lengthLine, "0\r\n\r\n"+smuggled),
-		"both, folded":    message("a", lengthLine+"Transfer-Encoding:\r\n chunked\r\n", smuggled),
-		"space":           message("a", lengthLine+"Transfer-Encoding : chunked\r\n", bodyText+smuggled),
-		"twice":           message("a", lengthLine+lengthLine, bodyText+smuggled),
-		"two lengths":     message("a", lengthLine+"Content-Length: 3\r\n", bodyText+smuggled),
-		"plus":            message("a", "Content-Length: +10\r\n", bodyText),
-		"negative":        message("a", "Content-Length: -10\r\n", bodyText),
-		"no number":       message("a", "Content-Length: ten\r\n", bodyText),
-		"beyond numbers":  message("a", "Content-Length: 99999999999999999999\r\n", bodyText),
-		"huge":            message("a", "Content-Length: 9000000000000000000\r\n", "x"),
-		"odd encoding":    message("a", "Transfer-Encoding: identity, chunked\r\n", "0\r\n\r\n"+smuggled),
-		"old version":     strings.Replace(message("a", "Transfer-Encoding: chunked\r\n", smuggled), "HTTP/1.1", "HTTP/1.0", 1),
+		"both":            requestText("a", lengthLine+"Transfer-Encoding: chunked\r\n", "0\r\n\r\n"+smuggled),
+		"both, other way": requestText("a", "Transfer-Encoding: chunked\r\n"+lengthLine, "0\r\n\r\n"+smuggled),
+		"both, folded":    requestText("a", lengthLine+"Transfer-Encoding:\r\n chunked\r\n", smuggled),
+		"space":           requestText("a", lengthLine+"Transfer-Encoding : chunked\r\n", requestBody+smuggled),
+		"twice":           requestText("a", lengthLine+lengthLine, requestBody+smuggled),
+		"two lengths":     requestText("a", lengthLine+"Content-Length: 3\r\n", requestBody+smuggled),
+		"plus":            requestText("a", "Content-Length: +10\r\n", requestBody),
+		"negative":        requestText("a", "Content-Length: -10\r\n", requestBody),
+		"no number":       requestText("a", "Content-Length: ten\r\n", requestBody),
+		"beyond numbers":  requestText("a", "Content-Length: 99999999999999999999\r\n", requestBody),
+		"huge":            requestText("a", "Content-Length: 9000000000000000000\r\n", "x"),
+		"odd encoding":    requestText("a", "Transfer-Encoding: identity, chunked\r\n", "0\r\n\r\n"+smuggled),
+		"old version":     strings.Replace(requestText("a", "Transfer-Encoding: chunked\r\n", smuggled), "HTTP/1.1", "HTTP/1.0", 1),
 		"empty line":      "\r\n" + smuggled,
-		"two ids":         message("a", "X-Txn: b\r\nConnection: close\r\n"+lengthLine, bodyText),
+		"two ids":         requestText("a", "X-Txn: b\r\nConnection: close\r\n"+lengthLine, requestBody),
 		"endless head":    "POST / HTTP/1.1\r\nX: " + strings.Repeat("x", 4*maxHeadBytes),
 		"noise":           "\x16\x03\x01\x00\r\n\r\n" + smuggled,
 	} {
-		in := bufio.NewReader(dial(t, addr, text))
+		in := bufio.NewReader(dialAndSend(t, addr, text))
 		res, err := http.ReadResponse(in, nil)
 		if err != nil || res.StatusCode < 400 || res.StatusCode == 502 || res.StatusCode == 503 {
 			t.Errorf("%s: %v %v", name, res, err)
@@ -102,8 +102,8 @@
 	answers := []string{"202 X\r\nContent-Length: 2\r\n\r\n{}", "200 X\r\nContent-Length: 10\r\n\r\ndata: {}\n\n"}
 	w, _ := rawWorker(t, func(n int) string { return "HTTP/1.1 " + answers[n%2] })
 	f, _ := newFront(t, w)
-	both := message("one", length(bodyText), bodyText) + message("two", length(bodyText), bodyText)
-	in := bufio.NewReader(dial(t, listening(t, f, 50), both))
+	both := requestText("one", contentLength(requestBody), requestBody) + requestText("two", contentLength(requestBody), requestBody)
+	in := bufio.NewReader(dialAndSend(t, serveOnTCP(t, f, 50), both))
 	for range 2 {
 		res, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -118,11 +118,11 @@
 // Connections that send nothing, stop in the middle of a request or are idle must be closed soon.
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	f, _ := newFront(t, "127.0.0.1:1")
-	addr := listening(t, f, 50)
+	addr := serveOnTCP(t, f, 50)
 	clients := map[string]net.Conn{}
-	for name, text := range map[string]string{"silent": "", "half a head": "POST /v1", "half a body": message("a", "Content-Length: 99\r\n", "{"),
+	for name, text := range map[string]string{"silent": "", "half a head": "POST /v1", "half a body": requestText("a", "Content-Length: 99\r\n", "{"),
 		"half a body nowhere": "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n", "idle": "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"} {
-		clients[name] = dial(t, addr, text)
+		clients[name] = dialAndSend(t, addr, text)
 	}
 	for name, c := range clients {
 		text, err := io.ReadAll(c)
@@ -210,14 +210,14 @@
 		<-answer
 		return "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
 	})
-	f, _ := aimingAt(t, w, time.Hour) // no request may be given up before the next arrives, however slow the machine is
+	f, _ := newFrontWithTarget(t, w, time.Hour) // no request may be given up before the next arrives, however slow the machine is
 	states := followStates(f)
-	addr := listening(t, f, 2)
+	addr := serveOnTCP(t, f, 2)
 	for range 6 { // none of these has a request in progress
-		dial(t, addr, "")
-		dial(t, addr, "POST /v1")
+		dialAndSend(t, addr, "")
+		dialAndSend(t, addr, "POST /v1")
 	}
-	kept := dial(t, addr, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	kept := dialAndSend(t, addr, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	if res, err := http.ReadResponse(bufio.NewReader(kept), nil); err != nil || res.Close {
 		t.Fatal(res, err)
 	}
@@ -225,7 +225,7 @@
 	// ask sends a request on a new connection and returns the answer's status and the connection.
 	ask := func(text string) (int, net.Conn) {
 		t.Helper()
-		client := dial(t, addr, text)
+		client := dialAndSend(t, addr, text)
 		res, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -240,16 +240,16 @@
 		t.Errorf("with inactive connections only: %d", status)
 	}
 	states.waitForIdle(t, closing)
-	first := dial(t, addr, patiently(message("a", length(bodyText), bodyText)))
+	first := dialAndSend(t, addr, withLongDeadline(requestText("a", contentLength(requestBody), requestBody)))
 	receive(t, received, "the first request at the worker")
-	status, conflicting := ask(patiently(message("a", length(bodyText), bodyText)))
+	status, conflicting := ask(withLongDeadline(requestText("a", contentLength(requestBody), requestBody)))
 	if status != 409 { // the id is in use
 		t.Errorf("the id of an open request: %d", status)
 	}
 	states.waitForIdle(t, conflicting)
-	dial(t, addr, patiently(message("b", length(bodyText), bodyText)))
+	dialAndSend(t, addr, withLongDeadline(requestText("b", contentLength(requestBody), requestBody)))
 	receive(t, received, "the second request at the worker")
-	if status, _ := ask(patiently(message("c", length(bodyText), bodyText))); status != 503 {
+	if status, _ := ask(withLongDeadline(requestText("c", contentLength(requestBody), requestBody))); status != 503 {
 		t.Errorf("with all connections in use: %d", status)
 	}
 	close(answer)
@@ -261,11 +261,11 @@
 // A client that sends the whole of a body that is too long before it reads must receive the answer and not a reset.
 func TestLargeBodyIsAnsweredBeforeClose(t *testing.T) {
 	f, _ := newFront(t, "127.0.0.1:1")
-	addr := listening(t, f, 50)
+	addr := serveOnTCP(t, f, 50)
 	long := strings.Repeat("x", 8<<20)
-	for name, text := range map[string]string{"length": message("a", length(long), long),
-		"chunked": message("a", "Transfer-Encoding: chunked\r\n", fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(long), long))} {
-		if res, err := http.ReadResponse(bufio.NewReader(dial(t, addr, text)), nil); err != nil || res.StatusCode != 413 {
+	for name, text := range map[string]string{"length": requestText("a", contentLength(long), long),
+		"chunked": requestText("a", "Transfer-Encoding: chunked\r\n", fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(long), long))} {
+		if res, err := http.ReadResponse(bufio.NewReader(dialAndSend(t, addr, text)), nil); err != nil || res.StatusCode != 413 {
 			t.Errorf("%s: %v %v", name, res, err)
 		}
 	}
@@ -313,9 +313,9 @@
 // chunk returns text as one chunk of a chunked body.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// attempt returns a request and what Try needs to send it to addr as a write.
-func attempt(addr string) (*Exchange, core.Attempt) {
-	return &Exchange{Workers: NewWorkers(time.Second, 15*time.Second, 100, quiet), Method: http.MethodPost, URI: PathChat, Head: head(), Body: []byte(bodyText)},
+// newAttempt returns a request and what Try needs to send it to addr as a write.
+func newAttempt(addr string) (*Exchange, core.Attempt) {
+	return &Exchange{Workers: NewWorkers(time.Second, 15*time.Second, 100, discardLogger), Method: http.MethodPost, URI: PathChat, Head: requestHeader(), Body: []byte(requestBody)},
 		core.Attempt{To: core.Worker{Addr: addr}, Deadline: time.Now().Add(time.Minute), MaySend: func() bool { return true }}
 }
 
@@ -348,7 +348,7 @@
 		"no chunk":        {chunkedHead + "zz\r\n" + one, ""},
 	} {
 		addr, _ := rawWorker(t, func(int) string { return c.text })
-		x, a := attempt(addr)
+		x, a := newAttempt(addr)
 		res := x.Try(context.Background(), a)
 		if c.want == "" {
 			if res.Status != decide.Reset || !res.NoState {
@@ -378,7 +378,7 @@
 			return chunkedHead + chunk("data: {}\n\n") + bad
 		})
 		f, c := newFront(t, w)
-		res, err := http.ReadResponse(bufio.NewReader(dial(t, listening(t, f, 9), message("a", length(bodyText), bodyText))), nil)
+		res, err := http.ReadResponse(bufio.NewReader(dialAndSend(t, serveOnTCP(t, f, 9), requestText("a", contentLength(requestBody), requestBody))), nil)
 		if err != nil || res.StatusCode != 200 && res.StatusCode != 502 {
 			t.Fatal(name, res, err)
 		}
@@ -398,7 +398,7 @@
 	answer := chunkedHead + chunk("data: {}\n\n") + "0\r\n\r\n"
 	for _, extra := range []string{"", "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"} {
 		addr, conns := rawWorker(t, func(int) string { return answer + extra })
-		x, a := attempt(addr)
+		x, a := newAttempt(addr)
 		for range 3 {
 			res := x.Try(context.Background(), a)
 			if res.Status != 0 {
@@ -463,7 +463,7 @@
 			}()
 		}
 	}()
-	x, a := attempt(l.Addr().String())
+	x, a := newAttempt(l.Addr().String())
 	var once sync.Once
 	x.Workers.after = func(time.Duration) <-chan time.Time { // time stands still until the second answer has arrived
 		once.Do(func() { close(late) })
@@ -481,7 +481,7 @@
 func TestUnreadableLoadReportIsNotAFailure(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "queue=\x00,=") }))
 	defer s.Close()
-	w := NewWorkers(time.Second, 15*time.Second, 9, quiet)
+	w := NewWorkers(time.Second, 15*time.Second, 9, discardLogger)
 	if p, err := w.Probe(context.Background(), core.Worker{Addr: s.Listener.Addr().String()}); err != nil || p.QueuedRequests >= 0 || p.QueuedTokens >= 0 {
 		t.Errorf("%+v %v", p, err)
 	}
@@ -494,8 +494,8 @@
 	defer close(release)
 	slow, _ := rawWorker(t, func(int) string { reached <- struct{}{}; <-release; return "" })
 	quick, _ := rawWorker(t, func(int) string { return "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n" })
-	w := NewWorkers(time.Second, 15*time.Second, 1, quiet)
-	x, a := attempt(quick)
+	w := NewWorkers(time.Second, 15*time.Second, 1, discardLogger)
+	x, a := newAttempt(quick)
 	x.Workers = w
 	if res := x.Try(context.Background(), a); res.Status != decide.Errored {
 		t.Fatalf("%+v", res)
@@ -519,12 +519,12 @@
 
 // The parser of a request's framing must agree with net/http's wherever both accept the head.
 func FuzzRequestFraming(f *testing.F) {
-	addDamagedSeeds(f, message("a", length(bodyText), ""))
+	addDamagedSeeds(f, requestText("a", contentLength(requestBody), ""))
 	addDamagedSeeds(f, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n")
 	f.Add("POST / HTTP/1.0\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n")
 	f.Add("POST / HTTP/1.1\nHost: x\ncontent-length:\t7\n\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		end := headEnd([]byte(text))
+		end := headLength([]byte(text))
 		if end == 0 {
 			return
 		}
@@ -533,7 +533,7 @@
 		if !ok || err != nil {
 			return
 		}
-		if chunked := len(r.TransferEncoding) > 0; chunked != ours.chunked || !chunked && r.ContentLength != ours.length {
+		if chunked := len(r.TransferEncoding) > 0; chunked != ours.chunked || !chunked && r.ContentLength != ours.contentLength {
 			t.Errorf("%q: %+v, net/http: %d %v", text[:end], ours, r.ContentLength, r.TransferEncoding)
 		}
 	})
@@ -574,7 +574,7 @@
 func TestStreamsAreHandedOver(t *testing.T) {
 	for _, after := range []time.Duration{time.Millisecond, 0} {
 		more := make(chan struct{})
-		front, c := bed(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
+		front, c := startFront(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
 			io.WriteString(w, "data: {}\n\n")
 			http.NewResponseController(w).Flush()
 			select {
@@ -583,9 +583,9 @@
 			}
 		}))
 		f := front.Config.Handler.(*Front)
-		f.HandOver = after
-		req, _ := http.NewRequest(http.MethodPost, front.URL+PathChat, strings.NewReader(bodyText))
-		req.Header = head()
+		f.HandOverAfter = after
+		req, _ := http.NewRequest(http.MethodPost, front.URL+PathChat, strings.NewReader(requestBody))
+		req.Header = requestHeader()
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -619,7 +619,7 @@
 // loop, and what they return must not depend on the division.
 func FuzzConnections(f *testing.F) {
 	addDamagedSeeds(f, "HTTP/1.1 103 E\r\n\r\n"+chunkedHead+chunk("data: {}\n\n")+"0\r\n\r\nHTTP/1.1 500 X\r\n")
-	addDamagedSeeds(f, message("a", length("{}"), "{}")+message("b", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n"))
+	addDamagedSeeds(f, requestText("a", contentLength("{}"), "{}")+requestText("b", "Transfer-Encoding: chunked\r\n", "0\r\n\r\n"))
 	f.Add("HTTP/1.1 204 X\r\n\r\n")
 	f.Add("HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\nbeyond")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -628,7 +628,7 @@
 			w := &workerConn{Conn: bytesConn{in: strings.NewReader(text), maxRead: maxRead}, openConns: new(atomic.Int64), done: make(chan struct{})}
 			w.awaitingAnswer.Store(true)
 			io.Copy(io.Discard, w)
-			c := &clientConn{Conn: bytesConn{in: strings.NewReader(text), maxRead: maxRead}, from: newClients(nil, 1, 0, quiet)}
+			c := &clientConn{Conn: bytesConn{in: strings.NewReader(text), maxRead: maxRead}, owner: newClientListener(nil, 1, 0, discardLogger)}
 			got, _ := io.ReadAll(c)
 			seen[i] = string(got)
 		}
@@ -670,7 +670,7 @@
 			return string(out), chunk, events, end
 		}
 		first, chunk, events, _ := text(chunkScanner{}, eventScanner{}, stream[:cut])
-		encoded, _ := json.Marshal(handedOf(chunk, events))
+		encoded, _ := json.Marshal(streamPositionOf(chunk, events))
 		if err := json.Unmarshal(encoded, &position); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/httpfront/handed.go
+++ b/internal/httpfront/handed.go
@@ -27,7 +27,7 @@
 	handOverSockets  = 2                      // the client's and the worker's
 )
 
-var errHanded = errors.New("handed to the process that takes over")
+var errHandedOver = errors.New("handed to the process that takes over")
 
 // streamPosition describes the state of a stream between two bytes from its worker. It is sent to the other process as JSON.
 type streamPosition struct {
@@ -41,8 +41,8 @@
 	Behind int        `json:"behind"` // requests that were read behind the one being answered
 }
 
-// handedOf returns the position that the scanners of a stream have reached.
-func handedOf(c chunkScanner, e eventScanner) streamPosition {
+// streamPositionOf returns the position that the scanners of a stream have reached.
+func streamPositionOf(c chunkScanner, e eventScanner) streamPosition {
 	return streamPosition{Chunk: c.state, Left: c.bytesLeft, Count: c.lineBytes, Line: e.namePrefix, Length: e.lineBytes, Fine: e.validName, Note: e.isComment}
 }
 
@@ -56,8 +56,8 @@
 		eventScanner{namePrefix: h.Line, lineBytes: h.Length, validName: h.Fine, isComment: h.Note}, nil
 }
 
-// give sends a stream and its sockets to the process that listens at path, and returns once that process has accepted them.
-func give(path string, h streamPosition, client, worker int) error {
+// transfer sends a stream and its sockets to the process that listens at path, and returns once that process has accepted them.
+func transfer(path string, h streamPosition, client, worker int) error {
 	text, err := json.Marshal(h)
 	if err != nil {
 		return err
@@ -98,34 +98,34 @@
 	return fd, dupErr
 }
 
-// Handed receives streams from an older process and relays the rest of them.
-type Handed struct {
+// StreamReceiver receives streams from an older process and relays the rest of them.
+type StreamReceiver struct {
 	listener   *net.UnixListener
 	log        *slog.Logger
 	retryAfter string          // the Retry-After line of refusals, may be empty
-	over       context.Context // once it is done the streams are handed over to the next process
-	next       *heir
+	cutCtx     context.Context // once it is done the streams are handed over to the next process
+	next       *successor
 
 	running inflight.Counter
 }
 
-// heir holds the path at which the process that takes over receives streams, or "" if there is none.
-type heir struct {
+// successor holds the path at which the process that takes over receives streams, or "" if there is none.
+type successor struct {
 	mu   sync.Mutex
 	path string
 }
 
-func (h *heir) set(path string) { h.mu.Lock(); h.path = path; h.mu.Unlock() }
-func (h *heir) get() string     { h.mu.Lock(); defer h.mu.Unlock(); return h.path }
+func (h *successor) set(path string) { h.mu.Lock(); h.path = path; h.mu.Unlock() }
+func (h *successor) get() string     { h.mu.Lock(); defer h.mu.Unlock(); return h.path }
 
-// TakeFrom listens at path for the streams of an older process until Shutdown is called.
-func (f *Front) TakeFrom(path string) error {
+// ReceiveStreams listens at path for the streams of an older process until Shutdown is called.
+func (f *Front) ReceiveStreams(path string) error {
 	_ = os.Remove(path)
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		return err
 	}
-	h := &Handed{listener: listener, log: f.log, retryAfter: retryAfterLine(f.core.BusyRetryAfter()), over: f.over, next: &f.successorPath}
+	h := &StreamReceiver{listener: listener, log: f.log, retryAfter: retryAfterLine(f.core.BusyRetryAfter()), cutCtx: f.cutCtx, next: &f.successorPath}
 	f.mu.Lock()
 	f.receiver = h
 	f.mu.Unlock()
@@ -134,12 +134,12 @@
 }
 
 // stop stops receiving streams and waits until the running ones end or ctx is done.
-func (h *Handed) stop(ctx context.Context) {
+func (h *StreamReceiver) stop(ctx context.Context) {
 	h.listener.Close()
 	h.running.Wait(ctx)
 }
 
-func (h *Handed) serve() {
+func (h *StreamReceiver) serve() {
 	for {
 		c, err := acceptretry.Do(h.listener.AcceptUnix)
 		if err != nil {
@@ -153,7 +153,7 @@
 }
 
 // receiveStream receives one stream.
-func (h *Handed) receiveStream(c *net.UnixConn) error {
+func (h *StreamReceiver) receiveStream(c *net.UnixConn) error {
 	_ = c.SetDeadline(time.Now().Add(handOverTimeout))
 	text, rights := make([]byte, maxPositionBytes), make([]byte, syscall.CmsgSpace(handOverSockets*4))
 	n, m, _, _, err := c.ReadMsgUnix(text, rights)
@@ -204,7 +204,7 @@
 
 // receivedStream relays the rest of a stream that an older process began.
 type receivedStream struct {
-	receiver       *Handed
+	receiver       *StreamReceiver
 	client, worker net.Conn
 	chunk          chunkScanner
 	events         eventScanner
@@ -220,14 +220,14 @@
 		s.readAhead()
 		s.worker.Close()
 	}()
-	defer context.AfterFunc(s.receiver.over, func() { _ = s.worker.SetReadDeadline(time.Now()) })()
+	defer context.AfterFunc(s.receiver.cutCtx, func() { _ = s.worker.SetReadDeadline(time.Now()) })()
 	buf, out := make([]byte, copyBufferBytes), []byte(nil)
 	s.chunk.onData = func(p []byte) { out = append(out, p...) }
 	for {
-		if s.receiver.over.Err() == nil {
+		if s.receiver.cutCtx.Err() == nil {
 			_ = s.worker.SetReadDeadline(time.Now().Add(StreamStallTimeout))
 		}
-		if s.receiver.over.Err() != nil { // the deadline just set may have replaced the one set by AfterFunc
+		if s.receiver.cutCtx.Err() != nil { // the deadline just set may have replaced the one set by AfterFunc
 			s.handOver()
 			return
 		}
@@ -249,7 +249,7 @@
 				writeRefusals(s.client, s.receiver.retryAfter, int(s.pipelined.Load()))
 			}
 			return
-		case err != nil && s.receiver.over.Err() != nil:
+		case err != nil && s.receiver.cutCtx.Err() != nil:
 			s.handOver()
 			return
 		case err != nil:
@@ -296,9 +296,9 @@
 		var worker int
 		if worker, err = dup(s.worker); err == nil {
 			defer syscall.Close(worker)
-			position := handedOf(s.chunk, s.events)
+			position := streamPositionOf(s.chunk, s.events)
 			position.Behind = int(s.pipelined.Load())
-			err = give(path, position, client, worker)
+			err = transfer(path, position, client, worker)
 		}
 	}
 	if err != nil {
--- a/internal/httpfront/lastrequest.go
+++ b/internal/httpfront/lastrequest.go
@@ -79,20 +79,20 @@
 	}
 	var readErr error
 	err = raw.Read(func(fd uintptr) (done bool) {
-		c.ends.mu.Lock()
-		defer c.ends.mu.Unlock()
-		if c.ends.closed {
+		c.socket.mu.Lock()
+		defer c.socket.mu.Unlock()
+		if c.socket.closed {
 			readErr = net.ErrClosed
 			return true
 		}
-		if c.ends.paused {
+		if c.socket.paused {
 			return false // wait for the close
 		}
 		for n, readErr = syscall.Read(int(fd), p); errors.Is(readErr, syscall.EINTR); {
 			n, readErr = syscall.Read(int(fd), p)
 		}
 		n = max(0, n)
-		c.ends.requestPending = c.ends.requestPending || n > 0
+		c.socket.requestPending = c.socket.requestPending || n > 0
 		return !errors.Is(readErr, syscall.EAGAIN)
 	})
 	switch {
@@ -110,7 +110,7 @@
 
 // Close implements net.Conn. If the last answer is complete it refuses the pipelined requests, which are no longer served.
 func (c *clientConn) Close() error {
-	first, _ := c.ends.close()
+	first, _ := c.socket.close()
 	if !first {
 		return net.ErrClosed
 	}
@@ -123,40 +123,40 @@
 // closeIfIdle closes a connection between two requests. If bytes of a request have been read at that moment, the connection
 // stays open and is closed after the answer.
 func (c *clientConn) closeIfIdle() {
-	if c.ends.closeIfAnswered() {
+	if c.socket.closeIfAnswered() {
 		_ = c.release()
 	}
 }
 
 // release removes the connection from its listener and closes the socket.
 func (c *clientConn) release() error {
-	defer c.from.open.End()
-	c.from.mu.Lock()
-	delete(c.from.conns, c)
-	c.from.mu.Unlock()
+	defer c.owner.open.End()
+	c.owner.mu.Lock()
+	delete(c.owner.conns, c)
+	c.owner.mu.Unlock()
 	return c.Conn.Close()
 }
 
 // evict closes the connection to make room for another. If a request on it has been read, even in part, the request is
 // refused: nothing of it has been sent to a worker.
 func (c *clientConn) evict() {
-	first, unanswered := c.ends.close()
+	first, unanswered := c.socket.close()
 	if !first {
 		return
 	}
 	if unanswered {
-		c.refuse(max(1, int(c.behind.Swap(0))))
+		c.refuse(max(1, int(c.pipelined.Swap(0))))
 	}
 	_ = c.release()
 }
 
 // refusePipelined refuses the requests that were read behind the current one. Nothing of them has been sent to a worker.
 func (c *clientConn) refusePipelined() {
-	c.refuse(int(c.behind.Swap(0)))
+	c.refuse(int(c.pipelined.Swap(0)))
 }
 
 // refuse writes refusals for the given number of requests.
-func (c *clientConn) refuse(requests int) { writeRefusals(c.Conn, c.from.retryAfter, requests) }
+func (c *clientConn) refuse(requests int) { writeRefusals(c.Conn, c.owner.retryAfter, requests) }
 
 // writeRefusals writes refusals for the given number of requests to a client whose connection is about to be closed, which
 // the last of them announces.
@@ -171,7 +171,7 @@
 // countRequests counts the requests in text. The last one counts once its first line is complete.
 func countRequests(text []byte) int {
 	for n := 0; ; n++ {
-		end := headEnd(text)
+		end := headLength(text)
 		if end == 0 {
 			if bytes.IndexByte(text, '\n') >= 0 {
 				n++
@@ -179,10 +179,10 @@
 			return n
 		}
 		f, ok := requestFraming(text[:end])
-		if !ok || f.chunked || int64(len(text)-end) < f.length { // the next request's start is unknown
+		if !ok || f.chunked || int64(len(text)-end) < f.contentLength { // the next request's start is unknown
 			return n + 1
 		}
-		text = text[end+int(f.length):]
+		text = text[end+int(f.contentLength):]
 	}
 }
 
@@ -190,7 +190,7 @@
 // ends with the answer unless more requests have been read, which are answered first.
 func (c *clientConn) announceClose(answer http.Header, r *http.Request) {
 	chunked := len(r.TransferEncoding) > 0 // net/http might see the body's end elsewhere than the scanner does
-	if chunked || c.from.closing.Load() && c.behind.Load() == 0 {
+	if chunked || c.owner.closing.Load() && c.pipelined.Load() == 0 {
 		answer.Set("Connection", "close")
 	} else {
 		answer.Del("Connection")
@@ -216,7 +216,7 @@
 
 // closeAfterAnswers closes idle connections now and the others after their current answer, or after the last one if more
 // requests have been read. With on false connections stay open again.
-func (l *clients) closeAfterAnswers(on bool) {
+func (l *clientListener) closeAfterAnswers(on bool) {
 	l.closing.Store(on)
 	if !on {
 		return
@@ -235,7 +235,7 @@
 }
 
 // shutdown stops accepting and waits until all connections are closed. It returns false if ctx ends first.
-func (l *clients) shutdown(ctx context.Context) bool {
+func (l *clientListener) shutdown(ctx context.Context) bool {
 	_ = l.Close()
 	select {
 	case <-l.acceptDone: // all accepted connections are counted in l.open
--- a/internal/httpfront/lifecycle.go
+++ b/internal/httpfront/lifecycle.go
@@ -16,7 +16,7 @@
 func (f *Front) ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.clients != nil && !f.standby && (!f.closing || f.heir)
+	return f.clients != nil && !f.standby && (!f.closing || f.successor)
 }
 
 // Standby puts the front into standby or takes it out again. In standby it reports that it is not ready, closes each
@@ -53,20 +53,20 @@
 // that still arrive for a short while, and cuts the streams that are still running when ctx ends. successor is the path at
 // which another process, which by now listens at the same address and gets the new connections, takes over streams; it is
 // "" if there is none.
-func (f *Front) Shutdown(ctx context.Context, heir string) {
+func (f *Front) Shutdown(ctx context.Context, successor string) {
 	f.mu.Lock()
-	f.closing, f.heir = true, heir != ""
-	if f.heir && f.clients != nil {
+	f.closing, f.successor = true, successor != ""
+	if f.successor && f.clients != nil {
 		f.clients.closeAfterBacklog()
 	}
 	streamReceiver, current := f.receiver, f.clients
 	f.mu.Unlock()
-	f.successorPath.set(heir)
+	f.successorPath.set(successor)
 	if current != nil {
 		current.closeAfterAnswers(true)
 	}
-	if f.HandOver > 0 {
-		defer time.AfterFunc(f.HandOver, func() {
+	if f.HandOverAfter > 0 {
+		defer time.AfterFunc(f.HandOverAfter, func() {
 			f.log.Info("handing streams over")
 			f.cutStreams()
 		}).Stop()
--- a/internal/httpfront/pipeline_test.go
+++ b/internal/httpfront/pipeline_test.go
@@ -63,7 +63,7 @@
 			t.Error(err)
 		}
 	})
-	first := dial(t, l.Addr().String(), "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+	first := dialAndSend(t, l.Addr().String(), "GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 	states.waitForIdle(t, first) // Serve is running
 	return l.Addr().String(), reads
 }
@@ -85,7 +85,7 @@
 // waitForPipelined waits until the given number of requests have been read behind the current one.
 func waitForPipelined(t *testing.T, c *clientConn, reads <-chan struct{}, requests int32) {
 	t.Helper()
-	for c.behind.Load() < requests {
+	for c.pipelined.Load() < requests {
 		receive(t, reads, "a read of the client's socket")
 	}
 }
@@ -125,13 +125,13 @@
 // answer may announce the end of the connection.
 func TestPipelinedRequestsAreServedAtShutdown(t *testing.T) {
 	addr, begun, goOn := streamingWorker(t)
-	f, _ := aimingAt(t, addr, time.Hour)
+	f, _ := newFrontWithTarget(t, addr, time.Hour)
 	frontAddr, reads := serveReportingReads(t, f)
 	var texts []string
 	for _, id := range []string{"one", "two", "three"} {
-		texts = append(texts, patiently(message(id, length(bodyText), bodyText)))
+		texts = append(texts, withLongDeadline(requestText(id, contentLength(requestBody), requestBody)))
 	}
-	client := dial(t, frontAddr, strings.Join(texts, ""))
+	client := dialAndSend(t, frontAddr, strings.Join(texts, ""))
 	receive(t, begun, "the first stream")
 	waitForPipelined(t, onlyConn(t, f), reads, 2)
 	f.clients.closeAfterAnswers(true) // the first step of Shutdown
@@ -153,13 +153,13 @@
 // A request that is read after the previous answer has announced the end of the connection must be refused. This includes
 // incomplete requests, since the client can't know how much was read.
 func TestRequestReadAfterAnnouncedCloseIsRefused(t *testing.T) {
-	second := patiently(message("two", length(bodyText), bodyText))
+	second := withLongDeadline(requestText("two", contentLength(requestBody), requestBody))
 	for name, behind := range map[string]string{"whole": second, "two": second + second, "half": second[:len(second)-3]} {
 		addr, begun, goOn := streamingWorker(t)
-		f, _ := aimingAt(t, addr, time.Hour)
+		f, _ := newFrontWithTarget(t, addr, time.Hour)
 		frontAddr, reads := serveReportingReads(t, f)
 		f.clients.closeAfterAnswers(true) // the first step of Shutdown
-		client := dial(t, frontAddr, patiently(message("one", length(bodyText), bodyText)))
+		client := dialAndSend(t, frontAddr, withLongDeadline(requestText("one", contentLength(requestBody), requestBody)))
 		in := bufio.NewReader(client)
 		receive(t, begun, name)
 		ended := startShutdown(t, f)
@@ -198,18 +198,18 @@
 // More data is pipelined than is kept. The complete requests among what is kept must be served, the next one must be
 // refused, and nothing after the discarded data may be taken for a part of it.
 func TestRequestsBeyondReadAheadAreRefused(t *testing.T) {
-	one := message("one", length(bodyText), bodyText)
+	one := requestText("one", contentLength(requestBody), requestBody)
 	for name, x := range map[string]struct {
 		behind  string
 		refused bool
 	}{
 		"requests": {strings.Repeat(one, 100), true},
-		"a body":   {message("two", length(strings.Repeat("x", 2*maxReadAhead)), strings.Repeat("x", 2*maxReadAhead)), true},
+		"a body":   {requestText("two", contentLength(strings.Repeat("x", 2*maxReadAhead)), strings.Repeat("x", 2*maxReadAhead)), true},
 		"noise":    {strings.Repeat("x", 3*maxReadAhead), false},
 	} {
 		var written strings.Builder
-		listener := newClients(nil, 1, 250*time.Millisecond, quiet)
-		c := &clientConn{Conn: recordingConn{bytesConn{in: strings.NewReader(one + x.behind), maxRead: 1 << 20}, &written}, from: listener}
+		listener := newClientListener(nil, 1, 250*time.Millisecond, discardLogger)
+		c := &clientConn{Conn: recordingConn{bytesConn{in: strings.NewReader(one + x.behind), maxRead: 1 << 20}, &written}, owner: listener}
 		listener.conns[c] = true
 		if _, err := io.ReadFull(c, make([]byte, len(one))); err != nil {
 			t.Fatal(err)
@@ -248,11 +248,11 @@
 // A pipelined head that is too long may arrive before the previous answer is complete, so that its rest is discarded. net/http
 // must still be given enough of it to answer with an error.
 func TestOversizedPipelinedHeadReachesServer(t *testing.T) {
-	one := message("one", length(bodyText), bodyText)
-	long := message("two", "X-Long: "+strings.Repeat("x", 2*maxHeadBytes)+"\r\n"+length(bodyText), bodyText)
+	one := requestText("one", contentLength(requestBody), requestBody)
+	long := requestText("two", "X-Long: "+strings.Repeat("x", 2*maxHeadBytes)+"\r\n"+contentLength(requestBody), requestBody)
 	var written strings.Builder
-	listener := newClients(nil, 1, 250*time.Millisecond, quiet)
-	c := &clientConn{Conn: recordingConn{bytesConn{in: strings.NewReader(one + long), maxRead: 1 << 20}, &written}, from: listener}
+	listener := newClientListener(nil, 1, 250*time.Millisecond, discardLogger)
+	c := &clientConn{Conn: recordingConn{bytesConn{in: strings.NewReader(one + long), maxRead: 1 << 20}, &written}, owner: listener}
 	listener.conns[c] = true
 	if _, err := io.ReadFull(c, make([]byte, len(one))); err != nil {
 		t.Fatal(err)
@@ -270,9 +270,9 @@
 
 // A request that net/http answers with an error follows one that was served. Each must get exactly one answer.
 func TestPipelinedErrorIsAnsweredOnce(t *testing.T) {
-	one := message("one", length(bodyText), bodyText)
-	odd := message("two", length(bodyText)+length(bodyText), bodyText)
-	long := message("two", "X-Long: "+strings.Repeat("x", 2*maxHeadBytes)+"\r\n"+length(bodyText), bodyText)
+	one := requestText("one", contentLength(requestBody), requestBody)
+	odd := requestText("two", contentLength(requestBody)+contentLength(requestBody), requestBody)
+	long := requestText("two", "X-Long: "+strings.Repeat("x", 2*maxHeadBytes)+"\r\n"+contentLength(requestBody), requestBody)
 	for name, x := range map[string]struct {
 		ahead, later string // sent with the first request, and after its answer
 		want         int
@@ -282,9 +282,9 @@
 		"a head too long":      {long[:40], long[40:], http.StatusRequestHeaderFieldsTooLarge},
 	} {
 		addr, begun, goOn := streamingWorker(t)
-		f, _ := aimingAt(t, addr, time.Hour)
+		f, _ := newFrontWithTarget(t, addr, time.Hour)
 		frontAddr, reads := serveReportingReads(t, f)
-		client := dial(t, frontAddr, one+x.ahead)
+		client := dialAndSend(t, frontAddr, one+x.ahead)
 		receive(t, begun, name)
 		waitForPipelined(t, onlyConn(t, f), reads, 1)
 		goOn <- struct{}{}
@@ -306,16 +306,16 @@
 // newer one.
 func TestRequestPipelinedBehindHandedOverStreamIsRefused(t *testing.T) {
 	addr, begun, goOn := streamingWorker(t)
-	older, _ := aimingAt(t, addr, time.Hour)
-	older.HandOver = time.Millisecond
+	older, _ := newFrontWithTarget(t, addr, time.Hour)
+	older.HandOverAfter = time.Millisecond
 	frontAddr, reads := serveReportingReads(t, older)
-	newer, _ := aimingAt(t, addr, time.Hour)
+	newer, _ := newFrontWithTarget(t, addr, time.Hour)
 	path := filepath.Join(t.TempDir(), "s")
-	if err := newer.TakeFrom(path); err != nil {
+	if err := newer.ReceiveStreams(path); err != nil {
 		t.Fatal(err)
 	}
-	first, second := patiently(message("one", length(bodyText), bodyText)), patiently(message("two", length(bodyText), bodyText))
-	client := dial(t, frontAddr, first+second)
+	first, second := withLongDeadline(requestText("one", contentLength(requestBody), requestBody)), withLongDeadline(requestText("two", contentLength(requestBody), requestBody))
+	client := dialAndSend(t, frontAddr, first+second)
 	in := bufio.NewReader(client)
 	receive(t, begun, "the stream")
 	waitForPipelined(t, onlyConn(t, older), reads, 1)
@@ -337,13 +337,13 @@
 func TestRequestReadDuringHandedOverStreamIsRefused(t *testing.T) {
 	client, clientSide := net.Pipe()
 	worker, workerSide := net.Pipe()
-	s := &receivedStream{receiver: &Handed{log: quiet, over: t.Context(), next: &heir{}}, client: clientSide, worker: workerSide}
+	s := &receivedStream{receiver: &StreamReceiver{log: discardLogger, cutCtx: t.Context(), next: &successor{}}, client: clientSide, worker: workerSide}
 	done := make(chan struct{})
 	go func() {
 		s.run()
 		close(done)
 	}()
-	text := message("two", length(bodyText), bodyText)
+	text := requestText("two", contentLength(requestBody), requestBody)
 	io.WriteString(client, text)
 	io.WriteString(client, text[:60]) // is read once the previous write was counted
 	io.WriteString(client, text[60:])
--- a/internal/httpfront/relay.go
+++ b/internal/httpfront/relay.go
@@ -38,18 +38,18 @@
 	cutCtx       context.Context // ends when streams are to be cut; a stream is not cut before some of it has passed
 	stopCutting  func() bool
 	cut          atomic.Bool
-	heirs        *heir
+	heirs        *successor
 	conn         *clientConn // nil if the answer is not chunked
 	handedOver   bool        // the next Read returns errHanded
 	log          *slog.Logger
 }
 
 func (r *relay) Read(p []byte) (int, error) {
-	n, err := 0, errHanded
+	n, err := 0, errHandedOver
 	if !r.handedOver {
 		n, err = r.Stream.Read(p)
 	}
-	if err == errHanded {
+	if err == errHandedOver {
 		if r.handedOver = true; n > 0 { // passed on first
 			return n, nil
 		}
@@ -74,7 +74,7 @@
 	switch {
 	case err == io.EOF:
 		r.onEnd(decide.Served)
-	case err != nil && r.cut.Load(), err == errHanded:
+	case err != nil && r.cut.Load(), err == errHandedOver:
 		r.onEnd(decide.Cancelled)
 	case err != nil:
 		r.onEnd(decide.Reset)
@@ -87,13 +87,13 @@
 func (r *relay) transfer() bool {
 	s := r.Stream.(*stream)
 	defer syscall.Close(s.conn.handOverFD)
-	r.conn.ends.pause()
+	r.conn.socket.pause()
 	client, err := dup(r.conn.Conn)
 	if err == nil {
 		defer syscall.Close(client)
-		position := handedOf(s.conn.chunks, s.events)
-		position.Behind = int(r.conn.behind.Load())
-		err = give(r.heirs.get(), position, client, s.conn.handOverFD)
+		position := streamPositionOf(s.conn.chunks, s.events)
+		position.Behind = int(r.conn.pipelined.Load())
+		err = transfer(r.heirs.get(), position, client, s.conn.handOverFD)
 	}
 	if err != nil {
 		r.log.Warn("a stream was not handed on", "err", err)
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	maxTokens  = 1 << 30
-	headTxn    = "X-Txn"
-	headerLane = "X-Lane"
-	headLeft   = "X-Remaining-Ms"
+	maxTokens       = 1 << 30
+	headerTxn       = "X-Txn"
+	headerLane      = "X-Lane"
+	headerRemaining = "X-Remaining-Ms"
 )
 
 // Classes maps the names of request classes to their numbers.
@@ -72,22 +72,22 @@
 // parseHead parses the fields of a request's head that decisions depend on.
 func (c Classes) parseHead(h http.Header) (decide.Request, error) {
 	var q decide.Request
-	for _, name := range []string{headTxn, headerLane, "X-Entity", headLeft, "X-Resent", "X-Estimate", "X-Labels"} {
+	for _, name := range []string{headerTxn, headerLane, "X-Entity", headerRemaining, "X-Resent", "X-Estimate", "X-Labels"} {
 		if len(h.Values(name)) > 1 { // ambiguous
 			return q, fmt.Errorf("%s: %d times", name, len(h.Values(name)))
 		}
 	}
-	if id := h.Get(headTxn); !ValidID(id) {
-		return q, fmt.Errorf("%s: %q", headTxn, id)
+	if id := h.Get(headerTxn); !ValidID(id) {
+		return q, fmt.Errorf("%s: %q", headerTxn, id)
 	}
 	class, ok := c[h.Get(headerLane)]
 	if !ok {
 		return q, fmt.Errorf("%s: unknown class %q", headerLane, h.Get(headerLane))
 	}
 	q.Class = class
-	left, err := strconv.ParseUint(h.Get(headLeft), 10, 31)
+	left, err := strconv.ParseUint(h.Get(headerRemaining), 10, 31)
 	if err != nil {
-		return q, fmt.Errorf("%s: %q", headLeft, h.Get(headLeft))
+		return q, fmt.Errorf("%s: %q", headerRemaining, h.Get(headerRemaining))
 	}
 	q.TimeLeft = time.Duration(left) * time.Millisecond
 	if q.Session, err = parseKey(h.Get("X-Entity")); err != nil {
--- a/internal/httpfront/silence_test.go
+++ b/internal/httpfront/silence_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(proxy.Close)
-	w := NewWorkers(time.Second, time.Minute, 50, quiet)
+	w := NewWorkers(time.Second, time.Minute, 50, discardLogger)
 	to := core.Worker{Addr: proxy.Address()}
 	probe := func(wait time.Duration) error {
 		ctx, stop := context.WithTimeout(context.Background(), wait)
@@ -83,7 +83,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 			syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.EOPNOTSUPP, syscall.ETIMEDOUT} {
-			l := newClients(&failingListener{errs: []syscall.Errno{errno, errno}}, 10, 0, quiet)
+			l := newClientListener(&failingListener{errs: []syscall.Errno{errno, errno}}, 10, 0, discardLogger)
 			c, err := l.Accept()
 			if err != nil {
 				t.Errorf("%v: %v", errno, err)
--- a/internal/httpfront/workers.go
+++ b/internal/httpfront/workers.go
@@ -222,7 +222,7 @@
 			}
 			// Set just before the transport writes the head, because connecting may have taken long.
 			if req := outgoing.Load(); req != nil {
-				req.Header.Set(headLeft, strconv.FormatInt(max(1, a.Remaining().Milliseconds()), 10))
+				req.Header.Set(headerRemaining, strconv.FormatInt(max(1, a.Remaining().Milliseconds()), 10))
 			}
 		},
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
@@ -237,7 +237,7 @@
 		return core.Result{Status: decide.Unsent, Err: err}, false
 	}
 	req.ContentLength = int64(len(payload))
-	for _, name := range []string{"Content-Type", "Accept", headTxn, "X-Lane", "X-Entity", "X-Labels", "X-Estimate", "X-Resent"} {
+	for _, name := range []string{"Content-Type", "Accept", headerTxn, "X-Lane", "X-Entity", "X-Labels", "X-Estimate", "X-Resent"} {
 		if v := x.Head.Values(name); len(v) > 0 {
 			req.Header[name] = v
 		}
@@ -352,7 +352,7 @@
 			return o.Release(ctx, at)
 		}
 	}
-	return x.Workers.Release(ctx, at, x.Head.Get(headTxn))
+	return x.Workers.Release(ctx, at, x.Head.Get(headerTxn))
 }
 
 // Release asks a worker to release everything held for the request with this id, at any worker.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -224,7 +224,7 @@
 	server := &http.Server{Handler: c, ReadTimeout: callTimeout, WriteTimeout: callTimeout,
 		ErrorLog: slog.NewLogLogger(c.Log.Handler(), slog.LevelDebug)}
 	server.SetKeepAlivesEnabled(false)
-	if err := server.Serve(httpfront.Guard(server, l, maxConns, c.Log)); !errors.Is(err, net.ErrClosed) {
+	if err := server.Serve(httpfront.LimitListener(server, l, maxConns, c.Log)); !errors.Is(err, net.ErrClosed) {
 		return err
 	}
 	return nil
