--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -49,9 +49,9 @@
 	workers      *httpfront.Workers
 	grpcWorkers  *grpcfront.Workers
 	names        httpfront.Names
-	metrics      *measure.Metrics  // nil if disabled
-	grants       *decisions.Desk   // nil if no callers outside the router carry attempts
-	cacheReports *reports.Listener // nil if workers do not report their prefix caches
+	metrics      *measure.Metrics       // nil if disabled
+	grants       *decisions.Coordinator // nil if no callers outside the router carry attempts
+	cacheReports *reports.Listener      // nil if workers do not report their prefix caches
 	discovery    *httpfront.Discovery
 	reloader     *configReloader
 	front        *httpfront.Front
@@ -129,7 +129,7 @@
 
 // setUpDecisions creates the metrics, the traces and the desk that grants attempts to callers outside the router, as enabled.
 func (p *process) setUpDecisions() error {
-	seen := decisions.Seen{}
+	seen := decisions.Observer{}
 	if p.operatorFile.Metrics.Listen != "" {
 		p.metrics = measure.New()
 		seen = p.metrics.Seen()
@@ -146,7 +146,7 @@
 		return nil
 	}
 	var err error
-	if p.grants, err = decisions.NewDesk(p.core, p.workers, p.operatorFile.Terms(p.site.MaxRetryAfter), seen, p.log); err != nil {
+	if p.grants, err = decisions.NewCoordinator(p.core, p.workers, p.operatorFile.Terms(p.site.MaxRetryAfter), seen, p.log); err != nil {
 		return err
 	}
 	if p.metrics != nil {
--- a/cmd/rowanyard/serve.go
+++ b/cmd/rowanyard/serve.go
@@ -56,14 +56,14 @@
 		}
 	}
 	if file.ExtProc.Listen != "" {
-		front := &extproc.Server{Core: p.core, Desk: p.grants, Workers: p.workers, Classes: p.classes, Settings: p.core.Settings, Routes: p.routes,
-			Destination: file.ExtProc.DestinationHeader, Override: file.ExtProc.ModeOverride, MaxOpen: file.ExtProc.MaxOpen, Log: p.log}
+		front := &extproc.Server{Core: p.core, Coordinator: p.grants, Workers: p.workers, Classes: p.classes, Settings: p.core.Settings, Routes: p.routes,
+			Destination: file.ExtProc.DestinationHeader, AllowModeOverride: file.ExtProc.ModeOverride, MaxOpen: file.ExtProc.MaxOpen, Log: p.log}
 		if err := p.openGRPC("ext_proc", file.ExtProc.Listen, front.GRPC(), clients); err != nil {
 			return err
 		}
 	}
 	if file.Decisions.Listen != "" {
-		front := &decisions.Server{Desk: p.grants, Classes: p.classes, Names: p.site.ClassNames, Settings: p.core.Settings, Routes: p.routes, Log: p.log}
+		front := &decisions.Server{Coordinator: p.grants, Classes: p.classes, Names: p.site.ClassNames, Settings: p.core.Settings, Routes: p.routes, Log: p.log}
 		if err := p.openGRPC("decisions", file.Decisions.Listen, front.GRPC(), clients); err != nil {
 			return err
 		}
--- a/example/caller/main.go
+++ b/example/caller/main.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	defer conn.Close()
-	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), decisions.MetaCaller, "toy"), 20*time.Second)
+	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), decisions.CallerMetadataKey, "toy"), 20*time.Second)
 	defer cancel()
 	client := pb.NewDecisionsClient(conn)
 	id := fmt.Sprintf("toy-%d", time.Now().UnixNano())
--- a/internal/decisions/bench_test.go
+++ b/internal/decisions/bench_test.go
@@ -29,7 +29,7 @@
 			for i := range callers {
 				c := e.caller(fmt.Sprint("c", i))
 				names = append(names, c)
-				w, err := c.Watch(metadata.AppendToOutgoingContext(ctx, decisions.MetaCaller, c.name))
+				w, err := c.Watch(metadata.AppendToOutgoingContext(ctx, decisions.CallerMetadataKey, c.name))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -35,16 +35,16 @@
 	"rowanyard/internal/wire"
 )
 
-var terms = grant.Terms{Drain: 500 * time.Millisecond, Delivery: 50 * time.Millisecond, Hold: 300 * time.Millisecond,
-	Heard: 300 * time.Millisecond, Remember: 30 * time.Second, MaxWait: 500 * time.Millisecond, Tick: 5 * time.Millisecond,
-	Open: 1024, Callers: 128, Effects: 4096, Longest: 64, FeedDepth: 64}
+var terms = grant.Config{DrainGrace: 500 * time.Millisecond, MaxDelivery: 50 * time.Millisecond, HoldTimeout: 300 * time.Millisecond,
+	WatchTimeout: 300 * time.Millisecond, EffectRetention: 30 * time.Second, MaxRetryAfter: 500 * time.Millisecond, Tick: 5 * time.Millisecond,
+	MaxOpenRequests: 1024, MaxCallers: 128, MaxEffects: 4096, MaxIDBytes: 64, FeedDepth: 64}
 
 // env is a simulated deployment, a Coordinator in front of it, and a connection to the service.
 type env struct {
 	t           testing.TB
 	fleet       *standin.Fleet
 	core        *core.Core
-	coordinator *decisions.Desk
+	coordinator *decisions.Coordinator
 	names       httpfront.Names
 	conn        *grpc.ClientConn
 }
@@ -55,13 +55,13 @@
 }
 
 // startWith is start with the given configuration and a log for the core.
-func startWith(t testing.TB, o standin.Options, terms grant.Terms, coreLog *slog.Logger) *env {
+func startWith(t testing.TB, o standin.Options, terms grant.Config, coreLog *slog.Logger) *env {
 	t.Helper()
-	return startObserved(t, o, terms, coreLog, decisions.Seen{})
+	return startObserved(t, o, terms, coreLog, decisions.Observer{})
 }
 
 // startObserved is startWith with an observer.
-func startObserved(t testing.TB, o standin.Options, terms grant.Terms, coreLog *slog.Logger, seen decisions.Seen) *env {
+func startObserved(t testing.TB, o standin.Options, terms grant.Config, coreLog *slog.Logger, seen decisions.Observer) *env {
 	t.Helper()
 	must := func(err error) {
 		t.Helper()
@@ -78,13 +78,13 @@
 	hw := httpfront.NewWorkers(site.ConnectTimeout, site.ConnIdle, 400, log)
 	c, err := core.New(site.Settings, 1, hw, coreLog)
 	must(err)
-	coordinator, err := decisions.NewDesk(c, hw, terms, seen, log)
+	coordinator, err := decisions.NewCoordinator(c, hw, terms, seen, log)
 	must(err)
 	b := &env{t: t, fleet: fleet, core: c, coordinator: coordinator, names: httpfront.Names{Kinds: site.KindNames, Zones: site.ZoneNames}}
 	b.setWorkers(nil)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
-	s := (&decisions.Server{Desk: coordinator, Classes: httpfront.ClassesOf(site.ClassNames), Names: site.ClassNames, Settings: c.Settings, Log: log}).GRPC()
+	s := (&decisions.Server{Coordinator: coordinator, Classes: httpfront.ClassesOf(site.ClassNames), Names: site.ClassNames, Settings: c.Settings, Log: log}).GRPC()
 	go s.Serve(l)
 	t.Cleanup(s.Stop)
 	b.conn, err = grpc.NewClient("passthrough:///"+l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -123,7 +123,7 @@
 func (b *env) caller(name string) *caller { return &caller{b, pb.NewDecisionsClient(b.conn), name} }
 
 func (c *caller) ctx() context.Context {
-	ctx, stop := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), decisions.MetaCaller, c.name), time.Minute)
+	ctx, stop := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), decisions.CallerMetadataKey, c.name), time.Minute)
 	c.t.Cleanup(stop)
 	return ctx
 }
@@ -250,7 +250,7 @@
 // learned of the start yet.
 func TestEndReportedBeforeTheCoreLearnsOfTheStart(t *testing.T) {
 	tracer := blockingTracer{release: make(chan struct{})}
-	b := startObserved(t, standin.Options{Readers: 1, Writers: 1}, terms, slog.New(slog.DiscardHandler), decisions.Seen{Tracer: tracer})
+	b := startObserved(t, standin.Options{Readers: 1, Writers: 1}, terms, slog.New(slog.DiscardHandler), decisions.Observer{Tracer: tracer})
 	c := b.caller("p1")
 	read := c.must(c.ask("q1", 0, "send-message"))
 	if code, text := c.sendAttempt(read, "q1", "send-message", "k"); code != http.StatusAccepted {
@@ -306,7 +306,7 @@
 // however long it would let a caller that carries its own attempts be silent.
 func TestACancelledCallEndsWhatTheRouterCarries(t *testing.T) {
 	patient := terms
-	patient.Hold, patient.Drain = time.Hour, 2*time.Hour
+	patient.HoldTimeout, patient.DrainGrace = time.Hour, 2*time.Hour
 	var lines syncBuffer
 	b := startWith(t, standin.Options{Readers: 1, Writers: 1}, patient, slog.New(slog.NewTextHandler(&lines, nil)))
 	b.setWorkers(map[string]bool{"reader-0": true}) // the only reader: the request waits for one
@@ -317,7 +317,7 @@
 			FirstTokenWithin: durationpb.New(time.Minute), Body: []byte(`{"messages":[{"content":"k"}]}`)})
 		asked <- err
 	}()
-	for b.coordinator.Over("q1") == nil { // the request has arrived
+	for b.coordinator.Outcome("q1") == nil { // the request has arrived
 		runtime.Gosched()
 	}
 	cancel()
@@ -394,7 +394,7 @@
 		t.Fatal(err)
 	}
 	first, err := watch.Recv()
-	if err != nil || first.Heard.AsDuration() != terms.Heard {
+	if err != nil || first.Heard.AsDuration() != terms.WatchTimeout {
 		t.Fatal(first, err)
 	}
 	g := c.must(c.ask("q1", 0, "send-message"))
@@ -495,8 +495,8 @@
 // Callers that never report the ends of their responses and give long estimates do not exhaust memory: beyond the limit,
 // responses count as ended at once.
 func TestStreamsWithoutAnEndAreBounded(t *testing.T) {
-	defer func(n int) { terms.Open = n }(terms.Open)
-	terms.Open = 8
+	defer func(n int) { terms.MaxOpenRequests = n }(terms.MaxOpenRequests)
+	terms.MaxOpenRequests = 8
 	b := start(t, standin.Options{Readers: 2, Writers: 2})
 	c := b.caller("p1")
 	for i := range 30 {
--- a/internal/decisions/desk.go
+++ b/internal/decisions/desk.go
@@ -34,13 +34,13 @@
 )
 
 // Coordinator connects grants to the core. All fronts that let callers carry attempts share one.
-type Desk struct {
+type Coordinator struct {
 	core     *core.Core
 	workers  *httpfront.Workers
 	log      *slog.Logger
-	config   grant.Terms
+	config   grant.Config
 	start    time.Time
-	observer Seen
+	observer Observer
 	moveMu   sync.Mutex // serializes workersChanged, so that the latest state read from the core wins
 
 	mu               sync.Mutex
@@ -54,7 +54,7 @@
 }
 
 // Observer receives measurements; see package measure. Nil fields are skipped.
-type Seen struct {
+type Observer struct {
 	Granted func(stage string, wait time.Duration) // wait is the time from the call to its answer
 	Refused func(reason string)
 	Ended   func(state grant.State, age time.Duration)
@@ -114,18 +114,18 @@
 // Final answers. The errors of a Coordinator are or wrap these, Refused or the errors of package grant.
 var (
 	ErrFailed       = errors.New("failed, it may have run")
-	ErrGone         = errors.New("the caller ended it")
+	ErrCallerGone   = errors.New("the caller ended it")
 	errCallerSilent = errors.New("the caller gives no sign")
 )
 
 // Refused is the final answer to a request that was refused and has not run.
-type Refused struct{ After time.Duration }
+type Refused struct{ RetryAfter time.Duration }
 
 func (r *Refused) Error() string { return "refused, nothing has run" }
 
 // NewCoordinator returns a Coordinator. It must be called before the core starts to report changes of workers.
-func NewDesk(c *core.Core, w *httpfront.Workers, config grant.Terms, observer Seen, log *slog.Logger) (*Desk, error) {
-	d := &Desk{core: c, workers: w, log: log, config: config, start: time.Now(), observer: observer, delegations: make(map[string]*delegation),
+func NewCoordinator(c *core.Core, w *httpfront.Workers, config grant.Config, observer Observer, log *slog.Logger) (*Coordinator, error) {
+	d := &Coordinator{core: c, workers: w, log: log, config: config, start: time.Now(), observer: observer, delegations: make(map[string]*delegation),
 		finals: make(map[string]finalAnswer), streams: make(map[uint64]*stream), watchers: make(map[string]chan struct{})}
 	if d.observer.Tracer == nil {
 		d.observer.Tracer = noop.NewTracerProvider().Tracer("")
@@ -138,10 +138,10 @@
 	return d, nil
 }
 
-func (d *Desk) now() time.Duration { return time.Since(d.start) }
+func (d *Coordinator) now() time.Duration { return time.Since(d.start) }
 
 // observeStep logs and measures a step of the Table.
-func (d *Desk) observeStep(e grant.Event) {
+func (d *Coordinator) observeStep(e grant.Event) {
 	d.log.Debug("grant", "step", string(e.Step), "caller", e.Caller, "request", e.Request, "attempt", e.Attempt, "grant", e.Grant,
 		"worker", e.Worker, "state", e.State.String(), "err", e.Err)
 	if e.Err != nil && d.observer.Refused != nil {
@@ -153,16 +153,16 @@
 }
 
 // workersChanged opens and closes workers in the Table after the core has changed whether they may be sent new requests.
-func (d *Desk) workersChanged(ids []string) {
+func (d *Coordinator) workersChanged(ids []string) {
 	d.moveMu.Lock()
 	defer d.moveMu.Unlock()
 	for _, id := range ids {
 		wanted := d.core.AcceptsWork(id)
 		d.mu.Lock()
 		if wanted {
-			d.table.Open(id)
+			d.table.OpenWorker(id)
 		} else {
-			revoked := d.table.Close(d.now(), id, "takes nothing new")
+			revoked := d.table.CloseWorker(d.now(), id, "takes nothing new")
 			for _, g := range revoked {
 				if wake := d.watchers[g.Caller()]; wake != nil {
 					select {
@@ -177,30 +177,30 @@
 }
 
 // ChooseCall is a caller's call for a choice.
-type Ask struct {
-	grant.Ask
-	Called   time.Time // when the call arrived
-	Query    decide.Request
-	Exchange *httpfront.Exchange // how the router itself talks to workers for the request
-	ReadHere bool                // the router carries the reads
-	Attached bool                // the caller's transport reports when it leaves
-	OneWrite bool                // the caller can carry at most one attempt
-	Fresh    bool                // the caller never repeats a call: an identical one belongs to another request
+type ChooseCall struct {
+	grant.ChooseCall
+	Called      time.Time // when the call arrived
+	Query       decide.Request
+	Exchange    *httpfront.Exchange // how the router itself talks to workers for the request
+	ReadHere    bool                // the router carries the reads
+	Attached    bool                // the caller's transport reports when it leaves
+	SingleWrite bool                // the caller can carry at most one attempt
+	NoRepeat    bool                // the caller never repeats a call: an identical one belongs to another request
 }
 
 // Choose answers a call for a choice with a grant and its worker, or with an error. It waits until ctx is done.
-func (d *Desk) Choose(ctx context.Context, a Ask) (grant.Grant, core.Worker, error) {
+func (d *Coordinator) Choose(ctx context.Context, a ChooseCall) (grant.Grant, core.Worker, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	same, pending, err := d.table.Begin(now, a.Ask)
+	same, pending, err := d.table.Begin(now, a.ChooseCall)
 	s := d.delegations[a.Request]
-	if err == nil && a.Fresh && (same != nil || pending) {
-		err = fmt.Errorf("%w: its id is open already", grant.ErrOther)
+	if err == nil && a.NoRepeat && (same != nil || pending) {
+		err = fmt.Errorf("%w: its id is open already", grant.ErrOtherCaller)
 	}
 	switch {
 	case err != nil:
-		if f, ok := d.finals[a.Request]; ok && f.caller == a.Caller && a.Attempt > 0 && errors.Is(err, grant.ErrOrder) {
+		if f, ok := d.finals[a.Request]; ok && f.caller == a.Caller && a.Attempt > 0 && errors.Is(err, grant.ErrAttemptOrder) {
 			err = f.err
 		}
 		return grant.Grant{}, core.Worker{}, err
@@ -210,7 +210,7 @@
 	case pending:
 	case a.Attempt == 0:
 		if s, err = d.begin(a); err != nil {
-			d.table.Turn(now, a.Request)
+			d.table.CancelChoice(now, a.Request)
 			return grant.Grant{}, core.Worker{}, err
 		}
 	default:
@@ -219,7 +219,7 @@
 	}
 	t := s.choice
 	if t == nil { // offerPending has already answered it
-		same, w := d.table.Latest(a.Request), core.Worker{}
+		same, w := d.table.LatestGrant(a.Request), core.Worker{}
 		if same == nil {
 			return grant.Grant{}, w, ErrFailed
 		}
@@ -239,13 +239,13 @@
 	default: // the caller has left; the choice goes on for as long as a caller may be silent
 		if t.waiters == 0 && s.choice == t {
 			// No read may start at the router for a caller that has left, and the caller has not been told of anything yet.
-			if s.readHere && d.table.Latest(s.id) == nil {
-				s.cancel(ErrGone)
+			if s.readHere && d.table.LatestGrant(s.id) == nil {
+				s.cancel(ErrCallerGone)
 			}
 			d.table.Detach(d.now(), s.id)
 			d.scheduleAdvance()
 		}
-		return grant.Grant{}, core.Worker{}, ErrGone
+		return grant.Grant{}, core.Worker{}, ErrCallerGone
 	}
 	if t.err != nil {
 		return grant.Grant{}, core.Worker{}, t.err
@@ -264,13 +264,13 @@
 }
 
 // begin registers a request and starts to serve it in the core.
-func (d *Desk) begin(a Ask) (*delegation, error) {
+func (d *Coordinator) begin(a ChooseCall) (*delegation, error) {
 	releaseID, ok := d.core.ClaimID(a.Request)
 	if !ok {
-		return nil, fmt.Errorf("%w: it is open at another front", grant.ErrOther)
+		return nil, fmt.Errorf("%w: it is open at another front", grant.ErrOtherCaller)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	s := &delegation{id: a.Request, caller: a.Caller, readHere: a.ReadHere, singleWrite: a.OneWrite, outcome: make(chan error, 1), cancel: cancel, releaseID: releaseID,
+	s := &delegation{id: a.Request, caller: a.Caller, readHere: a.ReadHere, singleWrite: a.SingleWrite, outcome: make(chan error, 1), cancel: cancel, releaseID: releaseID,
 		choice: &choice{done: make(chan struct{})}, estimate: a.Query.DurationHint}
 	_, s.span = d.observer.Tracer.Start(ctx, "request", trace.WithAttributes(attribute.String("caller", a.Caller),
 		attribute.String("request", a.Request), attribute.Int("class", a.Class)))
@@ -284,9 +284,9 @@
 }
 
 // serve runs a request in the core, from its first call to its final answer.
-func (d *Desk) serve(ctx context.Context, s *delegation, a Ask) {
+func (d *Coordinator) serve(ctx context.Context, s *delegation, a ChooseCall) {
 	answer := d.core.Serve(ctx, a.Query, &carrier{Exchange: a.Exchange, coordinator: d, delegation: s})
-	s.cancel(ErrGone)
+	s.cancel(ErrCallerGone)
 	s.releaseID()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -300,7 +300,7 @@
 	case core.Refused:
 		err = &Refused{answer.RetryAfter}
 	case core.ClientGone:
-		err = ErrGone
+		err = ErrCallerGone
 		if why := context.Cause(ctx); why != nil && !errors.Is(why, errCallerSilent) {
 			err = why
 		}
@@ -330,7 +330,7 @@
 
 // Outcome returns a channel that receives once how an open request ends; nil means that its response has started. It
 // returns nil if the request is not open.
-func (d *Desk) Over(request string) <-chan error {
+func (d *Coordinator) Outcome(request string) <-chan error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s := d.delegations[request]; s != nil {
@@ -340,7 +340,7 @@
 }
 
 // keepFinal keeps a final answer for a caller that was not waiting for it.
-func (d *Desk) keepFinal(s *delegation, err error) {
+func (d *Coordinator) keepFinal(s *delegation, err error) {
 	for len(d.finalOrder) > 0 && (len(d.finalOrder) >= maxFinalAnswers || time.Since(d.finals[d.finalOrder[0]].at) > finalAnswerLifetime) {
 		delete(d.finals, d.finalOrder[0])
 		d.finalOrder = d.finalOrder[1:]
@@ -352,7 +352,7 @@
 }
 
 // answer completes the pending choice of a request, if there is one.
-func (d *Desk) answer(s *delegation, g *grant.Grant, worker core.Worker, err error) {
+func (d *Coordinator) answer(s *delegation, g *grant.Grant, worker core.Worker, err error) {
 	if t := s.choice; t != nil {
 		s.choice = nil
 		t.grant, t.worker, t.err = g, worker, err
@@ -365,7 +365,7 @@
 }
 
 // offerPending grants the attempt that the core has chosen to the calls that wait for it.
-func (d *Desk) offerPending(s *delegation) {
+func (d *Coordinator) offerPending(s *delegation) {
 	o := s.chosenOffer
 	if o == nil || s.choice == nil || d.delegations[s.id] != s {
 		return
@@ -376,10 +376,10 @@
 		return
 	}
 	g, err := d.table.Offer(d.now(), s.id, o.To.ID, o.Read, o.Remaining())
-	var busy *grant.Busy
+	var busy *grant.BusyError
 	switch {
 	case errors.As(err, &busy): // the ledger is full: the request is refused, nothing has run
-		s.cancel(&Refused{busy.After})
+		s.cancel(&Refused{busy.RetryAfter})
 	case err != nil:
 		o.result <- core.Result{Status: decide.Unsent, Err: err}
 	default:
@@ -390,7 +390,7 @@
 }
 
 // Report records what became of a grant and gives the result to the core.
-func (d *Desk) Report(caller string, id uint64, fate grant.Fate, result core.Result, over bool) error {
+func (d *Coordinator) Report(caller string, id uint64, fate grant.Fate, result core.Result, over bool) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -411,14 +411,14 @@
 		o.result <- result
 	}
 	if over && fate != grant.Begun {
-		d.abandon(s, ErrGone)
+		d.abandon(s, ErrCallerGone)
 	}
 	d.scheduleAdvance()
 	return nil
 }
 
 // abandon ends a request whose caller wants nothing more.
-func (d *Desk) abandon(s *delegation, why error) {
+func (d *Coordinator) abandon(s *delegation, why error) {
 	if d.delegations[s.id] == s {
 		delete(d.delegations, s.id)
 		d.table.End(d.now(), s.id)
@@ -427,25 +427,25 @@
 }
 
 // CallerLeft ends a request whose attached caller has left. What is held for it is released at once.
-func (d *Desk) Leave(request string) {
+func (d *Coordinator) CallerLeft(request string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s := d.delegations[request]; s != nil {
-		d.abandon(s, ErrGone)
+		d.abandon(s, ErrCallerGone)
 	}
 }
 
 // TakeUp records that the caller has begun to send, and returns the updated grant.
-func (d *Desk) TakeUp(caller string, id uint64) (grant.Grant, error) {
+func (d *Coordinator) TakeUp(caller string, id uint64) (grant.Grant, error) {
 	return d.updateGrant(id, func(now time.Duration) error { return d.table.TakeUp(now, caller, id) })
 }
 
 // Renew records that the caller still wants what is held for a grant, and returns the updated grant.
-func (d *Desk) Renew(caller string, id uint64) (grant.Grant, error) {
+func (d *Coordinator) Renew(caller string, id uint64) (grant.Grant, error) {
 	return d.updateGrant(id, func(now time.Duration) error { return d.table.Renew(now, caller, id) })
 }
 
-func (d *Desk) updateGrant(id uint64, do func(time.Duration) error) (grant.Grant, error) {
+func (d *Coordinator) updateGrant(id uint64, do func(time.Duration) error) (grant.Grant, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err := do(d.now()); err != nil {
@@ -455,17 +455,17 @@
 }
 
 // Valid returns how long, counted from a call, the caller may begin to act on a grant.
-func (d *Desk) Valid(g grant.Grant, called time.Time) time.Duration {
+func (d *Coordinator) Valid(g grant.Grant, called time.Time) time.Duration {
 	return g.Valid(called.Sub(d.start))
 }
 
 // Within returns how long, counted from a call, the attempt may take.
-func (d *Desk) Within(g grant.Grant, called time.Time) time.Duration {
-	return max(0, g.Ends-called.Sub(d.start))
+func (d *Coordinator) Within(g grant.Grant, called time.Time) time.Duration {
+	return max(0, g.Deadline-called.Sub(d.start))
 }
 
 // scheduleAdvance arranges the next advance of the Table unless one is scheduled. Advances go on while anything is due.
-func (d *Desk) scheduleAdvance() {
+func (d *Coordinator) scheduleAdvance() {
 	if d.advanceScheduled {
 		return
 	}
@@ -473,40 +473,40 @@
 	time.AfterFunc(d.config.Tick, d.advance)
 }
 
-func (d *Desk) advance() {
+func (d *Coordinator) advance() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.advanceScheduled = false
 	for _, a := range d.table.Advance(d.now()) {
 		s := d.delegations[a.Request]
 		switch {
-		case a.Kind == grant.Sweep:
+		case a.Kind == grant.ReleaseLeftover:
 			go d.releaseLeftover(a.Request)
 		case s == nil:
-		case a.Kind == grant.Lapse:
+		case a.Kind == grant.TimeOutAttempt:
 			if o := s.grantedOffer; o != nil && o.grant == a.Grant {
 				s.grantedOffer = nil
 				o.result <- core.Result{Status: decide.TimedOut}
 			}
-		case a.Kind == grant.Forsake:
+		case a.Kind == grant.AbandonRequest:
 			d.log.Info("forsaken", "caller", s.caller, "request", s.id)
 			delete(d.delegations, s.id)
 			s.cancel(errCallerSilent)
 		}
 	}
-	if d.table.Busy() {
+	if d.table.HasTimers() {
 		d.scheduleAdvance()
 	}
 }
 
 // releaseLeftover releases, at any worker, the state that a read with an unknown result may have left after its request
 // ended.
-func (d *Desk) releaseLeftover(id string) {
+func (d *Coordinator) releaseLeftover(id string) {
 	d.core.ReleaseAnywhere(leftoverReleaseTimeout, func(ctx context.Context, at core.Worker) error { return d.workers.Release(ctx, at, id) })
 }
 
 // trackStream counts a response relayed by a caller at its writer until it ends, or for its expected duration.
-func (d *Desk) trackStream(s *delegation, answer core.Answer) {
+func (d *Coordinator) trackStream(s *delegation, answer core.Answer) {
 	id := s.startedGrant
 	x := d.streams[id]
 	if x.endStatus != 0 {
@@ -517,7 +517,7 @@
 	lifetime := min(s.estimate, maxStreamEstimate)
 	if s.singleWrite { // its transport reports the end
 		lifetime = time.Hour
-	} else if len(d.streams) > d.config.Open { // bounds the memory if callers never report the ends of their responses
+	} else if len(d.streams) > d.config.MaxOpenRequests { // bounds the memory if callers never report the ends of their responses
 		delete(d.streams, id)
 		go answer.StreamEnded(decide.Served)
 		return
@@ -527,12 +527,12 @@
 }
 
 // Ended records how a response that a caller relays has ended.
-func (d *Desk) Ended(caller string, id uint64, status decide.Status) error {
+func (d *Coordinator) Ended(caller string, id uint64, status decide.Status) error {
 	d.mu.Lock()
 	x := d.streams[id]
 	if x == nil || x.caller != caller || x.endStatus != 0 {
 		d.mu.Unlock()
-		return grant.ErrUnknown
+		return grant.ErrUnknownGrant
 	}
 	if x.onEnd == nil { // the core has not learned of the start yet; trackStream will handle the end
 		x.endStatus = status
@@ -547,7 +547,7 @@
 }
 
 // Table calls f with the Table and the current time under the lock. f must not keep the Table.
-func (d *Desk) Table(f func(now time.Duration, t *grant.Table)) {
+func (d *Coordinator) Table(f func(now time.Duration, t *grant.Table)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.now(), d.table)
@@ -556,7 +556,7 @@
 // carrier leaves attempts to the caller, except for reads that the router carries itself.
 type carrier struct {
 	*httpfront.Exchange
-	coordinator *Desk
+	coordinator *Coordinator
 	delegation  *delegation
 }
 
@@ -581,7 +581,7 @@
 	}
 	o := &offer{Attempt: a, result: make(chan core.Result, 1)}
 	d.mu.Lock()
-	if s.singleWrite && d.table.Latest(s.id) != nil { // the caller can carry no other write
+	if s.singleWrite && d.table.LatestGrant(s.id) != nil { // the caller can carry no other write
 		d.mu.Unlock()
 		return core.Result{Status: decide.Unsent}
 	}
@@ -634,7 +634,7 @@
 	return "other"
 }
 
-var reasonNames = map[error]string{grant.ErrID: "id", grant.ErrUnknown: "unknown", grant.ErrOther: "another_caller", grant.ErrOrder: "order",
-	grant.ErrPending: "pending", grant.ErrState: "state", grant.ErrMayHaveRun: "may_have_run", grant.ErrDraining: "draining",
-	grant.ErrBusy: "busy", grant.ErrCallers: "callers", grant.ErrLedger: "ledger", grant.ErrClass: "class",
-	ErrFailed: "failed", ErrGone: "gone"}
+var reasonNames = map[error]string{grant.ErrInvalidID: "id", grant.ErrUnknownGrant: "unknown", grant.ErrOtherCaller: "another_caller", grant.ErrAttemptOrder: "order",
+	grant.ErrAttemptPending: "pending", grant.ErrInvalidState: "state", grant.ErrMayHaveRun: "may_have_run", grant.ErrDraining: "draining",
+	grant.ErrCallerLimit: "busy", grant.ErrTooManyCallers: "callers", grant.ErrLedgerFull: "ledger", grant.ErrClassMismatch: "class",
+	ErrFailed: "failed", ErrCallerGone: "gone"}
--- a/internal/decisions/rough_test.go
+++ b/internal/decisions/rough_test.go
@@ -31,7 +31,7 @@
 func (d *eventLog) add(kind rules.Kind, request, worker string, call int, once bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.events = append(d.events, rules.Event{At: time.Since(d.start), Kind: kind, Request: request, Worker: worker, Call: call, Once: once})
+	d.events = append(d.events, rules.Event{At: time.Since(d.start), Kind: kind, Request: request, Worker: worker, Call: call, NonIdempotent: once})
 }
 
 func (d *eventLog) call() int {
@@ -61,7 +61,7 @@
 func (s *unreliableCaller) choose(id, class string, attempt int32) (*pb.Choice, time.Time) {
 	for range 6 {
 		s.pause()
-		ctx, leave := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), decisions.MetaCaller, s.name), 20*time.Second)
+		ctx, leave := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(), decisions.CallerMetadataKey, s.name), 20*time.Second)
 		if s.chance(0.15) {
 			time.AfterFunc(time.Duration(s.rng.Int64N(int64(30*time.Millisecond))), leave)
 		}
@@ -73,7 +73,7 @@
 		leave()
 		switch status.Code(err) {
 		case codes.Canceled, codes.DeadlineExceeded:
-			s.eventLog.add(rules.Cut, id, "", number, false)
+			s.eventLog.add(rules.Disconnected, id, "", number, false)
 			continue
 		}
 		s.eventLog.add(rules.Answered, id, "", number, false)
@@ -151,7 +151,7 @@
 // gets one answer, and nothing is held at the end. The time limits are tested on a virtual clock in package grant.
 func TestCallersThatStall(t *testing.T) {
 	d := &eventLog{start: time.Now()}
-	kinds := map[string]rules.Kind{"out": rules.Out, "in": rules.In, "held": rules.Held, "freed": rules.Freed, "effect": rules.Effect}
+	kinds := map[string]rules.Kind{"out": rules.Opened, "in": rules.Closed, "held": rules.Held, "freed": rules.Released, "effect": rules.Effect}
 	b := start(t, standin.Options{Readers: 3, Writers: 4, Tokens: 2,
 		Behave: standin.Random(5, 0.04, standin.TurnAway, standin.Error, standin.ResetEarly, standin.ResetLate),
 		Seen:   func(what, id, class, host string) { d.add(kinds[what], id, host, 0, class == "send-message") }})
@@ -203,7 +203,7 @@
 	b.waitSettled()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, x := range rules.Check(d.events, rules.Limits{Drain: time.Hour, Hold: time.Hour}, time.Since(d.start)) {
+	for _, x := range rules.Check(d.events, rules.Limits{DrainGrace: time.Hour, HoldTimeout: time.Hour}, time.Since(d.start)) {
 		t.Error(x)
 	}
 	for id, n := range b.fleet.Effects() {
--- a/internal/decisions/server.go
+++ b/internal/decisions/server.go
@@ -27,7 +27,7 @@
 )
 
 // CallerMetadataKey is the metadata key under which a caller sends its name.
-const MetaCaller = "rowanyard-caller"
+const CallerMetadataKey = "rowanyard-caller"
 
 const (
 	maxMessageBytes     = 256<<10 + 4<<10
@@ -39,12 +39,12 @@
 // Server implements the gRPC service rowanyard.v1.Decisions. All its state is in the Coordinator.
 type Server struct {
 	pb.UnimplementedDecisionsServer
-	Desk     *Desk
-	Classes  httpfront.Classes
-	Names    []string                // names of the classes, by number
-	Settings func() *decide.Settings // returns the settings in force
-	Routes   *describe.Routes
-	Log      *slog.Logger
+	Coordinator *Coordinator
+	Classes     httpfront.Classes
+	Names       []string                // names of the classes, by number
+	Settings    func() *decide.Settings // returns the settings in force
+	Routes      *describe.Routes
+	Log         *slog.Logger
 }
 
 // GRPC returns a gRPC server with the service registered.
@@ -74,9 +74,9 @@
 		is   error
 		code codes.Code
 	}{
-		{grant.ErrID, codes.InvalidArgument}, {grant.ErrUnknown, codes.NotFound}, {grant.ErrOther, codes.PermissionDenied},
-		{grant.ErrClass, codes.FailedPrecondition}, {grant.ErrOrder, codes.FailedPrecondition}, {grant.ErrPending, codes.FailedPrecondition},
-		{grant.ErrState, codes.FailedPrecondition}, {grant.ErrMayHaveRun, codes.Aborted}, {ErrGone, codes.Canceled}, {ErrFailed, codes.Internal},
+		{grant.ErrInvalidID, codes.InvalidArgument}, {grant.ErrUnknownGrant, codes.NotFound}, {grant.ErrOtherCaller, codes.PermissionDenied},
+		{grant.ErrClassMismatch, codes.FailedPrecondition}, {grant.ErrAttemptOrder, codes.FailedPrecondition}, {grant.ErrAttemptPending, codes.FailedPrecondition},
+		{grant.ErrInvalidState, codes.FailedPrecondition}, {grant.ErrMayHaveRun, codes.Aborted}, {ErrCallerGone, codes.Canceled}, {ErrFailed, codes.Internal},
 	} {
 		if errors.Is(err, x.is) {
 			return x.code
@@ -87,14 +87,14 @@
 
 // statusError converts an error of the Coordinator into a gRPC status with a retry delay where there is one.
 func statusError(err error) error {
-	var busy *grant.Busy
+	var busy *grant.BusyError
 	var no *Refused
 	code, after := statusCode(err), time.Duration(0)
 	switch {
 	case errors.As(err, &busy):
-		code, after = codes.ResourceExhausted, busy.After
+		code, after = codes.ResourceExhausted, busy.RetryAfter
 	case errors.As(err, &no):
-		code, after = codes.Unavailable, no.After
+		code, after = codes.Unavailable, no.RetryAfter
 	default:
 		return status.Error(code, err.Error())
 	}
@@ -107,10 +107,10 @@
 
 func callerName(ctx context.Context) (string, error) {
 	md, _ := metadata.FromIncomingContext(ctx)
-	if v := md.Get(MetaCaller); len(v) == 1 && httpfront.ValidID(v[0]) {
+	if v := md.Get(CallerMetadataKey); len(v) == 1 && httpfront.ValidID(v[0]) {
 		return v[0], nil
 	}
-	return "", status.Errorf(codes.InvalidArgument, "metadata %s: want one name of letters, digits, - and _", MetaCaller)
+	return "", status.Errorf(codes.InvalidArgument, "metadata %s: want one name of letters, digits, - and _", CallerMetadataKey)
 }
 
 // Choose implements the service.
@@ -128,34 +128,34 @@
 	head := http.Header{"Content-Type": {"application/json"}, "X-Txn": {r.Request}, "X-Lane": {s.Names[class]},
 		"X-Labels": {fmt.Sprintf("prompt_len=%d,max_out=%d", r.PromptTokens, r.MaxOutputTokens)}}
 	if len(r.Body) > 0 {
-		q.CachedTokens = s.Desk.core.Kept(func() []byte { return httpfront.Prompt(r.Body) })
+		q.CachedTokens = s.Coordinator.core.Kept(func() []byte { return httpfront.Prompt(r.Body) })
 	}
 	q.Leased = true // state is held for as long as the caller renews; see grant.Config
 	path := r.Path
 	if path == "" {
 		path = httpfront.PathChat
 	}
-	a := Ask{Ask: grant.Ask{Caller: caller, Request: r.Request, Attempt: int(r.Attempt), Class: class,
-		Once: s.Settings().Classes[class].Effect == decide.Unsafe}, Called: called, Query: q, ReadHere: r.ReadHere,
-		Exchange: &httpfront.Exchange{Workers: s.Desk.workers, Method: http.MethodPost, URI: path, Head: head, Body: r.Body}}
-	g, to, err := s.Desk.Choose(ctx, a)
+	a := ChooseCall{ChooseCall: grant.ChooseCall{Caller: caller, Request: r.Request, Attempt: int(r.Attempt), Class: class,
+		NonIdempotent: s.Settings().Classes[class].Effect == decide.Unsafe}, Called: called, Query: q, ReadHere: r.ReadHere,
+		Exchange: &httpfront.Exchange{Workers: s.Coordinator.workers, Method: http.MethodPost, URI: path, Head: head, Body: r.Body}}
+	g, to, err := s.Coordinator.Choose(ctx, a)
 	if err != nil {
 		return nil, statusError(err)
 	}
 	switch g.State {
 	case grant.Offered, grant.TakenUp:
 	default:
-		return nil, statusError(fmt.Errorf("%w: the grant is %v", grant.ErrState, g.State))
+		return nil, statusError(fmt.Errorf("%w: the grant is %v", grant.ErrInvalidState, g.State))
 	}
 	stage := pb.Stage_STAGE_WRITE
 	if g.Read {
 		stage = pb.Stage_STAGE_READ
 	}
 	watched := false
-	s.Desk.Table(func(_ time.Duration, t *grant.Table) { watched = t.Watched(caller) })
+	s.Coordinator.Table(func(_ time.Duration, t *grant.Table) { watched = t.Watched(caller) })
 	return &pb.Choice{Grant: g.ID, Attempt: int32(g.Attempt), Worker: g.Worker, Endpoint: to.Addr, Stage: stage,
-		Class: s.Names[g.Class()], Valid: durationpb.New(s.Desk.Valid(g, called)),
-		Within: durationpb.New(s.Desk.Within(g, called)), Watched: watched}, nil
+		Class: s.Names[g.Class()], Valid: durationpb.New(s.Coordinator.Valid(g, called)),
+		Within: durationpb.New(s.Coordinator.Within(g, called)), Watched: watched}, nil
 }
 
 // parseRequest checks and converts a request. Its class comes from the request itself or from the API descriptions.
@@ -220,16 +220,16 @@
 		if err != nil {
 			x.Why = err.Error()
 		} else {
-			x.Valid = durationpb.New(s.Desk.Valid(g, called))
+			x.Valid = durationpb.New(s.Coordinator.Valid(g, called))
 		}
 		reply.Grants = append(reply.Grants, x)
 	}
 	for _, id := range r.TakenUp {
-		g, err := s.Desk.TakeUp(caller, id)
+		g, err := s.Coordinator.TakeUp(caller, id)
 		add(id, g, err)
 	}
 	for _, id := range r.Grants {
-		g, err := s.Desk.Renew(caller, id)
+		g, err := s.Coordinator.Renew(caller, id)
 		add(id, g, err)
 	}
 	return reply, nil
@@ -245,13 +245,13 @@
 		return nil, status.Errorf(codes.InvalidArgument, "cached_tokens: %d", r.CachedTokens)
 	}
 	if r.Fate == pb.Fate_FATE_ENDED {
-		err = s.Desk.Ended(caller, r.Grant, decide.Served)
+		err = s.Coordinator.Ended(caller, r.Grant, decide.Served)
 	} else {
 		fate, result, ok := resultOfReport(r)
 		if !ok {
 			return nil, status.Errorf(codes.InvalidArgument, "fate: %v", r.Fate)
 		}
-		err = s.Desk.Report(caller, r.Grant, fate, result, r.Over)
+		err = s.Coordinator.Report(caller, r.Grant, fate, result, r.Over)
 	}
 	if err != nil {
 		return nil, statusError(err)
@@ -291,7 +291,7 @@
 	if err != nil {
 		return err
 	}
-	w, err := s.Desk.Watch(caller)
+	w, err := s.Coordinator.Watch(caller)
 	if err != nil {
 		return statusError(err)
 	}
@@ -319,7 +319,7 @@
 			}
 		}
 	}()
-	heard := durationpb.New(s.Desk.config.Heard)
+	heard := durationpb.New(s.Coordinator.config.WatchTimeout)
 	if err := stream.Send(&pb.Watching{Seq: w.Seq, Heard: heard}); err != nil {
 		return err
 	}
@@ -357,10 +357,10 @@
 		most = maxGrantsPerMessage
 	}
 	reply := &pb.GrantsReply{}
-	s.Desk.Table(func(now time.Duration, t *grant.Table) {
+	s.Coordinator.Table(func(now time.Duration, t *grant.Table) {
 		c := t.Count()
 		reply.Requests, reply.Effects, reply.Callers = int64(c.Requests), int64(c.Effects), int64(c.Callers)
-		for _, l := range t.Show(now, most) {
+		for _, l := range t.List(now, most) {
 			stage := pb.Stage_STAGE_WRITE
 			if l.Read {
 				stage = pb.Stage_STAGE_READ
--- a/internal/decisions/watch.go
+++ b/internal/decisions/watch.go
@@ -3,16 +3,16 @@
 import "rowanyard/internal/grant"
 
 // Subscription is a caller's stream of revocations. Opening a newer one for the same caller ends it.
-type Watching struct {
+type Subscription struct {
 	Seq         uint64        // the stream begins after this sequence number
 	Wake        chan struct{} // signals that Next may have something to return
-	coordinator *Desk
+	coordinator *Coordinator
 	caller      string
 	streamID    uint64
 }
 
 // Watch opens a stream of revocations for a caller, replacing any older one.
-func (d *Desk) Watch(caller string) (*Watching, error) {
+func (d *Coordinator) Watch(caller string) (*Subscription, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	streamID, seq, err := d.table.Watch(d.now(), caller)
@@ -25,14 +25,14 @@
 		default:
 		}
 	}
-	w := &Watching{Seq: seq, Wake: make(chan struct{}, 1), coordinator: d, caller: caller, streamID: streamID}
+	w := &Subscription{Seq: seq, Wake: make(chan struct{}, 1), coordinator: d, caller: caller, streamID: streamID}
 	d.watchers[caller] = w.Wake
 	return w, nil
 }
 
 // Next returns the queued revocations and the sequence number that the stream has reached. ended reports that the stream
 // has been closed or replaced.
-func (w *Watching) Next() (revocations []grant.Revocation, seq uint64, ended bool) {
+func (w *Subscription) Next() (revocations []grant.Revocation, seq uint64, ended bool) {
 	d := w.coordinator
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -46,7 +46,7 @@
 }
 
 // Close ends the stream.
-func (w *Watching) Close() {
+func (w *Subscription) Close() {
 	d := w.coordinator
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,7 +54,7 @@
 	if d.watchers[w.caller] == w.Wake {
 		delete(d.watchers, w.caller)
 	}
-	if d.table.Busy() {
+	if d.table.HasTimers() {
 		d.scheduleAdvance()
 	}
 }
--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -47,9 +47,9 @@
 	// DestinationHeader is the default name of the header that tells a proxy which endpoint to use.
 	DestinationHeader = "x-gateway-destination-endpoint"
 	// MetadataNamespace is the namespace of the dynamic metadata that carries the same endpoint.
-	MetadataSpace = "envoy.lb"
+	MetadataNamespace = "envoy.lb"
 	// ServedEndpointKey is the metadata key, in the same namespace, under which a proxy reports the endpoint that served.
-	ServedKey = "x-gateway-destination-endpoint-served"
+	ServedEndpointKey = "x-gateway-destination-endpoint-served"
 )
 
 const (
@@ -63,17 +63,17 @@
 // Server implements the external processor service.
 type Server struct {
 	extprocv3.UnimplementedExternalProcessorServer
-	Core        *core.Core
-	Desk        *decisions.Desk
-	Workers     *httpfront.Workers
-	Classes     httpfront.Classes
-	Settings    func() *decide.Settings // returns the settings in force
-	Routes      *describe.Routes        // operations of the operator's API descriptions; nil matches all requests
-	Destination string                  // name of the header that carries the writer's address
-	Override    bool                    // proxies allow the processor to change their processing mode
-	MaxOpen     int64                   // limit of concurrent requests
-	Log         *slog.Logger
-	open        atomic.Int64
+	Core              *core.Core
+	Coordinator       *decisions.Coordinator
+	Workers           *httpfront.Workers
+	Classes           httpfront.Classes
+	Settings          func() *decide.Settings // returns the settings in force
+	Routes            *describe.Routes        // operations of the operator's API descriptions; nil matches all requests
+	Destination       string                  // name of the header that carries the writer's address
+	AllowModeOverride bool                    // proxies allow the processor to change their processing mode
+	MaxOpen           int64                   // limit of concurrent requests
+	Log               *slog.Logger
+	open              atomic.Int64
 }
 
 // GRPC returns a gRPC server with the processor registered.
@@ -124,7 +124,7 @@
 	c := &call{Server: s, stream: stream, messages: make(chan *extprocv3.ProcessingRequest), caller: callerName(stream.Context()),
 		sequence: sequence{maxBody: maxBodyBytes, modes: modes{requestMode: modev3.ProcessingMode_BUFFERED, responseMode: modev3.ProcessingMode_STREAMED}}}
 	if s.open.Add(1) > s.MaxOpen { // bounds the memory; the client is told when to retry
-		return c.sendFinal(&decisions.Refused{After: s.Core.BusyRetryAfter()})
+		return c.sendFinal(&decisions.Refused{RetryAfter: s.Core.BusyRetryAfter()})
 	}
 	ctx, stop := context.WithCancel(stream.Context())
 	defer stop()
@@ -152,7 +152,7 @@
 // callerName returns the name that a proxy sends, or its host.
 func callerName(ctx context.Context) string {
 	if md, ok := metadata.FromIncomingContext(ctx); ok {
-		if v := md.Get(decisions.MetaCaller); len(v) == 1 && httpfront.ValidID(v[0]) {
+		if v := md.Get(decisions.CallerMetadataKey); len(v) == 1 && httpfront.ValidID(v[0]) {
 			return v[0]
 		}
 	}
@@ -184,9 +184,9 @@
 func (c *call) release() {
 	switch {
 	case c.streaming:
-		c.Desk.Ended(c.caller, c.grant.ID, decide.Cancelled)
+		c.Coordinator.Ended(c.caller, c.grant.ID, decide.Cancelled)
 	case c.id != "":
-		c.Desk.Leave(c.id)
+		c.Coordinator.CallerLeft(c.id)
 	}
 }
 
@@ -236,7 +236,7 @@
 func (c *call) reportEnd() {
 	if c.streaming && c.responseComplete {
 		c.streaming, c.id = false, ""
-		c.Desk.Ended(c.caller, c.grant.ID, decide.Served)
+		c.Coordinator.Ended(c.caller, c.grant.ID, decide.Served)
 	}
 }
 
@@ -276,7 +276,7 @@
 	if c.requestComplete {
 		return true, c.sendImmediate(http.StatusBadRequest, nil, "body: missing")
 	}
-	holdHeaders, override, err := c.headerAction(c.Override)
+	holdHeaders, override, err := c.headerAction(c.AllowModeOverride)
 	if err != nil {
 		c.Log.Warn("processing mode", "caller", c.caller, "err", err)
 		return true, c.sendImmediate(http.StatusInternalServerError, nil, err.Error())
@@ -331,16 +331,16 @@
 	q.CachedTokens = c.Core.Kept(func() []byte { return httpfront.Prompt(c.body) })
 	id := c.header.Get("X-Txn")
 	q.Label = id
-	g, worker, err := c.Desk.Choose(ctx, decisions.Ask{Called: called, Query: q, ReadHere: true, Attached: true, OneWrite: true,
-		Ask:      grant.Ask{Caller: c.caller, Request: id, Class: q.Class, Once: c.Settings().Classes[q.Class].Effect == decide.Unsafe},
-		Fresh:    true,
-		Exchange: &httpfront.Exchange{Workers: c.Workers, Method: c.method, URI: c.uri, Head: c.header, Body: c.body}})
+	g, worker, err := c.Coordinator.Choose(ctx, decisions.ChooseCall{Called: called, Query: q, ReadHere: true, Attached: true, SingleWrite: true,
+		ChooseCall: grant.ChooseCall{Caller: c.caller, Request: id, Class: q.Class, NonIdempotent: c.Settings().Classes[q.Class].Effect == decide.Unsafe},
+		NoRepeat:   true,
+		Exchange:   &httpfront.Exchange{Workers: c.Workers, Method: c.method, URI: c.uri, Head: c.header, Body: c.body}})
 	if err != nil {
 		return true, c.sendFinal(err)
 	}
-	c.id, c.grant, c.worker, c.outcome = id, g, worker, c.Desk.Over(id)
-	if _, err := c.Desk.TakeUp(c.caller, g.ID); err != nil { // it has been revoked in the meantime
-		return true, c.sendFinal(&decisions.Refused{After: c.Core.BusyRetryAfter()})
+	c.id, c.grant, c.worker, c.outcome = id, g, worker, c.Coordinator.Outcome(id)
+	if _, err := c.Coordinator.TakeUp(c.caller, g.ID); err != nil { // it has been revoked in the meantime
+		return true, c.sendFinal(&decisions.Refused{RetryAfter: c.Core.BusyRetryAfter()})
 	}
 	return false, c.answerPending()
 }
@@ -398,7 +398,7 @@
 
 // destinationHeaders returns the headers that tell the proxy and the writer of the choice.
 func (c *call) destinationHeaders() map[string]string {
-	wait := max(1, c.grant.Ends-c.grant.Offered)
+	wait := max(1, c.grant.Deadline-c.grant.OfferedAt)
 	headers := map[string]string{c.Destination: c.worker.Addr, "x-remaining-ms": strconv.FormatInt(max(1, wait.Milliseconds()), 10)}
 	for _, name := range []string{"X-Txn", "X-Lane"} {
 		headers[strings.ToLower(name)] = c.header.Get(name)
@@ -408,7 +408,7 @@
 
 // metadata returns the destination and the class as dynamic metadata, for proxies that select endpoints by it.
 func (c *call) metadata() *structpb.Struct {
-	return &structpb.Struct{Fields: map[string]*structpb.Value{MetadataSpace: structpb.NewStructValue(&structpb.Struct{
+	return &structpb.Struct{Fields: map[string]*structpb.Value{MetadataNamespace: structpb.NewStructValue(&structpb.Struct{
 		Fields: map[string]*structpb.Value{c.Destination: structpb.NewStringValue(c.worker.Addr),
 			"x-rowanyard-class": structpb.NewStringValue(c.header.Get("X-Lane"))}})}}
 }
@@ -448,8 +448,8 @@
 		}
 	}
 	result, fate := httpfront.ClassifyStatus(code, turnedAway), grant.Begun
-	space := msg.GetMetadataContext().GetFilterMetadata()[MetadataSpace]
-	if served := space.GetFields()[ServedKey].GetStringValue(); served != "" && served != c.worker.Addr {
+	space := msg.GetMetadataContext().GetFilterMetadata()[MetadataNamespace]
+	if served := space.GetFields()[ServedEndpointKey].GetStringValue(); served != "" && served != c.worker.Addr {
 		// The proxy has used another endpoint, so it is unknown what ran there and whether anything runs at the granted one.
 		c.Log.Error("another endpoint has served", "caller", c.caller, "granted", c.worker.Addr, "served", served)
 		result = core.Result{Status: decide.Reset, Err: errors.New("another endpoint has served")}
@@ -466,7 +466,7 @@
 		return true, c.sendFinal(decisions.ErrFailed)
 	}
 	c.outcome = nil
-	if err := c.Desk.Report(c.caller, c.grant.ID, fate, result, false); err != nil {
+	if err := c.Coordinator.Report(c.caller, c.grant.ID, fate, result, false); err != nil {
 		c.Log.Info("report of the answer was rejected", "caller", c.caller, "err", err)
 	}
 	if err := <-outcome; err != nil {
@@ -479,18 +479,18 @@
 // sendFinal sends the final answer in place of a writer's response.
 func (c *call) sendFinal(err error) error {
 	var refused *decisions.Refused
-	var busy *grant.Busy
+	var busy *grant.BusyError
 	after := time.Duration(0)
 	switch {
 	case errors.As(err, &refused):
-		after = refused.After
+		after = refused.RetryAfter
 	case errors.As(err, &busy):
-		after = busy.After
-	case errors.Is(err, decisions.ErrGone):
+		after = busy.RetryAfter
+	case errors.Is(err, decisions.ErrCallerGone):
 		return nil
-	case errors.Is(err, grant.ErrOther), errors.Is(err, grant.ErrMayHaveRun), errors.Is(err, grant.ErrPending), errors.Is(err, grant.ErrClass):
+	case errors.Is(err, grant.ErrOtherCaller), errors.Is(err, grant.ErrMayHaveRun), errors.Is(err, grant.ErrAttemptPending), errors.Is(err, grant.ErrClassMismatch):
 		return c.sendImmediate(http.StatusConflict, nil, "X-Txn: "+err.Error())
-	case errors.Is(err, grant.ErrID):
+	case errors.Is(err, grant.ErrInvalidID):
 		return c.sendImmediate(http.StatusBadRequest, nil, "X-Txn: "+err.Error())
 	default:
 		return c.sendImmediate(http.StatusBadGateway, nil, "failed, it may have run")
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -65,12 +65,12 @@
 	c.SetWorkers(true, httpfront.Names{Kinds: site.KindNames, Zones: site.ZoneNames}.Workers(list, log))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
-	coordinator, err := decisions.NewDesk(c, hw, grant.Terms{Drain: 500 * time.Millisecond, Delivery: 50 * time.Millisecond, Hold: 300 * time.Millisecond,
-		Heard: 300 * time.Millisecond, Remember: 30 * time.Second, MaxWait: 500 * time.Millisecond, Tick: 5 * time.Millisecond,
-		Open: 256, Callers: 32, Effects: 4096, Longest: 64, FeedDepth: 64}, decisions.Seen{}, log)
+	coordinator, err := decisions.NewCoordinator(c, hw, grant.Config{DrainGrace: 500 * time.Millisecond, MaxDelivery: 50 * time.Millisecond, HoldTimeout: 300 * time.Millisecond,
+		WatchTimeout: 300 * time.Millisecond, EffectRetention: 30 * time.Second, MaxRetryAfter: 500 * time.Millisecond, Tick: 5 * time.Millisecond,
+		MaxOpenRequests: 256, MaxCallers: 32, MaxEffects: 4096, MaxIDBytes: 64, FeedDepth: 64}, decisions.Observer{}, log)
 	must(err)
-	server := (&extproc.Server{Core: c, Desk: coordinator, Workers: hw, Classes: httpfront.ClassesOf(site.ClassNames), Settings: c.Settings,
-		Routes: routes, Destination: extproc.DestinationHeader, MaxOpen: maxOpen, Override: override, Log: log}).GRPC()
+	server := (&extproc.Server{Core: c, Coordinator: coordinator, Workers: hw, Classes: httpfront.ClassesOf(site.ClassNames), Settings: c.Settings,
+		Routes: routes, Destination: extproc.DestinationHeader, MaxOpen: maxOpen, AllowModeOverride: override, Log: log}).GRPC()
 	go server.Serve(l)
 	t.Cleanup(server.Stop)
 	conn, err := grpc.NewClient("passthrough:///"+l.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
--- a/internal/extproc/modes_test.go
+++ b/internal/extproc/modes_test.go
@@ -95,7 +95,7 @@
 			}
 		}
 	}
-	return header, m.GetDynamicMetadata().GetFields()[extproc.MetadataSpace].GetStructValue().GetFields()[extproc.DestinationHeader].GetStringValue()
+	return header, m.GetDynamicMetadata().GetFields()[extproc.MetadataNamespace].GetStructValue().GetFields()[extproc.DestinationHeader].GetStringValue()
 }
 
 // sendWrite sends the request to the worker, as the proxy would to its upstream.
@@ -333,8 +333,8 @@
 	s.send(requestBody(prompt, true))
 	to, _ := destination(s.recv())
 	m := responseHeaders(s.sendWrite(to), false)
-	served, _ := structpb.NewStruct(map[string]any{extproc.ServedKey: "127.0.0.1:1"})
-	m.MetadataContext = &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{extproc.MetadataSpace: served}}
+	served, _ := structpb.NewStruct(map[string]any{extproc.ServedEndpointKey: "127.0.0.1:1"})
+	m.MetadataContext = &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{extproc.MetadataNamespace: served}}
 	s.send(m)
 	if code := s.recv().GetImmediateResponse().GetStatus().GetCode(); code != http.StatusBadGateway {
 		t.Errorf("code %d, want 502", code)
--- a/internal/grant/callers.go
+++ b/internal/grant/callers.go
@@ -57,13 +57,13 @@
 func (t *Table) admit(name string) (*caller, error) {
 	c := t.callers[name]
 	if c == nil {
-		if len(t.callers) >= t.cfg.Callers {
-			return nil, &Busy{ErrCallers, t.cfg.MaxWait}
+		if len(t.callers) >= t.cfg.MaxCallers {
+			return nil, &BusyError{ErrTooManyCallers, t.cfg.MaxRetryAfter}
 		}
 		c = &caller{name: name}
 	}
-	if free := t.cfg.Open - len(t.requests) - t.releasing; c.open >= free {
-		return nil, &Busy{ErrBusy, min(t.cfg.MaxWait, t.cfg.Hold)} // by then the requests of a silent caller have ended
+	if free := t.cfg.MaxOpenRequests - len(t.requests) - t.releasing; c.open >= free {
+		return nil, &BusyError{ErrCallerLimit, min(t.cfg.MaxRetryAfter, t.cfg.HoldTimeout)} // by then the requests of a silent caller have ended
 	}
 	t.callers[name] = c
 	return c, nil
@@ -80,12 +80,12 @@
 // begins. An older stream of the same caller ends and gets nothing more.
 func (t *Table) Watch(now time.Duration, name string) (streamID, seq uint64, err error) {
 	if !t.validID(name) {
-		return 0, 0, ErrID
+		return 0, 0, ErrInvalidID
 	}
 	c := t.callers[name]
 	if c == nil {
-		if len(t.callers) >= t.cfg.Callers {
-			return 0, 0, &Busy{ErrCallers, t.cfg.MaxWait}
+		if len(t.callers) >= t.cfg.MaxCallers {
+			return 0, 0, &BusyError{ErrTooManyCallers, t.cfg.MaxRetryAfter}
 		}
 		c = &caller{name: name}
 		t.callers[name] = c
@@ -127,7 +127,7 @@
 	c.feed = nil
 	for q := c.firstRequest; q != nil; q = q.next {
 		if g := q.lastGrant; g != nil && g.State == Offered {
-			g.Until = min(g.Until, now+t.cfg.Heard)
+			g.ValidUntil = min(g.ValidUntil, now+t.cfg.WatchTimeout)
 			t.schedule(q)
 		}
 	}
@@ -193,7 +193,7 @@
 // CloseWorker records that a worker takes no new requests because it drains, is under maintenance or is gone. It revokes
 // and returns all grants for the worker that have not been taken up, and queues the revocations for callers that watch. Callers
 // that do not watch need no message: their grants expire within the drain grace anyway.
-func (t *Table) Close(now time.Duration, id, why string) (revoked []*Grant) {
+func (t *Table) CloseWorker(now time.Duration, id, why string) (revoked []*Grant) {
 	w := t.worker(id)
 	if !w.closed {
 		w.closed, w.closedAt = true, now
@@ -203,7 +203,7 @@
 			continue
 		}
 		g.State = Revoked
-		g.Until = min(g.Until, w.closedAt+t.cfg.Drain-t.cfg.Delivery-t.cfg.Tick)
+		g.ValidUntil = min(g.ValidUntil, w.closedAt+t.cfg.DrainGrace-t.cfg.MaxDelivery-t.cfg.Tick)
 		t.queueRevocation(now, g, why)
 		t.logStep(now, StepRevoke, g, nil)
 		revoked = append(revoked, g)
@@ -216,7 +216,7 @@
 }
 
 // OpenWorker records that a worker takes new requests again.
-func (t *Table) Open(id string) {
+func (t *Table) OpenWorker(id string) {
 	if w := t.workers[id]; w != nil {
 		w.closed = false
 		t.forgetWorker(id, w)
@@ -226,11 +226,11 @@
 // pruneWorkers removes workers without grants that were closed longer than the effect retention ago. By then, whoever
 // chooses workers no longer knows them or closes them again.
 func (t *Table) pruneWorkers(now time.Duration) {
-	if len(t.workers) <= t.cfg.Open {
+	if len(t.workers) <= t.cfg.MaxOpenRequests {
 		return
 	}
 	for id, w := range t.workers {
-		if w.closed && w.firstGrant == nil && now-w.closedAt > t.cfg.Remember {
+		if w.closed && w.firstGrant == nil && now-w.closedAt > t.cfg.EffectRetention {
 			delete(t.workers, id)
 		}
 	}
--- a/internal/grant/event.go
+++ b/internal/grant/event.go
@@ -23,20 +23,20 @@
 
 // Event describes one step of a Table, for logs and checkers. Err is why the step was rejected, nil if it was not.
 type Event struct {
-	At      time.Duration
-	Step    Step
-	Caller  string
-	Request string
-	Attempt int
-	Grant   uint64
-	Worker  string
-	Read    bool
-	Once    bool
-	State   State
-	Fate    Fate
-	Until   time.Duration
-	Since   time.Duration // when the grant was offered
-	Err     error
+	At            time.Duration
+	Step          Step
+	Caller        string
+	Request       string
+	Attempt       int
+	Grant         uint64
+	Worker        string
+	Read          bool
+	NonIdempotent bool
+	State         State
+	Fate          Fate
+	ValidUntil    time.Duration
+	Since         time.Duration // when the grant was offered
+	Err           error
 }
 
 func (t *Table) logStep(now time.Duration, step Step, g *Grant, err error) {
@@ -46,13 +46,13 @@
 	e := Event{At: now, Step: step, Err: err}
 	if g != nil {
 		e.Caller, e.Request, e.Attempt, e.Grant = g.req.caller.name, g.req.id, g.Attempt, g.ID
-		e.Worker, e.Read, e.Once, e.State, e.Fate, e.Until, e.Since = g.Worker, g.Read, g.req.nonIdempotent, g.State, g.Fate, g.Until, g.Offered
+		e.Worker, e.Read, e.NonIdempotent, e.State, e.Fate, e.ValidUntil, e.Since = g.Worker, g.Read, g.req.nonIdempotent, g.State, g.Fate, g.ValidUntil, g.OfferedAt
 	}
 	t.log(e)
 }
 
 // GrantInfo describes one grant for operators.
-type Line struct {
+type GrantInfo struct {
 	Grant   uint64
 	Request string
 	Caller  string
@@ -66,13 +66,13 @@
 }
 
 // List returns the known grants, oldest first, at most limit of them.
-func (t *Table) Show(now time.Duration, limit int) []Line {
-	var list []Line
+func (t *Table) List(now time.Duration, limit int) []GrantInfo {
+	var list []GrantInfo
 	for _, g := range t.grants {
-		list = append(list, Line{g.ID, g.req.id, g.req.caller.name, g.req.class, g.Attempt, g.Worker, g.Read, g.State,
-			now - g.Offered, max(0, g.Until-now)})
+		list = append(list, GrantInfo{g.ID, g.req.id, g.req.caller.name, g.req.class, g.Attempt, g.Worker, g.Read, g.State,
+			now - g.OfferedAt, max(0, g.ValidUntil-now)})
 	}
-	slices.SortFunc(list, func(a, b Line) int { return cmp.Compare(a.Grant, b.Grant) })
+	slices.SortFunc(list, func(a, b GrantInfo) int { return cmp.Compare(a.Grant, b.Grant) })
 	return list[:min(len(list), limit)]
 }
 
--- a/internal/grant/explore_test.go
+++ b/internal/grant/explore_test.go
@@ -24,8 +24,8 @@
 
 const ms = time.Millisecond
 
-var testConfig = Terms{Drain: 500 * ms, Delivery: 50 * ms, Hold: 300 * ms, Heard: 300 * ms, Remember: 30 * time.Second,
-	MaxWait: 500 * ms, Tick: 5 * ms, Open: 64, Callers: 8, Effects: 4096, Longest: 64, FeedDepth: 8}
+var testConfig = Config{DrainGrace: 500 * ms, MaxDelivery: 50 * ms, HoldTimeout: 300 * ms, WatchTimeout: 300 * ms, EffectRetention: 30 * time.Second,
+	MaxRetryAfter: 500 * ms, Tick: 5 * ms, MaxOpenRequests: 64, MaxCallers: 8, MaxEffects: 4096, MaxIDBytes: 64, FeedDepth: 8}
 
 // sim is one simulated run.
 type sim struct {
@@ -87,7 +87,7 @@
 }
 
 func (w *sim) record(kind rules.Kind, request, worker string, call int, once bool) {
-	w.log = append(w.log, rules.Event{At: w.now, Kind: kind, Request: request, Worker: worker, Call: call, Once: once})
+	w.log = append(w.log, rules.Event{At: w.now, Kind: kind, Request: request, Worker: worker, Call: call, NonIdempotent: once})
 }
 
 // fakeWorker is a simulated worker.
@@ -133,7 +133,7 @@
 type call struct {
 	n  int
 	at time.Duration
-	Ask
+	ChooseCall
 	reply func(answer)
 }
 
@@ -180,7 +180,7 @@
 }
 
 // run plays the simulation to its end and returns the violations.
-func (w *sim) run() []rules.Broken {
+func (w *sim) run() []rules.Violation {
 	const long = 6 * time.Second
 	for _, p := range w.callers {
 		if p.watches {
@@ -206,7 +206,7 @@
 		w.now = t.at
 		t.do()
 	}
-	return rules.Check(w.log, rules.Limits{Drain: testConfig.Drain, Hold: testConfig.Hold + 30*ms}, w.now)
+	return rules.Check(w.log, rules.Limits{DrainGrace: testConfig.DrainGrace, HoldTimeout: testConfig.HoldTimeout + 30*ms}, w.now)
 }
 
 // disturbWorker drains or kills one worker for a while.
@@ -225,13 +225,13 @@
 	b.state = decide.Draining
 	w.record(rules.Drained, "", b.id, 0, false)
 	if w.variant != "ignores drains" {
-		w.table.Close(w.now, b.id, "drains")
+		w.table.CloseWorker(w.now, b.id, "drains")
 		w.router.Servers(w.now, w.serverList())
 	}
 	w.after(time.Second+w.upTo(3*time.Second), func() {
 		b.state = decide.Ready
-		w.record(rules.Back, "", b.id, 0, false)
-		w.table.Open(b.id)
+		w.record(rules.Undrained, "", b.id, 0, false)
+		w.table.OpenWorker(b.id)
 		w.router.Servers(w.now, w.serverList())
 	})
 }
@@ -239,17 +239,17 @@
 // The router's side.
 
 func (w *sim) choose(c call) {
-	same, pending, err := w.table.Begin(w.now, c.Ask)
+	same, pending, err := w.table.Begin(w.now, c.ChooseCall)
 	l := w.byName[c.Request]
 	if err == nil {
-		w.record(rules.Sign, c.Request, "", 0, false)
+		w.record(rules.CallerSeen, c.Request, "", 0, false)
 	}
 	if errors.Is(err, ErrMayHaveRun) && w.variant == "forgets effects" {
 		w.table.ledger.clear(c.Request)
-		same, pending, err = w.table.Begin(w.now, c.Ask)
+		same, pending, err = w.table.Begin(w.now, c.ChooseCall)
 	}
 	if err == nil && same == nil { // from now on the call is open, so its caller is present
-		w.record(rules.Out, c.Request, "", c.n, false)
+		w.record(rules.Opened, c.Request, "", c.n, false)
 	}
 	switch {
 	case err != nil:
@@ -260,10 +260,10 @@
 		w.reply(c, w.answerFor(same, c))
 	case c.Attempt == 0: // a new request, or one that is over and named again
 		w.lastID++
-		l = &routedRequest{id: c.Request, num: w.lastID, once: c.Once, waiting: []call{c}}
+		l = &routedRequest{id: c.Request, num: w.lastID, once: c.NonIdempotent, waiting: []call{c}}
 		w.byID[l.num], w.byName[l.id] = l, l
 		class := 0
-		if c.Once {
+		if c.NonIdempotent {
 			class = 1
 		}
 		w.router.Request(w.now, decide.Request{ID: l.num, Class: class, TimeLeft: time.Second + w.upTo(3*time.Second), PromptLength: 100, Session: uint64(l.num)})
@@ -274,7 +274,7 @@
 }
 
 func (w *sim) answerFor(g *Grant, c call) answer {
-	return answer{grant: g.ID, n: g.Attempt, worker: g.Worker, read: g.Read, valid: g.Valid(c.at), timeLeft: g.Ends - c.at,
+	return answer{grant: g.ID, n: g.Attempt, worker: g.Worker, read: g.Read, valid: g.Valid(c.at), timeLeft: g.Deadline - c.at,
 		state: g.State, watch: g.req.caller.feed != nil}
 }
 
@@ -305,7 +305,7 @@
 		s.grant, s.grantedAt = g, w.now
 		l.current = &s
 		for _, c := range l.waiting {
-			w.record(rules.In, l.id, "", c.n, false)
+			w.record(rules.Closed, l.id, "", c.n, false)
 			w.reply(c, w.answerFor(g, c))
 		}
 		l.waiting = nil
@@ -343,7 +343,7 @@
 	if err := w.table.Report(w.now, caller, id, fate, false); err != nil {
 		return
 	}
-	w.record(rules.Sign, g.req.id, "", 0, false)
+	w.record(rules.CallerSeen, g.req.id, "", 0, false)
 	if l := w.byName[g.req.id]; l.current != nil && l.current.grant == g {
 		w.finishAttempt(l, *l.current, statusOfFate[fate])
 	}
@@ -356,11 +356,11 @@
 	for _, a := range slices.Clone(w.table.Advance(w.now)) {
 		l := w.byName[a.Request]
 		switch a.Kind {
-		case Lapse:
+		case TimeOutAttempt:
 			if l.current != nil && l.current.grant == a.Grant {
 				w.finishAttempt(l, *l.current, decide.TimedOut)
 			}
-		case Forsake:
+		case AbandonRequest:
 			l.over = true
 			w.router.ClientLeft(w.now, l.num)
 			if l.current != nil { // report its end, so that the decide.Router forgets the request
@@ -370,7 +370,7 @@
 				w.finishAttempt(l, s, decide.Unsent)
 			}
 			w.release(l.id)
-		case Sweep:
+		case ReleaseLeftover:
 			w.release(a.Request)
 		}
 	}
@@ -380,7 +380,7 @@
 	w.after(w.upTo(10*ms), func() {
 		if w.heldStates[id] > 0 {
 			w.heldStates[id] = 0
-			w.record(rules.Freed, id, "", 0, false)
+			w.record(rules.Released, id, "", 0, false)
 		}
 	})
 }
@@ -393,7 +393,7 @@
 	}
 	l.over = true
 	for _, c := range l.waiting {
-		w.record(rules.In, l.id, "", c.n, false)
+		w.record(rules.Closed, l.id, "", c.n, false)
 		w.reply(c, a)
 	}
 	l.waiting = nil
@@ -565,7 +565,7 @@
 	w.callCount++
 	number, sent, done := w.callCount, w.now, false
 	w.record(rules.Asked, t.id, "", number, false)
-	c := call{n: number, Ask: Ask{Caller: t.name, Request: t.id, Attempt: n, Once: t.once}, reply: func(a answer) {
+	c := call{n: number, ChooseCall: ChooseCall{Caller: t.name, Request: t.id, Attempt: n, NonIdempotent: t.once}, reply: func(a answer) {
 		if !done && !t.dead {
 			done = true
 			t.handleAnswer(n, sent, a)
@@ -575,7 +575,7 @@
 		c.Class = 1
 	}
 	if w.chance(0.05) { // the message is lost
-		w.after(0, func() { w.record(rules.Cut, t.id, "", number, false) })
+		w.after(0, func() { w.record(rules.Disconnected, t.id, "", number, false) })
 	} else {
 		w.after(w.latency(), func() { c.at = w.now; w.choose(c) })
 	}
@@ -584,12 +584,12 @@
 			return
 		}
 		done = true
-		w.record(rules.Cut, t.id, "", number, false)
+		w.record(rules.Disconnected, t.id, "", number, false)
 		if l := w.byName[t.id]; l != nil && !l.over && w.table.requests[t.id] != nil && w.table.requests[t.id].caller.name == t.name {
 			before := len(l.waiting)
 			l.waiting = slices.DeleteFunc(l.waiting, func(c call) bool {
 				if c.n == number {
-					w.record(rules.In, t.id, "", number, false)
+					w.record(rules.Closed, t.id, "", number, false)
 				}
 				return c.n == number
 			})
@@ -608,12 +608,12 @@
 	w := t.w
 	switch {
 	case a.err != nil:
-		var busy *Busy
+		var busy *BusyError
 		if errors.As(a.err, &busy) {
-			w.after(busy.After, func() { t.call(n) })
-		} else if errors.Is(a.err, ErrPending) || w.chance(0.1) {
+			w.after(busy.RetryAfter, func() { t.call(n) })
+		} else if errors.Is(a.err, ErrAttemptPending) || w.chance(0.1) {
 			w.after(w.upTo(300*ms), func() { t.call(n) })
-		} else if errors.Is(a.err, ErrOrder) && w.chance(0.5) { // it has ended in the meantime: start again
+		} else if errors.Is(a.err, ErrAttemptOrder) && w.chance(0.5) { // it has ended in the meantime: start again
 			w.after(w.upTo(300*ms), func() { t.call(0) })
 		}
 		return
@@ -647,7 +647,7 @@
 	w := t.w
 	stale := w.now-sent >= a.valid || t.void[a.grant]
 	if a.watch {
-		stale = stale || epoch != t.epoch || w.now-t.answeredPing > testConfig.Heard
+		stale = stale || epoch != t.epoch || w.now-t.answeredPing > testConfig.WatchTimeout
 	}
 	if w.variant == "acts on stale answers" {
 		stale = false
@@ -666,11 +666,11 @@
 	t.sent[a.grant] = true
 	w.sendLossy(func() {
 		if g := w.table.grants[a.grant]; w.table.TakeUp(w.now, t.name, a.grant) == nil {
-			w.record(rules.Sign, g.req.id, "", 0, false)
+			w.record(rules.CallerSeen, g.req.id, "", 0, false)
 		}
 	})
 	ends := sent + a.timeLeft
-	w.after(w.upTo(testConfig.Delivery), func() { t.deliver(n, a, ends) })
+	w.after(w.upTo(testConfig.MaxDelivery), func() { t.deliver(n, a, ends) })
 }
 
 // sendLossy sends a message that may be lost, duplicated or delayed.
@@ -702,12 +702,12 @@
 		next()
 		return
 	}
-	w.record(rules.Out, t.id, b.id, 0, false)
+	w.record(rules.Opened, t.id, b.id, 0, false)
 	out := true
 	in := func() {
 		if out {
 			out = false
-			w.record(rules.In, t.id, b.id, 0, false)
+			w.record(rules.Closed, t.id, b.id, 0, false)
 		}
 	}
 	took := w.upTo(250 * ms)
@@ -721,7 +721,7 @@
 		}
 		w.after(w.latency(), func() {
 			if g := w.table.grants[a.grant]; w.table.Renew(w.now, t.name, a.grant) == nil {
-				w.record(rules.Sign, g.req.id, "", 0, false)
+				w.record(rules.CallerSeen, g.req.id, "", 0, false)
 			}
 		})
 		w.after(80*ms+w.upTo(40*ms), renew)
@@ -769,7 +769,7 @@
 			}
 		default:
 			w.heldStates[t.id] = 0
-			w.record(rules.Freed, t.id, "", 0, false)
+			w.record(rules.Released, t.id, "", 0, false)
 			w.begun++
 			effect()
 			if !t.dead {
@@ -784,7 +784,7 @@
 	w.record(rules.Held, id, "", 0, false)
 }
 
-func explore(seed uint64, variant string) (*sim, []rules.Broken) {
+func explore(seed uint64, variant string) (*sim, []rules.Violation) {
 	w := newSimulation(seed, variant)
 	return w, w.run()
 }
@@ -851,7 +851,7 @@
 		caught := false
 		for seed := uint64(0); seed < 1000 && !caught; seed++ {
 			_, broken := explore(seed, variant)
-			caught = slices.ContainsFunc(broken, func(b rules.Broken) bool { return b.Rule == rule })
+			caught = slices.ContainsFunc(broken, func(b rules.Violation) bool { return b.Rule == rule })
 		}
 		if !caught {
 			t.Errorf("%q breaks no rule on %q", variant, rule)
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -47,93 +47,93 @@
 
 // Reasons for rejecting a step. Every error returned by a Table wraps one of these.
 var (
-	ErrID         = errors.New("an id is empty or too long")
-	ErrUnknown    = errors.New("no such grant")
-	ErrOther      = errors.New("it is another caller's")
-	ErrOrder      = errors.New("an attempt out of order")
-	ErrPending    = errors.New("an earlier attempt of the request has no report")
-	ErrState      = errors.New("a step that its state does not allow")
-	ErrMayHaveRun = errors.New("it may have run, and must not run twice")
-	ErrDraining   = errors.New("the worker takes nothing new")
-	ErrBusy       = errors.New("the caller has its share of open grants")
-	ErrCallers    = errors.New("too many callers")
-	ErrLedger     = errors.New("the ledger of effects is full")
-	ErrClass      = errors.New("the request began with another class")
+	ErrInvalidID      = errors.New("an id is empty or too long")
+	ErrUnknownGrant   = errors.New("no such grant")
+	ErrOtherCaller    = errors.New("it is another caller's")
+	ErrAttemptOrder   = errors.New("an attempt out of order")
+	ErrAttemptPending = errors.New("an earlier attempt of the request has no report")
+	ErrInvalidState   = errors.New("a step that its state does not allow")
+	ErrMayHaveRun     = errors.New("it may have run, and must not run twice")
+	ErrDraining       = errors.New("the worker takes nothing new")
+	ErrCallerLimit    = errors.New("the caller has its share of open grants")
+	ErrTooManyCallers = errors.New("too many callers")
+	ErrLedgerFull     = errors.New("the ledger of effects is full")
+	ErrClassMismatch  = errors.New("the request began with another class")
 )
 
 // BusyError reports that a limit has been reached. RetryAfter is how long it may
 // take until there is room again.
-type Busy struct {
-	Why   error
-	After time.Duration
+type BusyError struct {
+	Err        error
+	RetryAfter time.Duration
 }
 
-func (b *Busy) Error() string { return fmt.Sprintf("%v, come back after %v", b.Why, b.After) }
+func (b *BusyError) Error() string { return fmt.Sprintf("%v, come back after %v", b.Err, b.RetryAfter) }
 
 // Unwrap returns the limit that was reached, one of the Err values of this package.
-func (b *Busy) Unwrap() error { return b.Why }
+func (b *BusyError) Unwrap() error { return b.Err }
 
 // Config sets the timeouts and limits of a Table.
-type Terms struct {
-	Drain     time.Duration // no request may reach a worker later than this after the router learned that it drains
-	Delivery  time.Duration // longest time from a caller's decision to send until the first byte reaches the worker
-	Hold      time.Duration // workers may hold state for a request this long after the last sign of its caller
-	Heard     time.Duration // a watching caller drops its grants this long after it sent the latest answered ping
-	Remember  time.Duration // how long an effect is remembered after the last time at which it may have happened
-	MaxWait   time.Duration // upper bound of the advised retry delay
-	Tick      time.Duration // resolution of the timing wheel
-	Open      int           // open requests, of all callers together
-	Callers   int           // callers known at once
-	Effects   int           // effects remembered at once
-	Longest   int           // length of an id
-	FeedDepth int           // revocations queued for a watching caller
+type Config struct {
+	DrainGrace      time.Duration // no request may reach a worker later than this after the router learned that it drains
+	MaxDelivery     time.Duration // longest time from a caller's decision to send until the first byte reaches the worker
+	HoldTimeout     time.Duration // workers may hold state for a request this long after the last sign of its caller
+	WatchTimeout    time.Duration // a watching caller drops its grants this long after it sent the latest answered ping
+	EffectRetention time.Duration // how long an effect is remembered after the last time at which it may have happened
+	MaxRetryAfter   time.Duration // upper bound of the advised retry delay
+	Tick            time.Duration // resolution of the timing wheel
+	MaxOpenRequests int           // open requests, of all callers together
+	MaxCallers      int           // callers known at once
+	MaxEffects      int           // effects remembered at once
+	MaxIDBytes      int           // length of an id
+	FeedDepth       int           // revocations queued for a watching caller
 }
 
 // Check returns an error if the values contradict each other or leave no time to act on a grant.
-func (t Terms) Check() error {
+func (t Config) Check() error {
 	switch {
-	case t.Drain <= 0 || t.Hold <= 0 || t.Tick <= 0 || t.Remember <= 0:
+	case t.DrainGrace <= 0 || t.HoldTimeout <= 0 || t.Tick <= 0 || t.EffectRetention <= 0:
 		return errors.New("drain, hold, remember and tick must be positive")
-	case t.Delivery < 0 || t.Delivery+t.Tick >= t.Drain:
-		return fmt.Errorf("delivery: %v leaves nothing of the %v after a drain", t.Delivery, t.Drain)
-	case t.Delivery+t.Tick >= t.Hold:
-		return fmt.Errorf("delivery: %v leaves nothing of the %v for which state is held", t.Delivery, t.Hold)
-	case t.Heard < 0 || t.Heard+t.Delivery+t.Tick > t.Drain:
-		return fmt.Errorf("heard: %v of silence plus %v of delivery exceed the %v after a drain", t.Heard, t.Delivery, t.Drain)
-	case t.Open < 1 || t.Callers < 1 || t.Effects < 1 || t.Longest < 1 || t.FeedDepth < 1:
+	case t.MaxDelivery < 0 || t.MaxDelivery+t.Tick >= t.DrainGrace:
+		return fmt.Errorf("delivery: %v leaves nothing of the %v after a drain", t.MaxDelivery, t.DrainGrace)
+	case t.MaxDelivery+t.Tick >= t.HoldTimeout:
+		return fmt.Errorf("delivery: %v leaves nothing of the %v for which state is held", t.MaxDelivery, t.HoldTimeout)
+	case t.WatchTimeout < 0 || t.WatchTimeout+t.MaxDelivery+t.Tick > t.DrainGrace:
+		return fmt.Errorf("heard: %v of silence plus %v of delivery exceed the %v after a drain", t.WatchTimeout, t.MaxDelivery, t.DrainGrace)
+	case t.MaxOpenRequests < 1 || t.MaxCallers < 1 || t.MaxEffects < 1 || t.MaxIDBytes < 1 || t.FeedDepth < 1:
 		return errors.New("open, callers, effects, id length and feed depth must be at least 1")
-	case t.MaxWait < 0:
+	case t.MaxRetryAfter < 0:
 		return errors.New("max wait: must not be negative")
 	}
 	return nil
 }
 
 // ChooseCall is a caller's call for a choice, that is, for the next grant of a request.
-type Ask struct {
-	Caller  string
-	Request string // id of the request, the same for all callers that name it
-	Attempt int    // number of this choice within the request, from 0
-	Class   int
-	Once    bool          // the request must not run twice
-	Called  time.Duration // when the call arrived
+type ChooseCall struct {
+	Caller        string
+	Request       string // id of the request, the same for all callers that name it
+	Attempt       int    // number of this choice within the request, from 0
+	Class         int
+	NonIdempotent bool          // the request must not run twice
+	Called        time.Duration // when the call arrived
 }
 
 // Grant is one answer to a caller. ID, Attempt, Worker and Read never change; the other fields may. Grants are owned by
 // the Table: its users must not modify them.
 type Grant struct {
-	ID      uint64
-	Attempt int
-	Worker  string
-	Read    bool // the grant is for a reader, so that its attempt has no effect
-	State   State
-	Fate    Fate
-	Offered time.Duration // when the grant was made
-	Until   time.Duration // the caller may begin to act until then, by the router's clock
-	Ends    time.Duration // when the attempt itself times out
-	req     *request
-	target  *worker // lists the grant while it is open
-	next    *Grant  // list of the worker's open grants
-	prev    *Grant
+	ID         uint64
+	Attempt    int
+	Worker     string
+	Read       bool // the grant is for a reader, so that its attempt has no effect
+	State      State
+	Fate       Fate
+	OfferedAt  time.Duration // when the grant was made
+	ValidUntil time.Duration // the caller may begin to act until then, by the router's clock
+	Deadline   time.Duration // when the attempt itself times out
+	req        *request
+	target     *worker // lists the grant while it is open
+	next       *Grant  // list of the worker's open grants
+	prev       *Grant
 }
 
 // Request returns the id of the grant's request.
@@ -147,7 +147,7 @@
 
 // Valid returns how long the caller may begin to act, counted from when it sent the call that is answered. called is
 // when that call arrived here. It was sent before that, so neither a wrong clock nor a slow network extends the time.
-func (g *Grant) Valid(called time.Duration) time.Duration { return max(0, g.Until-called) }
+func (g *Grant) Valid(called time.Duration) time.Duration { return max(0, g.ValidUntil-called) }
 
 // open reports whether the caller may still act on the grant or is doing so.
 func (g *Grant) open() bool { return g.State == Offered || g.State == TakenUp || g.State == Revoked }
@@ -171,25 +171,25 @@
 }
 
 // Action is something that the user of a Table has to do.
-type Act struct {
-	Kind    ActKind
+type Action struct {
+	Kind    ActionKind
 	Request string
 	Grant   *Grant // the request's latest grant, nil if it had none
 }
 
 // ActionKind is the kind of an Action.
-type ActKind uint8
+type ActionKind uint8
 
 // The kinds of actions.
 const (
-	Lapse   ActKind = iota + 1 // the attempt timed out without a report: treat it as one that may have run
-	Forsake                    // the caller has fallen silent: the request is over, release what is held for it now
-	Sweep                      // a read with an unknown result may have left state after its request ended: release it again
+	TimeOutAttempt  ActionKind = iota + 1 // the attempt timed out without a report: treat it as one that may have run
+	AbandonRequest                        // the caller has fallen silent: the request is over, release what is held for it now
+	ReleaseLeftover                       // a read with an unknown result may have left state after its request ended: release it again
 )
 
 // Table holds all grants of one router. It is not safe for concurrent use.
 type Table struct {
-	cfg       Terms
+	cfg       Config
 	wheel     *Wheel[*request]
 	requests  map[string]*request // open requests, by id
 	grants    map[uint64]*Grant   // the latest grant of each open request
@@ -198,33 +198,33 @@
 	ledger    *ledger
 	releasing int // requests that are over but may still leave state at a reader
 	lastID    uint64
-	actions   []Act
+	actions   []Action
 	log       func(Event)
 }
 
 // New returns an empty Table. log is called for every step; it may be nil.
-func New(cfg Terms, now time.Duration, log func(Event)) (*Table, error) {
+func New(cfg Config, now time.Duration, log func(Event)) (*Table, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, fmt.Errorf("grant: %w", err)
 	}
 	return &Table{cfg: cfg, wheel: NewWheel[*request](cfg.Tick, now), requests: make(map[string]*request),
 		grants: make(map[uint64]*Grant), workers: make(map[string]*worker), callers: make(map[string]*caller),
-		ledger: newLedger(cfg.Effects, cfg.Tick, now), log: log}, nil
+		ledger: newLedger(cfg.MaxEffects, cfg.Tick, now), log: log}, nil
 }
 
 // Begin handles a call for a choice. If the same call has already been answered it returns that grant, so that repeated
 // calls get the same answer. pending reports that an earlier identical call is still waiting for its choice. Otherwise, if
 // err is nil, the user must choose a worker and follow up with Offer or CancelChoice.
-func (t *Table) Begin(now time.Duration, a Ask) (same *Grant, pending bool, err error) {
+func (t *Table) Begin(now time.Duration, a ChooseCall) (same *Grant, pending bool, err error) {
 	if same, pending, err = t.begin(now, a); t.log != nil {
-		t.log(Event{At: now, Step: StepAsk, Caller: a.Caller, Request: a.Request, Attempt: a.Attempt, Once: a.Once, Err: err})
+		t.log(Event{At: now, Step: StepAsk, Caller: a.Caller, Request: a.Request, Attempt: a.Attempt, NonIdempotent: a.NonIdempotent, Err: err})
 	}
 	return same, pending, err
 }
 
-func (t *Table) begin(now time.Duration, a Ask) (*Grant, bool, error) {
+func (t *Table) begin(now time.Duration, a ChooseCall) (*Grant, bool, error) {
 	if !t.validID(a.Caller) || !t.validID(a.Request) || a.Attempt < 0 {
-		return nil, false, ErrID
+		return nil, false, ErrInvalidID
 	}
 	if q := t.requests[a.Request]; q != nil {
 		return t.continueRequest(now, q, a)
@@ -233,30 +233,30 @@
 		return nil, false, ErrMayHaveRun
 	}
 	if a.Attempt != 0 {
-		return nil, false, fmt.Errorf("%w: %d of a request that is not open", ErrOrder, a.Attempt)
+		return nil, false, fmt.Errorf("%w: %d of a request that is not open", ErrAttemptOrder, a.Attempt)
 	}
 	c, err := t.admit(a.Caller)
 	if err != nil {
 		return nil, false, err
 	}
-	if a.Once && t.ledger.full() {
+	if a.NonIdempotent && t.ledger.full() {
 		t.forgetCaller(c)
-		return nil, false, &Busy{ErrLedger, t.cfg.MaxWait}
+		return nil, false, &BusyError{ErrLedgerFull, t.cfg.MaxRetryAfter}
 	}
-	q := &request{id: a.Request, caller: c, class: a.Class, nonIdempotent: a.Once, choicePending: true, lastSeen: now}
-	q.timer.Of = q
+	q := &request{id: a.Request, caller: c, class: a.Class, nonIdempotent: a.NonIdempotent, choicePending: true, lastSeen: now}
+	q.timer.Value = q
 	t.requests[a.Request] = q
 	c.addRequest(q)
 	return nil, false, nil
 }
 
 // continueRequest handles another call for an open request.
-func (t *Table) continueRequest(now time.Duration, q *request, a Ask) (*Grant, bool, error) {
+func (t *Table) continueRequest(now time.Duration, q *request, a ChooseCall) (*Grant, bool, error) {
 	switch {
 	case q.caller.name != a.Caller:
-		return nil, false, ErrOther
+		return nil, false, ErrOtherCaller
 	case q.class != a.Class:
-		return nil, false, ErrClass
+		return nil, false, ErrClassMismatch
 	case q.choicePending && a.Attempt == q.grantCount:
 		t.touch(now, q)
 		return nil, true, nil
@@ -264,9 +264,9 @@
 		t.touch(now, q)
 		return q.lastGrant, false, nil
 	case q.choicePending || a.Attempt != q.grantCount:
-		return nil, false, fmt.Errorf("%w: %d, the next is %d", ErrOrder, a.Attempt, q.grantCount)
+		return nil, false, fmt.Errorf("%w: %d, the next is %d", ErrAttemptOrder, a.Attempt, q.grantCount)
 	case q.lastGrant.open():
-		return nil, false, ErrPending
+		return nil, false, ErrAttemptPending
 	case q.nonIdempotent && t.ledger.contains(q.id):
 		return nil, false, ErrMayHaveRun
 	}
@@ -275,7 +275,7 @@
 	return nil, false, nil
 }
 
-func (t *Table) validID(id string) bool { return id != "" && len(id) <= t.cfg.Longest }
+func (t *Table) validID(id string) bool { return id != "" && len(id) <= t.cfg.MaxIDBytes }
 
 // Attach marks the caller of a request as present until Detach. It is for transports that report a disconnect.
 func (t *Table) Attach(request string) {
@@ -298,14 +298,14 @@
 }
 
 // maxSilence is how long a caller may give no sign; it leaves enough of the hold timeout to release what is held in time.
-func (t *Table) maxSilence() time.Duration { return t.cfg.Hold - t.cfg.Delivery - t.cfg.Tick }
+func (t *Table) maxSilence() time.Duration { return t.cfg.HoldTimeout - t.cfg.MaxDelivery - t.cfg.Tick }
 
 // Offer completes the choice in progress for a request with the given worker. timeout is that of the attempt. Offer fails
 // if the worker takes no new requests or the ledger is full; the choice then stays in progress.
 func (t *Table) Offer(now time.Duration, request, workerID string, read bool, timeout time.Duration) (*Grant, error) {
 	q := t.requests[request]
 	if q == nil || !q.choicePending {
-		return nil, fmt.Errorf("%w: no choice is under way for it", ErrState)
+		return nil, fmt.Errorf("%w: no choice is under way for it", ErrInvalidState)
 	}
 	w := t.worker(workerID)
 	until := t.validUntil(now, w, q, now+timeout)
@@ -313,13 +313,13 @@
 		t.forgetWorker(workerID, w)
 		return nil, ErrDraining
 	}
-	if q.nonIdempotent && !read && !t.ledger.reserve(request, now+timeout+t.cfg.Remember) {
+	if q.nonIdempotent && !read && !t.ledger.reserve(request, now+timeout+t.cfg.EffectRetention) {
 		t.forgetWorker(workerID, w)
-		return nil, &Busy{ErrLedger, t.cfg.MaxWait}
+		return nil, &BusyError{ErrLedgerFull, t.cfg.MaxRetryAfter}
 	}
 	t.lastID++
-	g := &Grant{ID: t.lastID, Attempt: q.grantCount, Worker: workerID, Read: read, State: Offered, Offered: now,
-		Until: until, Ends: now + timeout, req: q, target: w}
+	g := &Grant{ID: t.lastID, Attempt: q.grantCount, Worker: workerID, Read: read, State: Offered, OfferedAt: now,
+		ValidUntil: until, Deadline: now + timeout, req: q, target: w}
 	if q.lastGrant != nil {
 		delete(t.grants, q.lastGrant.ID)
 	}
@@ -341,7 +341,7 @@
 	if w.closed {
 		return now
 	}
-	until := now + t.cfg.Drain - t.cfg.Delivery - t.cfg.Tick
+	until := now + t.cfg.DrainGrace - t.cfg.MaxDelivery - t.cfg.Tick
 	if q.caller.feed != nil {
 		until = deadline
 	}
@@ -352,7 +352,7 @@
 }
 
 // CancelChoice ends the choice in progress without a grant: the request was refused or has failed, and is over.
-func (t *Table) Turn(now time.Duration, request string) {
+func (t *Table) CancelChoice(now time.Duration, request string) {
 	if q := t.requests[request]; q != nil && q.choicePending {
 		t.end(now, q)
 	}
@@ -364,7 +364,7 @@
 	switch {
 	case err != nil:
 	case g.State != Offered && g.State != TakenUp: // repeating it is harmless
-		err = fmt.Errorf("%w: %v", ErrState, g.State)
+		err = fmt.Errorf("%w: %v", ErrInvalidState, g.State)
 	default:
 		g.State = TakenUp
 		t.touch(now, g.req)
@@ -380,7 +380,7 @@
 	switch {
 	case err != nil:
 	case g.State == Expired:
-		err = fmt.Errorf("%w: %v", ErrState, g.State)
+		err = fmt.Errorf("%w: %v", ErrInvalidState, g.State)
 	default:
 		t.touch(now, g.req)
 	}
@@ -392,7 +392,7 @@
 func (t *Table) touch(now time.Duration, q *request) {
 	q.lastSeen = now
 	if g := q.lastGrant; g != nil && g.State == Offered {
-		g.Until = max(g.Until, t.validUntil(now, g.target, q, g.Ends))
+		g.ValidUntil = max(g.ValidUntil, t.validUntil(now, g.target, q, g.Deadline))
 	}
 	t.schedule(q)
 }
@@ -404,11 +404,11 @@
 	case q.choicePending: // its caller waits in a call
 		t.wheel.Stop(&q.timer)
 	case g != nil && g.State == Offered:
-		t.wheel.Set(&q.timer, min(g.Until, g.Ends))
+		t.wheel.Set(&q.timer, min(g.ValidUntil, g.Deadline))
 	case g != nil && g.open() && q.attached:
-		t.wheel.Set(&q.timer, g.Ends)
+		t.wheel.Set(&q.timer, g.Deadline)
 	case g != nil && g.open():
-		t.wheel.Set(&q.timer, min(silentAt, g.Ends))
+		t.wheel.Set(&q.timer, min(silentAt, g.Deadline))
 	case q.attached:
 		t.wheel.Stop(&q.timer)
 	default: // the last attempt has been reported, and the caller may ask for another
@@ -422,14 +422,14 @@
 	switch {
 	case err != nil:
 	case fate < NotSent || fate > Ran:
-		err = fmt.Errorf("%w: fate %d", ErrState, fate)
+		err = fmt.Errorf("%w: fate %d", ErrInvalidState, fate)
 	case fate == Read && !g.Read || fate == Begun && g.Read:
-		err = fmt.Errorf("%w: a fate of the other stage", ErrState)
+		err = fmt.Errorf("%w: a fate of the other stage", ErrInvalidState)
 	case g.State == Reported && g.Fate == fate: // repeating it is harmless
 		t.touch(now, g.req)
 		return nil
 	case !g.open():
-		err = fmt.Errorf("%w: %v", ErrState, g.State)
+		err = fmt.Errorf("%w: %v", ErrInvalidState, g.State)
 	}
 	if err != nil {
 		t.logStep(now, StepReport, g, err)
@@ -443,7 +443,7 @@
 		if fate.excludesEffect() {
 			t.ledger.clear(q.id)
 		} else {
-			t.ledger.extend(q.id, now+t.cfg.Remember)
+			t.ledger.extend(q.id, now+t.cfg.EffectRetention)
 		}
 	}
 	if over || fate == Begun {
@@ -491,10 +491,10 @@
 	q.over, q.lastGrant = true, nil
 	if q.readPossibleUntil > now {
 		t.releasing++
-		t.wheel.Set(&q.timer, min(q.readPossibleUntil, now+t.cfg.Hold/2))
+		t.wheel.Set(&q.timer, min(q.readPossibleUntil, now+t.cfg.HoldTimeout/2))
 	}
 	if t.log != nil {
-		t.log(Event{At: now, Step: StepOver, Caller: q.caller.name, Request: q.id, Attempt: q.grantCount, Once: q.nonIdempotent})
+		t.log(Event{At: now, Step: StepOver, Caller: q.caller.name, Request: q.id, Attempt: q.grantCount, NonIdempotent: q.nonIdempotent})
 	}
 }
 
@@ -504,7 +504,7 @@
 	g.State = Expired
 	t.close(g)
 	if g.Read {
-		g.req.readPossibleUntil = max(g.req.readPossibleUntil, g.Ends+t.cfg.Delivery+t.cfg.Tick)
+		g.req.readPossibleUntil = max(g.req.readPossibleUntil, g.Deadline+t.cfg.MaxDelivery+t.cfg.Tick)
 	}
 	t.logStep(now, StepExpire, g, nil)
 }
@@ -513,9 +513,9 @@
 	g := t.grants[id]
 	switch {
 	case g == nil:
-		return nil, ErrUnknown
+		return nil, ErrUnknownGrant
 	case g.req.caller.name != caller:
-		return nil, ErrOther
+		return nil, ErrOtherCaller
 	}
 	return g, nil
 }
@@ -524,10 +524,10 @@
 func (t *Table) Grant(id uint64) *Grant { return t.grants[id] }
 
 // HasTimers reports whether Advance has anything to do in the future.
-func (t *Table) Busy() bool { return t.wheel.Len() > 0 }
+func (t *Table) HasTimers() bool { return t.wheel.Len() > 0 }
 
 // LatestGrant returns the latest grant of an open request, or nil.
-func (t *Table) Latest(request string) *Grant {
+func (t *Table) LatestGrant(request string) *Grant {
 	if q := t.requests[request]; q != nil {
 		return q.lastGrant
 	}
@@ -535,27 +535,27 @@
 }
 
 // Advance moves the clock and returns the actions that are due. The slice is valid until the next call.
-func (t *Table) Advance(now time.Duration) []Act {
+func (t *Table) Advance(now time.Duration) []Action {
 	t.actions = t.actions[:0]
 	t.wheel.Advance(now, func(due *Timer[*request]) {
-		q := due.Of
+		q := due.Value
 		g := q.lastGrant
 		if q.over {
-			t.actions = append(t.actions, Act{Sweep, q.id, nil})
+			t.actions = append(t.actions, Action{ReleaseLeftover, q.id, nil})
 			if q.readPossibleUntil > now {
-				t.wheel.Set(&q.timer, min(q.readPossibleUntil, now+t.cfg.Hold/2))
+				t.wheel.Set(&q.timer, min(q.readPossibleUntil, now+t.cfg.HoldTimeout/2))
 			} else {
 				t.releasing--
 			}
 			return
 		}
-		if g != nil && g.open() && now >= g.Ends {
+		if g != nil && g.open() && now >= g.Deadline {
 			t.expire(now, g)
-			t.actions = append(t.actions, Act{Lapse, q.id, g})
+			t.actions = append(t.actions, Action{TimeOutAttempt, q.id, g})
 			t.schedule(q) // the caller may ask again if it gives a sign soon
 			return
 		}
-		t.actions = append(t.actions, Act{Forsake, q.id, g})
+		t.actions = append(t.actions, Action{AbandonRequest, q.id, g})
 		t.end(now, q)
 	})
 	t.ledger.advance(now)
--- a/internal/grant/ledger.go
+++ b/internal/grant/ledger.go
@@ -33,7 +33,7 @@
 			return false
 		}
 		e = &effect{id: id}
-		e.timer.Of = e
+		e.timer.Value = e
 		l.effects[id] = e
 	}
 	l.wheel.Set(&e.timer, until)
@@ -56,5 +56,5 @@
 }
 
 func (l *ledger) advance(now time.Duration) {
-	l.wheel.Advance(now, func(t *Timer[*effect]) { delete(l.effects, t.Of.id) })
+	l.wheel.Advance(now, func(t *Timer[*effect]) { delete(l.effects, t.Value.id) })
 }
--- a/internal/grant/rules/rules.go
+++ b/internal/grant/rules/rules.go
@@ -14,53 +14,53 @@
 
 // The kinds of events.
 const (
-	Asked    Kind = iota + 1 // a caller made a call, identified by Call
-	Answered                 // the call got an answer
-	Cut                      // the caller disconnected before it got an answer
-	Sent                     // the first byte of an attempt reached a worker
-	Out                      // an attempt began at a worker, or a call for the request was opened at the router
-	In                       // that attempt or call ended
-	Effect                   // a request took effect at a worker
-	Drained                  // the router learned that a worker takes no new requests
-	Back                     // the router learned that the worker takes new requests again
-	Held                     // a worker holds a state or a slot for a request from now on
-	Freed                    // nothing is held for the request any more
-	Sign                     // the router got a sign of life from the request's caller
+	Asked        Kind = iota + 1 // a caller made a call, identified by Call
+	Answered                     // the call got an answer
+	Disconnected                 // the caller disconnected before it got an answer
+	Sent                         // the first byte of an attempt reached a worker
+	Opened                       // an attempt began at a worker, or a call for the request was opened at the router
+	Closed                       // that attempt or call ended
+	Effect                       // a request took effect at a worker
+	Drained                      // the router learned that a worker takes no new requests
+	Undrained                    // the router learned that the worker takes new requests again
+	Held                         // a worker holds a state or a slot for a request from now on
+	Released                     // nothing is held for the request any more
+	CallerSeen                   // the router got a sign of life from the request's caller
 )
 
 var kindNames = [...]string{"?", "asked", "answered", "cut", "sent", "out", "in", "effect", "drained", "back", "held", "freed", "sign"}
 
 // Event is one entry of the log. Events are in order of time.
 type Event struct {
-	At      time.Duration
-	Kind    Kind
-	Request string
-	Worker  string
-	Call    int
-	Once    bool // for Effect: the request must not run twice
+	At            time.Duration
+	Kind          Kind
+	Request       string
+	Worker        string
+	Call          int
+	NonIdempotent bool // for Effect: the request must not run twice
 }
 
 func (e Event) String() string {
-	return fmt.Sprintf("%9.3f %-8s request=%s worker=%s call=%d once=%v", e.At.Seconds(), kindNames[e.Kind], e.Request, e.Worker, e.Call, e.Once)
+	return fmt.Sprintf("%9.3f %-8s request=%s worker=%s call=%d once=%v", e.At.Seconds(), kindNames[e.Kind], e.Request, e.Worker, e.Call, e.NonIdempotent)
 }
 
 // Limits are the time limits that Check enforces.
 type Limits struct {
-	Drain time.Duration // no attempt may reach a worker later than this after the router learned that it drains
-	Hold  time.Duration // what is held must end this long after the caller's last sign or the last attempt
+	DrainGrace  time.Duration // no attempt may reach a worker later than this after the router learned that it drains
+	HoldTimeout time.Duration // what is held must end this long after the caller's last sign or the last attempt
 }
 
 // Violation is an event that breaks a rule.
-type Broken struct {
+type Violation struct {
 	Rule string
 	Event
 }
 
-func (b Broken) Error() string { return b.Rule + ": " + b.Event.String() }
+func (b Violation) Error() string { return b.Rule + ": " + b.Event.String() }
 
 // Check returns the violations in a log, at most one per rule, request and worker. end is when the run ended; what is still
 // held then counts as held until end.
-func Check(log []Event, l Limits, end time.Duration) []Broken {
+func Check(log []Event, l Limits, end time.Duration) []Violation {
 	type hold struct {
 		since, last time.Duration // last sign or end of an attempt
 		held        bool
@@ -72,12 +72,12 @@
 		answers      int
 		disconnected bool
 	}
-	var violations []Broken
+	var violations []Violation
 	seen := make(map[string]bool)
 	report := func(rule string, e Event) {
 		if key := rule + e.Request + e.Worker; !seen[key] {
 			seen[key] = true
-			violations = append(violations, Broken{rule, e})
+			violations = append(violations, Violation{rule, e})
 		}
 	}
 	holds, calls, drains := make(map[string]*hold), make(map[int]*call), make(map[string]time.Duration)
@@ -89,7 +89,7 @@
 	}
 	// overdue reports whether something is held at the given time that should have been released.
 	overdue := func(h *hold, at time.Duration) bool {
-		return h.held && h.open == 0 && at-max(h.since, h.last) > l.Hold
+		return h.held && h.open == 0 && at-max(h.since, h.last) > l.HoldTimeout
 	}
 	var order []int
 	for _, e := range log {
@@ -107,21 +107,21 @@
 			} else if c.answers++; c.answers > 1 {
 				report("one answer", e)
 			}
-		case Cut:
+		case Disconnected:
 			if c := calls[e.Call]; c != nil {
 				c.disconnected = true
 			}
 		case Sent:
-			if at, ok := drains[e.Worker]; ok && e.At-at > l.Drain {
+			if at, ok := drains[e.Worker]; ok && e.At-at > l.DrainGrace {
 				report("drain", e)
 			}
-		case Out:
+		case Opened:
 			h.open++
-		case In:
+		case Closed:
 			h.open--
 			h.last = e.At
 		case Effect:
-			if !e.Once { // may run any number of times
+			if !e.NonIdempotent { // may run any number of times
 				break
 			}
 			if h.effects++; h.effects > 1 {
@@ -131,15 +131,15 @@
 			if _, ok := drains[e.Worker]; !ok {
 				drains[e.Worker] = e.At
 			}
-		case Back:
+		case Undrained:
 			delete(drains, e.Worker)
 		case Held:
 			if !h.held {
 				h.held, h.since = true, e.At
 			}
-		case Freed:
+		case Released:
 			h.held = false
-		case Sign:
+		case CallerSeen:
 			h.last = e.At
 		}
 	}
--- a/internal/grant/wheel.go
+++ b/internal/grant/wheel.go
@@ -22,7 +22,7 @@
 type Timer[T any] struct {
 	next, prev *Timer[T]
 	due        int64
-	Of         T // set by the user
+	Value      T // set by the user
 }
 
 // NewWheel returns a wheel whose clock begins at start. A timer is due at the first tick that is not before its time.
--- a/internal/grant/wheel_test.go
+++ b/internal/grant/wheel_test.go
@@ -20,7 +20,7 @@
 		due := map[int]int64{} // the list
 		now := start
 		for i := range timers {
-			timers[i].Of = i
+			timers[i].Value = i
 		}
 		for range 300 {
 			i := rng.IntN(len(timers))
@@ -41,7 +41,7 @@
 						t.Fatalf("seed %d: due %d after %d", seed, x.due, last)
 					}
 					last = x.due
-					got = append(got, x.Of)
+					got = append(got, x.Value)
 				})
 				var want []int
 				for i, at := range due {
@@ -67,11 +67,11 @@
 func TestWheelSetWhileDue(t *testing.T) {
 	w := NewWheel[string](time.Millisecond, 0)
 	var a, b Timer[string]
-	a.Of, b.Of = "a", "b"
+	a.Value, b.Value = "a", "b"
 	w.Set(&a, 10*time.Millisecond)
 	var got []string
 	w.Advance(10*time.Millisecond, func(x *Timer[string]) {
-		got = append(got, x.Of)
+		got = append(got, x.Value)
 		if len(got) == 1 {
 			w.Set(&b, 0)
 			w.Set(&a, 11*time.Millisecond)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -49,8 +49,8 @@
 }
 
 // Hooks returns the hooks by which a decisions.Desk reports events to m.
-func (m *Metrics) Seen() decisions.Seen {
-	return decisions.Seen{
+func (m *Metrics) Seen() decisions.Observer {
+	return decisions.Observer{
 		Granted: func(stage string, wait time.Duration) { m.choiceTimes.WithLabelValues(stage).Observe(wait.Seconds()) },
 		Refused: func(reason string) { m.refusals.WithLabelValues(reason).Inc() },
 		Ended:   func(s grant.State, age time.Duration) { m.grantAges.WithLabelValues(s.String()).Observe(age.Seconds()) },
@@ -59,7 +59,7 @@
 }
 
 // CollectGrants adds the grants, requests, callers and effects of d.
-func (m *Metrics) Follow(d *decisions.Desk) { m.registry.MustRegister(grantCollector{d}) }
+func (m *Metrics) Follow(d *decisions.Coordinator) { m.registry.MustRegister(grantCollector{d}) }
 
 // CollectGuard adds the counts of g.
 func (m *Metrics) FollowGuard(g *invariant.Guard) { m.registry.MustRegister(guardCollector{g}) }
@@ -89,7 +89,7 @@
 }
 
 // grantCollector counts the entries of a desk's grant table.
-type grantCollector struct{ desk *decisions.Desk }
+type grantCollector struct{ desk *decisions.Coordinator }
 
 var (
 	descGrants   = prometheus.NewDesc("rowanyard_grants", "Grants that are known, by state.", []string{"state"}, nil)
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -60,7 +60,7 @@
 	seen.Tracer = traces.Tracer("test")
 	f, _, err := setup.Read("", 64<<20, nil)
 	must(err)
-	desk, err := decisions.NewDesk(c, hw, f.Terms(time.Second), seen, log)
+	desk, err := decisions.NewCoordinator(c, hw, f.Terms(time.Second), seen, log)
 	must(err)
 	m.Follow(desk)
 	var l httpfront.List
@@ -68,8 +68,8 @@
 	must(json.Unmarshal(text, &l))
 	c.SetWorkers(true, httpfront.Names{Kinds: site.KindNames, Zones: site.ZoneNames}.Workers(l, log))
 
-	ask := decisions.Ask{Called: time.Now(), Query: decide.Request{Class: 1, TimeLeft: 5 * time.Second, PromptLength: 40}, ReadHere: true,
-		Ask: grant.Ask{Caller: "p", Request: "q", Class: 1, Once: true},
+	ask := decisions.ChooseCall{Called: time.Now(), Query: decide.Request{Class: 1, TimeLeft: 5 * time.Second, PromptLength: 40}, ReadHere: true,
+		ChooseCall: grant.ChooseCall{Caller: "p", Request: "q", Class: 1, NonIdempotent: true},
 		Exchange: &httpfront.Exchange{Workers: hw, Method: http.MethodPost, URI: httpfront.PathChat, Body: []byte(`{"messages":[{"content":"k"}]}`),
 			Head: http.Header{"X-Txn": {"q"}, "X-Lane": {"send-message"}}}}
 	g, _, err := desk.Choose(context.Background(), ask)
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -213,12 +213,12 @@
 }
 
 // GrantTerms returns the terms of grants. maxWait is the longest Retry-After that clients are given.
-func (f *File) Terms(maxWait time.Duration) grant.Terms {
+func (f *File) Terms(maxWait time.Duration) grant.Config {
 	g := f.Grants
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	return grant.Terms{Drain: drainGrace, Delivery: ms(g.DeliveryMs), Hold: ms(g.HoldMs), Heard: ms(g.HeardMs),
-		Remember: time.Duration(g.RememberS) * time.Second, MaxWait: maxWait, Tick: timerTick, Open: g.Open, Callers: g.Callers,
-		Effects: g.Effects, Longest: maxIDLength, FeedDepth: feedDepth}
+	return grant.Config{DrainGrace: drainGrace, MaxDelivery: ms(g.DeliveryMs), HoldTimeout: ms(g.HoldMs), WatchTimeout: ms(g.HeardMs),
+		EffectRetention: time.Duration(g.RememberS) * time.Second, MaxRetryAfter: maxWait, Tick: timerTick, MaxOpenRequests: g.Open, MaxCallers: g.Callers,
+		MaxEffects: g.Effects, MaxIDBytes: maxIDLength, FeedDepth: feedDepth}
 }
 
 // IndexSettings returns the settings of the index of workers' prefix caches.
