--- a/cmd/rowanyard/budget.go
+++ b/cmd/rowanyard/budget.go
@@ -54,11 +54,11 @@
 }
 
 // followOverlap reduces the limits of this process while an older or newer process of the router runs, until ctx ends.
-func (b resourceBudget) followOverlap(ctx context.Context, control *operator.Desk, log *slog.Logger) {
+func (b resourceBudget) followOverlap(ctx context.Context, control *operator.Controller, log *slog.Logger) {
 	current := 1.0
 	for t := time.NewTicker(overlapPollInterval); ; {
 		share := 1.0
-		if _, newer := control.Successor(); newer || !control.Share.Alone() {
+		if _, newer := control.Successor(); newer || !control.SharedState.Alone() {
 			share = overlapShare
 		}
 		if share != current {
--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -58,8 +58,8 @@
 	budget       resourceBudget
 
 	// State shared with another process of the router, and the listeners.
-	shared          *operator.Share
-	control         *operator.Desk
+	shared          *operator.SharedState
+	control         *operator.Controller
 	serving         atomic.Bool
 	serveErrors     chan error // receives the error that ends a front
 	grpcServers     []*grpc.Server
@@ -117,7 +117,7 @@
 		return err
 	}
 	if p.metrics != nil {
-		p.metrics.FollowGuard(&p.core.Guard)
+		p.metrics.CollectGuard(&p.core.Guard)
 	}
 	if err := p.setUpReports(); err != nil {
 		return err
@@ -132,25 +132,25 @@
 	seen := decisions.Observer{}
 	if p.operatorFile.Metrics.Listen != "" {
 		p.metrics = measure.New()
-		seen = p.metrics.Seen()
+		seen = p.metrics.Observer()
 	}
 	if collector := p.operatorFile.Traces; collector.Endpoint != "" {
-		traces, flush, err := measure.Traces(context.Background(), collector.Endpoint, collector.Share, p.config.Name)
+		traces, flush, err := measure.NewTracerProvider(context.Background(), collector.Endpoint, collector.Share, p.config.Name)
 		if err != nil {
 			return fmt.Errorf("traces: %w", err)
 		}
 		p.onClose(flush)
 		seen.Tracer = traces.Tracer("rowanyard")
 	}
-	if !p.operatorFile.Desk() {
+	if !p.operatorFile.NeedsGrants() {
 		return nil
 	}
 	var err error
-	if p.grants, err = decisions.NewCoordinator(p.core, p.workers, p.operatorFile.Terms(p.site.MaxRetryAfter), seen, p.log); err != nil {
+	if p.grants, err = decisions.NewCoordinator(p.core, p.workers, p.operatorFile.GrantTerms(p.site.MaxRetryAfter), seen, p.log); err != nil {
 		return err
 	}
 	if p.metrics != nil {
-		p.metrics.Follow(p.grants)
+		p.metrics.CollectGrants(p.grants)
 	}
 	return nil
 }
@@ -161,7 +161,7 @@
 		return nil
 	}
 	var err error
-	if p.cacheReports, err = reports.New(p.core, p.operatorFile.Index(), p.log); err != nil {
+	if p.cacheReports, err = reports.New(p.core, p.operatorFile.IndexSettings(), p.log); err != nil {
 		return err
 	}
 	p.core.CacheReports = p.cacheReports
@@ -173,7 +173,7 @@
 		p.cacheReports.Moved(ids)
 	}
 	if p.metrics != nil {
-		p.metrics.FollowTexts(p.cacheReports.Stats)
+		p.metrics.CollectCacheReports(p.cacheReports.Stats)
 	}
 	return nil
 }
@@ -184,7 +184,7 @@
 	p.onClose(p.discovery.Close)
 	p.discovery.Follow(p.config.Discovery, p.config.Known.Seq)
 	p.reloader = &configReloader{discovery: p.discovery, core: p.core, routes: p.routes, memoryBytes: p.memoryBytes, classExists: p.hasClass, log: p.log,
-		settingsReload: p.operatorFile.Settings.Reload, grantsEnabled: p.operatorFile.Desk()}
+		settingsReload: p.operatorFile.Settings.Reload, grantsEnabled: p.operatorFile.NeedsGrants()}
 	p.reloader.setActive(p.site)
 	go p.reloader.handleSignals(reload)
 }
@@ -217,8 +217,8 @@
 	if p.shared, err = operator.Open(os.Getenv("TMPDIR"), p.config.Name); err != nil {
 		p.log.Error("can't share state with other processes of this router", "err", err)
 	}
-	p.control = &operator.Desk{Share: p.shared, Router: p.core, Standby: p.front.Standby, Serving: p.serving.Load, Log: p.log}
-	p.control.Begin()
+	p.control = &operator.Controller{SharedState: p.shared, Router: p.core, Standby: p.front.Standby, Serving: p.serving.Load, Log: p.log}
+	p.control.Start()
 	if !p.shared.Alone() {
 		p.restoreLearned()
 	}
@@ -229,7 +229,7 @@
 // restoreLearned loads the state that the older process has learned.
 func (p *process) restoreLearned() {
 	var learned decide.Estimates
-	if ok, err := p.shared.Kept(&learned); err != nil {
+	if ok, err := p.shared.LoadLearned(&learned); err != nil {
 		p.log.Error("can't read the learned state of the other process", "err", err)
 	} else if ok {
 		if err := p.core.Learn(learned); err != nil {
@@ -263,7 +263,7 @@
 		return
 	}
 	p.log.Info("taking over")
-	if err := p.front.ReceiveStreams(p.control.Socket()); err != nil {
+	if err := p.front.ReceiveStreams(p.control.SocketPath()); err != nil {
 		p.log.Error("streams can't be taken over", "err", err)
 	}
 }
--- a/cmd/rowanyard/serve.go
+++ b/cmd/rowanyard/serve.go
@@ -37,7 +37,7 @@
 	}
 	go func() { p.serveErrors <- p.front.Serve(listener, clientsPerFront) }()
 	p.serving.Store(true)
-	p.control.Serves()
+	p.control.MarkServing()
 	p.log.Info("serving", "front", "http", "listen", listener.Addr().String(), "workers", len(p.config.Known.Hosts))
 	return nil
 }
@@ -50,7 +50,7 @@
 		p.handOverStreams = handOverStreams
 		p.onClose(handOverStreams)
 		front := grpcfront.NewServer(p.core, p.grpcWorkers, p.workers, p.site.ClassNames, file.GRPC.MaxOpen, p.log)
-		front.Over = handOver
+		front.HandOver = handOver
 		if err := p.openGRPC("grpc", file.GRPC.Listen, front.GRPC(), clients); err != nil {
 			return err
 		}
--- a/internal/decisions/server.go
+++ b/internal/decisions/server.go
@@ -55,7 +55,7 @@
 			*err = status.Error(codes.Internal, "failed")
 		}
 	}
-	g := grpc.NewServer(append(grpcfront.Bounds(maxMessageBytes),
+	g := grpc.NewServer(append(grpcfront.ServerLimits(maxMessageBytes),
 		grpc.UnaryInterceptor(func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (res any, err error) {
 			defer recoverPanic(&err)
 			return next(ctx, req)
--- a/internal/describe/describe.go
+++ b/internal/describe/describe.go
@@ -33,8 +33,8 @@
 	PathAsyncAPI = "/asyncapi.yaml"
 )
 
-// Extension is the key by which an operation in an operator's description names its request class.
-const Extension = "x-rowanyard-class"
+// ClassExtension is the key by which an operation in an operator's description names its request class.
+const ClassExtension = "x-rowanyard-class"
 
 // Handler serves the embedded descriptions and passes all other requests to next.
 func Handler(next http.Handler) http.Handler {
@@ -124,7 +124,7 @@
 			return nil, fmt.Errorf("%s: %w", f.path, err)
 		}
 		if len(routes) == 0 {
-			return nil, fmt.Errorf("%s: no operation has %s", f.path, Extension)
+			return nil, fmt.Errorf("%s: no operation has %s", f.path, ClassExtension)
 		}
 		for _, x := range routes {
 			if !classExists(x.Class) {
@@ -162,7 +162,7 @@
 	var all []Route
 	for _, path := range doc.Paths.InMatchingOrder() {
 		for method, op := range doc.Paths.Value(path).Operations() {
-			v, ok := op.Extensions[Extension]
+			v, ok := op.Extensions[ClassExtension]
 			if !ok {
 				continue
 			}
@@ -181,14 +181,14 @@
 	if raw, ok := v.(json.RawMessage); ok {
 		var s string
 		if err := json.Unmarshal(raw, &s); err != nil {
-			return "", fmt.Errorf("%s: not a word", Extension)
+			return "", fmt.Errorf("%s: not a word", ClassExtension)
 		}
 		return s, nil
 	}
 	if s, ok := v.(string); ok {
 		return s, nil
 	}
-	return "", fmt.Errorf("%s: not a word", Extension)
+	return "", fmt.Errorf("%s: not a word", ClassExtension)
 }
 
 // asyncAPIDocument is the part of an AsyncAPI 3 description that routes are read from.
--- a/internal/describe/describe_test.go
+++ b/internal/describe/describe_test.go
@@ -57,7 +57,7 @@
 func TestLoadRejectsBadDescriptions(t *testing.T) {
 	for name, texts := range map[string][2]string{
 		"class":    {strings.Replace(openAPIText, "send-message", "sent", 1), ""},
-		"no class": {strings.Replace(openAPIText, Extension, "x-else", 1), ""},
+		"no class": {strings.Replace(openAPIText, ClassExtension, "x-else", 1), ""},
 		"number":   {strings.Replace(openAPIText, "send-message", "[1]", 1), ""},
 		"version":  {"", strings.Replace(asyncAPIText, "3.0.0", "2.6.0", 1)},
 		"channel":  {"", strings.Replace(asyncAPIText, "#/channels/drafts", "#/channels/x", 2)},
--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -78,7 +78,7 @@
 
 // GRPC returns a gRPC server with the processor registered.
 func (s *Server) GRPC() *grpc.Server {
-	g := grpc.NewServer(grpcfront.Bounds(maxMessageBytes)...)
+	g := grpc.NewServer(grpcfront.ServerLimits(maxMessageBytes)...)
 	extprocv3.RegisterExternalProcessorServer(g, s)
 	return g
 }
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -38,7 +38,7 @@
 	pb.UnimplementedCompletionsServer
 	// HandOver, if not nil, ends when running streams are to be handed over: they break with DATA_LOSS, and their clients
 	// ask another router for the rest. It must be set before serving.
-	Over      context.Context
+	HandOver  context.Context
 	core      *core.Core
 	workers   *Workers
 	http      *httpfront.Workers
@@ -57,7 +57,7 @@
 }
 
 // ServerLimits returns options that bound message sizes, headers, idle connections and concurrent streams of a gRPC server.
-func Bounds(message int) []grpc.ServerOption {
+func ServerLimits(message int) []grpc.ServerOption {
 	return []grpc.ServerOption{grpc.MaxRecvMsgSize(message), grpc.MaxHeaderListSize(maxHeaderBytes),
 		grpc.ConnectionTimeout(handshakeTimeout), grpc.MaxConcurrentStreams(maxStreamsPerConn),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: connIdleTimeout})}
@@ -65,7 +65,7 @@
 
 // GRPC returns a gRPC server with this front's service registered.
 func (s *Server) GRPC() *grpc.Server {
-	g := grpc.NewServer(append(Bounds(maxMessageBytes), grpc.StreamInterceptor(s.recoverPanic))...)
+	g := grpc.NewServer(append(ServerLimits(maxMessageBytes), grpc.StreamInterceptor(s.recoverPanic))...)
 	pb.RegisterCompletionsServer(g, s)
 	return g
 }
@@ -108,7 +108,7 @@
 	a := s.core.Serve(out.Context(), q, s.exchange(req))
 	switch a.Verdict {
 	case core.Streaming:
-		return relay(a, out, s.Over)
+		return relay(a, out, s.HandOver)
 	case core.Refused:
 		return refusal(codes.Unavailable, "refused, nothing has run", a.RetryAfter)
 	case core.ClientGone:
--- a/internal/grpcfront/workers.go
+++ b/internal/grpcfront/workers.go
@@ -29,7 +29,7 @@
 const Wire = "grpc"
 
 // TurnedAwayTrailer is the trailer by which a model server marks a call that it rejected before running it.
-const TurnedAway = "rowanyard-turned-away"
+const TurnedAwayTrailer = "rowanyard-turned-away"
 
 const (
 	idleTimeoutShare  = 0.6 // of the servers' limit on idle connections
@@ -214,7 +214,7 @@
 	stop(nil)
 	res := core.Result{Status: decide.Errored, Err: err}
 	code := status.Code(err)
-	turnedAway := len(metadata.MD(call.Trailer()).Get(TurnedAway)) > 0
+	turnedAway := len(metadata.MD(call.Trailer()).Get(TurnedAwayTrailer)) > 0
 	switch {
 	case turnedAway && code == codes.FailedPrecondition:
 		return core.Result{Status: decide.Rejected, NoState: true}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -49,7 +49,7 @@
 }
 
 // Hooks returns the hooks by which a decisions.Desk reports events to m.
-func (m *Metrics) Seen() decisions.Observer {
+func (m *Metrics) Observer() decisions.Observer {
 	return decisions.Observer{
 		Granted: func(stage string, wait time.Duration) { m.choiceTimes.WithLabelValues(stage).Observe(wait.Seconds()) },
 		Refused: func(reason string) { m.refusals.WithLabelValues(reason).Inc() },
@@ -59,10 +59,10 @@
 }
 
 // CollectGrants adds the grants, requests, callers and effects of d.
-func (m *Metrics) Follow(d *decisions.Coordinator) { m.registry.MustRegister(grantCollector{d}) }
+func (m *Metrics) CollectGrants(d *decisions.Coordinator) { m.registry.MustRegister(grantCollector{d}) }
 
 // CollectGuard adds the counts of g.
-func (m *Metrics) FollowGuard(g *invariant.Guard) { m.registry.MustRegister(guardCollector{g}) }
+func (m *Metrics) CollectGuard(g *invariant.Guard) { m.registry.MustRegister(guardCollector{g}) }
 
 // guardCollector collects the counts of an invariant.Guard.
 type guardCollector struct{ guard *invariant.Guard }
@@ -125,7 +125,7 @@
 
 // NewTracerProvider returns a tracer provider that sends the given share of traces to an OTLP/HTTP collector. shutdown sends
 // queued spans, but gives up after a short time.
-func Traces(ctx context.Context, endpoint string, share float64, router string) (provider *sdktrace.TracerProvider, shutdown func(), err error) {
+func NewTracerProvider(ctx context.Context, endpoint string, share float64, router string) (provider *sdktrace.TracerProvider, shutdown func(), err error) {
 	u, err := url.Parse(endpoint)
 	if err != nil {
 		return nil, nil, err
@@ -148,7 +148,7 @@
 }
 
 // CollectCacheReports adds what stats reports on the prefix caches of workers.
-func (m *Metrics) FollowTexts(stats func() kvindex.Stats) {
+func (m *Metrics) CollectCacheReports(stats func() kvindex.Stats) {
 	m.registry.MustRegister(cacheCollector{stats})
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -34,12 +34,12 @@
 
 // Controller carries out operators' calls and follows the state that processes of one router share. It is an http.Handler.
 // Its exported fields must be set before Start.
-type Desk struct {
-	Share   *Share
-	Router  Router
-	Standby func(on bool) // makes the fronts shed their clients, or accept them again
-	Serving func() bool   // reports whether the fronts are open
-	Log     *slog.Logger
+type Controller struct {
+	SharedState *SharedState
+	Router      Router
+	Standby     func(on bool) // makes the fronts shed their clients, or accept them again
+	Serving     func() bool   // reports whether the fronts are open
+	Log         *slog.Logger
 
 	mu      sync.Mutex
 	state   State
@@ -48,8 +48,8 @@
 }
 
 // Start registers this process in the shared file and adopts the state that an older process left there.
-func (c *Desk) Begin() {
-	alone := c.Share.Alone()
+func (c *Controller) Start() {
+	alone := c.SharedState.Alone()
 	c.update(func(st *State) {
 		if c.number == 0 {
 			c.number = st.Started + 1
@@ -59,29 +59,31 @@
 		}
 		st.Started = max(st.Started, c.number)
 	})
-	if err := c.Share.Join(c.number); err != nil {
+	if err := c.SharedState.MarkRunning(c.number); err != nil {
 		c.Log.Error("can't show other processes of this router that this one runs", "err", err)
 	}
 }
 
 // MarkServing tells older processes that this one has started to serve.
-func (c *Desk) Serves() { c.update(func(st *State) { st.Serving = max(st.Serving, c.number) }) }
+func (c *Controller) MarkServing() {
+	c.update(func(st *State) { st.Serving = max(st.Serving, c.number) })
+}
 
 // SocketPath returns the path of the socket on which this process receives the streams of an older one.
-func (c *Desk) Socket() string { return c.Share.Socket(c.number) }
+func (c *Controller) SocketPath() string { return c.SharedState.SocketPath(c.number) }
 
 // Successor reports whether a newer process serves and still runs, and returns the path of the socket on which it receives
 // streams.
-func (c *Desk) Successor() (string, bool) {
+func (c *Controller) Successor() (string, bool) {
 	c.refresh()
 	c.mu.Lock()
 	serving := c.state.Serving
 	c.mu.Unlock()
-	return c.Share.Socket(serving), serving > c.number && c.Share.Runs(serving)
+	return c.SharedState.SocketPath(serving), serving > c.number && c.SharedState.IsRunning(serving)
 }
 
 // Watch follows the shared file and regularly saves what learned returns for the next process, until ctx ends.
-func (c *Desk) Watch(ctx context.Context, learned func() any) {
+func (c *Controller) Watch(ctx context.Context, learned func() any) {
 	saved := time.Now()
 	for t := time.NewTicker(pollInterval); ; {
 		select {
@@ -94,20 +96,20 @@
 			continue
 		}
 		saved = time.Now()
-		if err := c.Share.Keep(learned()); err != nil {
+		if err := c.SharedState.SaveLearned(learned()); err != nil {
 			c.Log.Error("the learned state is not kept for an upgrade", "err", err)
 		}
 	}
 }
 
 // refresh adopts the shared state, or retries to write changes that could not be written before.
-func (c *Desk) refresh() {
+func (c *Controller) refresh() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Share.path == "" {
+	if c.SharedState.path == "" {
 		return
 	}
-	st, err := c.Share.Load()
+	st, err := c.SharedState.Load()
 	if len(c.unsaved) > 0 || err != nil {
 		c.saveChanges()
 		return
@@ -117,7 +119,7 @@
 
 // update changes the state in this process and in the shared file. If the file can't be written, the change still takes
 // effect in this process and is written as soon as possible: a call that was answered with success must not be undone.
-func (c *Desk) update(update func(*State)) {
+func (c *Controller) update(update func(*State)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pending := len(c.unsaved)
@@ -128,10 +130,10 @@
 }
 
 // saveChanges applies the unsaved changes to the file and to this process. The caller holds the lock.
-func (c *Desk) saveChanges() error {
+func (c *Controller) saveChanges() error {
 	local := c.state
-	local.Banned = slices.Clone(local.Banned)
-	st, err := c.Share.Update(local, c.unsaved...)
+	local.Maintenance = slices.Clone(local.Maintenance)
+	st, err := c.SharedState.Update(local, c.unsaved...)
 	if err != nil {
 		applyChanges(&local, c.unsaved)
 		c.setState(local)
@@ -146,12 +148,12 @@
 }
 
 // setState replaces the state of this process and passes differences on. The caller holds the lock.
-func (c *Desk) setState(st State) {
+func (c *Controller) setState(st State) {
 	old := c.state
 	c.state = st
-	if !slices.Equal(old.Banned, st.Banned) {
-		c.Log.Info("maintenance", "out", st.Banned)
-		c.Router.SetBanned(st.Banned)
+	if !slices.Equal(old.Maintenance, st.Maintenance) {
+		c.Log.Info("maintenance", "out", st.Maintenance)
+		c.Router.SetBanned(st.Maintenance)
 	}
 	if old.Standby != st.Standby {
 		c.Log.Info("standby", "on", st.Standby)
@@ -159,14 +161,14 @@
 	}
 }
 
-func (c *Desk) inMaintenance(id string) bool {
+func (c *Controller) inMaintenance(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Contains(c.state.Banned, id)
+	return slices.Contains(c.state.Maintenance, id)
 }
 
 // ServeHTTP implements http.Handler.
-func (c *Desk) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *Controller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	method, run := http.MethodPost, func() int { return http.StatusOK }
 	switch r.URL.Path {
 	case "/status":
@@ -201,7 +203,7 @@
 }
 
 // setMaintenance puts the worker that ids names into maintenance or takes it out, and returns an HTTP status. It is idempotent.
-func (c *Desk) setMaintenance(ids []string, enter bool) int {
+func (c *Controller) setMaintenance(ids []string, enter bool) int {
 	if len(ids) != 1 || ids[0] == "" || len(ids[0]) > maxWorkerIDBytes {
 		return http.StatusBadRequest
 	}
@@ -210,9 +212,9 @@
 		return http.StatusNotFound
 	}
 	c.update(func(st *State) {
-		st.Banned = slices.DeleteFunc(st.Banned, func(b string) bool { return b == id })
+		st.Maintenance = slices.DeleteFunc(st.Maintenance, func(b string) bool { return b == id })
 		if enter {
-			st.Banned = append(st.Banned, id)
+			st.Maintenance = append(st.Maintenance, id)
 		}
 	})
 	return http.StatusOK
@@ -220,7 +222,7 @@
 
 // Serve answers calls on l, one per connection, until l is closed. At most maxConns connections are open at once; silent ones
 // are closed to make room for new ones.
-func (c *Desk) Serve(l net.Listener, maxConns int) error {
+func (c *Controller) Serve(l net.Listener, maxConns int) error {
 	server := &http.Server{Handler: c, ReadTimeout: callTimeout, WriteTimeout: callTimeout,
 		ErrorLog: slog.NewLogLogger(c.Log.Handler(), slog.LevelDebug)}
 	server.SetKeepAlivesEnabled(false)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -21,7 +21,7 @@
 func (f *fakeRouter) Known(id string) bool   { return slices.Contains(f.workers, id) }
 func (f *fakeRouter) SetBanned(ids []string) { f.banned = slices.Clone(ids) }
 
-func openShared(t *testing.T, dir string) *Share {
+func openShared(t *testing.T, dir string) *SharedState {
 	t.Helper()
 	s, err := Open(dir, "n/1")
 	if err != nil {
@@ -30,11 +30,11 @@
 	return s
 }
 
-func newController(s *Share, f *fakeRouter) *Desk {
-	return &Desk{Share: s, Router: f, Standby: func(bool) {}, Serving: func() bool { return true }, Log: slog.New(slog.DiscardHandler)}
+func newController(s *SharedState, f *fakeRouter) *Controller {
+	return &Controller{SharedState: s, Router: f, Standby: func(bool) {}, Serving: func() bool { return true }, Log: slog.New(slog.DiscardHandler)}
 }
 
-func call(d *Desk, method, path string) int {
+func call(d *Controller, method, path string) int {
 	w := httptest.NewRecorder()
 	d.ServeHTTP(w, httptest.NewRequest(method, path, nil))
 	return w.Code
@@ -49,9 +49,9 @@
 	}
 	oldRouter, nextRouter := &fakeRouter{workers: []string{"w1", "w2"}}, &fakeRouter{workers: []string{"w2"}}
 	old, next := newController(a, oldRouter), newController(b, nextRouter)
-	old.Begin()
-	old.Serves()
-	next.Begin()
+	old.Start()
+	old.MarkServing()
+	next.Start()
 	for path, want := range map[string]int{"/maintenance/enter?who=w1": 200, "/maintenance/enter?who=w1&who=w2": 400,
 		"/maintenance/enter?who=no": 404, "/other": 404} {
 		if got := call(old, http.MethodPost, path); got != want {
@@ -61,9 +61,9 @@
 	if _, newer := old.Successor(); newer {
 		t.Error("a process that does not serve counts as successor")
 	}
-	next.Serves()
-	if socket, newer := old.Successor(); !newer || socket != next.Socket() {
-		t.Errorf("successor %q %v, want %q", socket, newer, next.Socket())
+	next.MarkServing()
+	if socket, newer := old.Successor(); !newer || socket != next.SocketPath() {
+		t.Errorf("successor %q %v, want %q", socket, newer, next.SocketPath())
 	}
 	next.refresh()
 	if !slices.Equal(nextRouter.banned, []string{"w1"}) {
@@ -93,7 +93,7 @@
 	s, f := openShared(t, dir), &fakeRouter{workers: []string{"w1"}}
 	os.WriteFile(s.path, []byte("{"), 0o600)
 	d := newController(s, f)
-	d.Begin()
+	d.Start()
 	os.RemoveAll(dir)
 	if got := call(d, http.MethodPost, "/maintenance/enter?who=w1"); got != 200 || !slices.Equal(f.banned, []string{"w1"}) {
 		t.Errorf("%d, out %v", got, f.banned)
@@ -110,7 +110,7 @@
 	dir := t.TempDir()
 	s, f := openShared(t, dir), &fakeRouter{workers: []string{"w1", "w2"}}
 	d := newController(s, f)
-	d.Begin()
+	d.Start()
 	if call(d, http.MethodPost, "/maintenance/enter?who=w1") != 200 {
 		t.Fatal("refused")
 	}
@@ -126,7 +126,7 @@
 		}
 		s.writeFile = writeDurably
 		d.refresh()
-		if st, err := s.Load(); err != nil || !slices.Equal(st.Banned, []string{"w2"}) || st.Started != 1 {
+		if st, err := s.Load(); err != nil || !slices.Equal(st.Maintenance, []string{"w2"}) || st.Started != 1 {
 			t.Errorf("%v: the file has %+v, %v", fault, st, err)
 		}
 		call(d, http.MethodPost, "/maintenance/exit?who=w2")
@@ -139,7 +139,7 @@
 	for _, text := range []string{"", `{"started":1,"ban`, "\x00\x00", "[]"} {
 		s, f := openShared(t, t.TempDir()), &fakeRouter{workers: []string{"w1"}}
 		d := newController(s, f)
-		d.Begin()
+		d.Start()
 		call(d, http.MethodPost, "/maintenance/enter?who=w1")
 		if err := os.WriteFile(s.path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -147,7 +147,7 @@
 		if d.refresh(); !slices.Equal(f.banned, []string{"w1"}) {
 			t.Errorf("%q: out %v", text, f.banned)
 		}
-		if st, err := s.Load(); err != nil || !slices.Equal(st.Banned, []string{"w1"}) || st.Started != 1 {
+		if st, err := s.Load(); err != nil || !slices.Equal(st.Maintenance, []string{"w1"}) || st.Started != 1 {
 			t.Errorf("%q: the file has %+v, %v", text, st, err)
 		}
 	}
@@ -175,7 +175,7 @@
 func TestLockHeldByStoppedProcessBlocksNoCall(t *testing.T) {
 	s, f := openShared(t, t.TempDir()), &fakeRouter{workers: []string{"w1"}}
 	d := newController(s, f)
-	d.Begin()
+	d.Start()
 	other, err := os.Open(s.path + ".lock")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operator/share.go
+++ b/internal/operator/share.go
@@ -19,14 +19,14 @@
 
 // State is the contents of the shared file. Operators' requests in it hold until they are revoked, across upgrades.
 type State struct {
-	Started int      `json:"started"` // number of processes started so far
-	Serving int      `json:"serving"` // number of the latest process that has started to serve
-	Banned  []string `json:"banned"`  // workers in maintenance
-	Standby bool     `json:"standby"` // the fronts shed their clients
+	Started     int      `json:"started"` // number of processes started so far
+	Serving     int      `json:"serving"` // number of the latest process that has started to serve
+	Maintenance []string `json:"banned"`  // workers in maintenance
+	Standby     bool     `json:"standby"` // the fronts shed their clients
 }
 
 // SharedState is one process's view of the state shared with other processes of its router. The zero value shares nothing.
-type Share struct {
+type SharedState struct {
 	path        string
 	aliveLock   *os.File // locked by the oldest running process
 	mu          sync.Mutex
@@ -42,8 +42,8 @@
 )
 
 // Open opens the state that processes of the named router share in dir. With an empty dir nothing is shared.
-func Open(dir, name string) (*Share, error) {
-	s := &Share{writeFile: writeDurably}
+func Open(dir, name string) (*SharedState, error) {
+	s := &SharedState{writeFile: writeDurably}
 	if dir == "" {
 		return s, nil
 	}
@@ -64,7 +64,7 @@
 
 // SocketPath returns the path of the socket on which the process with this number receives streams, or "" if nothing is
 // shared.
-func (s *Share) Socket(number int) string {
+func (s *SharedState) SocketPath(number int) string {
 	if s.path == "" {
 		return ""
 	}
@@ -72,7 +72,7 @@
 }
 
 // Alone reports whether no older process of the router still runs.
-func (s *Share) Alone() bool {
+func (s *SharedState) Alone() bool {
 	if s.aliveLock == nil {
 		return true
 	}
@@ -85,7 +85,7 @@
 }
 
 // MarkRunning marks the process with this number, this one, as running until it ends.
-func (s *Share) Join(number int) error {
+func (s *SharedState) MarkRunning(number int) error {
 	if s.path == "" {
 		return nil
 	}
@@ -99,7 +99,7 @@
 }
 
 // IsRunning reports whether the process with this number, which must be another one, still runs.
-func (s *Share) Runs(number int) bool {
+func (s *SharedState) IsRunning(number int) bool {
 	if s.path == "" {
 		return false
 	}
@@ -111,10 +111,12 @@
 	return syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) != nil
 }
 
-func (s *Share) processLockPath(number int) string { return fmt.Sprintf("%s.%d.alive", s.path, number) }
+func (s *SharedState) processLockPath(number int) string {
+	return fmt.Sprintf("%s.%d.alive", s.path, number)
+}
 
 // Load reads the shared state. It returns the zero State if there is no file yet.
-func (s *Share) Load() (State, error) {
+func (s *SharedState) Load() (State, error) {
 	var st State
 	if s.path == "" {
 		return st, nil
@@ -135,7 +137,7 @@
 // Update applies changes to the file in order and returns the new state. A file that can't be read is replaced by fallback
 // with the changes, because it would stay unreadable. After an error the file may hold the old or the new state, and the
 // caller should apply the same changes again.
-func (s *Share) Update(fallback State, changes ...func(*State)) (State, error) {
+func (s *SharedState) Update(fallback State, changes ...func(*State)) (State, error) {
 	if s.path == "" {
 		applyChanges(&fallback, changes)
 		return fallback, nil
@@ -151,7 +153,7 @@
 	st, err := s.Load()
 	if err != nil {
 		st = fallback
-		st.Banned = slices.Clone(st.Banned)
+		st.Maintenance = slices.Clone(st.Maintenance)
 	}
 	applyChanges(&st, changes)
 	text, err := json.Marshal(st)
@@ -166,8 +168,8 @@
 	for _, change := range changes {
 		change(st)
 	}
-	slices.Sort(st.Banned)
-	st.Banned = slices.Compact(st.Banned)
+	slices.Sort(st.Maintenance)
+	st.Maintenance = slices.Compact(st.Maintenance)
 }
 
 // lockWithTimeout locks a file, but gives up after timeout, so that a stopped process that holds the lock blocks no call.
@@ -219,7 +221,7 @@
 }
 
 // SaveLearned writes the learned state for the next process. Losing it is harmless, so the file is not synced.
-func (s *Share) Keep(v any) error {
+func (s *SharedState) SaveLearned(v any) error {
 	if s.path == "" {
 		return nil
 	}
@@ -231,7 +233,7 @@
 }
 
 // LoadLearned reads the learned state of an older process into v. It reports false if there is none.
-func (s *Share) Kept(v any) (bool, error) {
+func (s *SharedState) LoadLearned(v any) (bool, error) {
 	if s.path == "" {
 		return false, nil
 	}
--- a/internal/reports/reports.go
+++ b/internal/reports/reports.go
@@ -63,7 +63,7 @@
 
 // GRPC returns a gRPC server with the service registered. A panic in a stream is logged and ends only that stream.
 func (l *Listener) GRPC() *grpc.Server {
-	g := grpc.NewServer(append(grpcfront.Bounds(kvevents.MaxBytes+4<<10), grpc.StreamInterceptor(
+	g := grpc.NewServer(append(grpcfront.ServerLimits(kvevents.MaxBytes+4<<10), grpc.StreamInterceptor(
 		func(srv any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) (err error) {
 			defer func() {
 				if p := recover(); p != nil {
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -189,12 +189,12 @@
 	g.RememberS, g.Callers = cmp.Or(g.RememberS, 60), cmp.Or(g.Callers, 1024)
 	g.Open = cmp.Or(g.Open, 2*int(f.ExtProc.MaxOpen)) // a single caller may use half of them
 	g.Effects = cmp.Or(g.Effects, max(1, int(memoryBytes/(effectMemoryKB<<10))))
-	if err := f.Terms(0).Check(); err != nil {
+	if err := f.GrantTerms(0).Check(); err != nil {
 		return fmt.Errorf("grants: %w", err)
 	}
 	f.Reports.Blocks = cmp.Or(f.Reports.Blocks, max(minIndexBlocks, int(indexMemoryShare*memoryBytes/indexBytesPerBlock)))
 	f.Reports.BoundMs = cmp.Or(f.Reports.BoundMs, 2000)
-	if err := f.Index().Check(); err != nil {
+	if err := f.IndexSettings().Check(); err != nil {
 		return fmt.Errorf("reports: %w", err)
 	}
 	if f.Traces.Share < 0 || f.Traces.Share > 1 {
@@ -213,7 +213,7 @@
 }
 
 // GrantTerms returns the terms of grants. maxWait is the longest Retry-After that clients are given.
-func (f *File) Terms(maxWait time.Duration) grant.Config {
+func (f *File) GrantTerms(maxWait time.Duration) grant.Config {
 	g := f.Grants
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	return grant.Config{DrainGrace: drainGrace, MaxDelivery: ms(g.DeliveryMs), HoldTimeout: ms(g.HoldMs), WatchTimeout: ms(g.HeardMs),
@@ -222,13 +222,13 @@
 }
 
 // IndexSettings returns the settings of the index of workers' prefix caches.
-func (f *File) Index() kvindex.Settings {
+func (f *File) IndexSettings() kvindex.Settings {
 	return kvindex.Settings{Blocks: f.Reports.Blocks, Workers: maxReportWorkers, Bound: time.Duration(f.Reports.BoundMs) * time.Millisecond,
 		Buffered: maxBufferedReports, Rate: reportBlocksPerSecond, Burst: reportBlockBurst}
 }
 
 // NeedsGrants reports whether an enabled service grants attempts to callers outside the router.
-func (f *File) Desk() bool { return f.ExtProc.Listen != "" || f.Decisions.Listen != "" }
+func (f *File) NeedsGrants() bool { return f.ExtProc.Listen != "" || f.Decisions.Listen != "" }
 
 // Wire returns the protocol that a worker speaks: grpcfront.Wire, or "" for HTTP.
 func (f *File) Wire(e httpfront.Entry) string {
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -66,10 +66,10 @@
 			t.Errorf("%s: %v", path, err)
 			continue
 		}
-		if off := path == "" || path == empty; off && (f.Desk() || f.Metrics.Listen != "" || f.GRPC.Listen != "" || f.Traces.Endpoint != "") {
+		if off := path == "" || path == empty; off && (f.NeedsGrants() || f.Metrics.Listen != "" || f.GRPC.Listen != "" || f.Traces.Endpoint != "") {
 			t.Errorf("%q enables something: %+v", path, f)
 		}
-		if err := f.Terms(0).Check(); err != nil {
+		if err := f.GrantTerms(0).Check(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -82,7 +82,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var x File
 		if x.parse([]byte(text)) == nil && x.check(memoryBytes) == nil {
-			if err := x.Terms(0).Check(); err != nil {
+			if err := x.GrantTerms(0).Check(); err != nil {
 				t.Errorf("%q: the file is accepted, its grant terms are not: %v", text, err)
 			}
 		}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -504,7 +504,7 @@
 
 // rejectCall returns a status error and marks the call as turned away in its trailers.
 func rejectCall(ctx context.Context, code codes.Code) error {
-	grpc.SetTrailer(ctx, metadata.Pairs(grpcfront.TurnedAway, "1"))
+	grpc.SetTrailer(ctx, metadata.Pairs(grpcfront.TurnedAwayTrailer, "1"))
 	return status.Error(code, "turned away")
 }
 
