--- a/cmd/engine/main.go
+++ b/cmd/engine/main.go
@@ -25,12 +25,12 @@
 		Listen  string   `default:"127.0.0.1:9000" help:"Address at which the router is to listen."`
 	}
 	kong.Parse(&flags, kong.Name("engine"), kong.Description("Serves emulated engines on loopback sockets."))
-	options := enginehost.Options{Readers: flags.Readers, Writers: flags.Writers, Seed: flags.Seed, MemoryK: flags.Memory, Reports: flags.Reports}
+	options := enginehost.Options{Readers: flags.Readers, Writers: flags.Writers, Seed: flags.Seed, ReaderMemoryKTokens: flags.Memory, ReportAddrs: flags.Reports}
 	var err error
 	if flags.Kinds != "" {
 		options.Kinds, err = os.ReadFile(flags.Kinds)
 	}
-	var cluster *enginehost.Site
+	var cluster *enginehost.Cluster
 	if err == nil {
 		cluster, err = enginehost.Start(options)
 	}
@@ -42,13 +42,13 @@
 		os.Exit(1)
 	}
 	defer cluster.Close()
-	fmt.Printf("%d engines up, discovery at %s; start the router with ROUTER_CONFIG=%s\n", len(cluster.Boxes()), cluster.Discovery, flags.Config)
+	fmt.Printf("%d engines up, discovery at %s; start the router with ROUTER_CONFIG=%s\n", len(cluster.Instances()), cluster.DiscoveryAddr, flags.Config)
 	interrupted := make(chan os.Signal, 1)
 	signal.Notify(interrupted, os.Interrupt)
 	<-interrupted
-	for _, inst := range cluster.Boxes() {
-		if inst.Reads > 0 {
-			fmt.Printf("%-10s %5d prompts read, %d of %d tokens found in the cache\n", inst.ID, inst.Reads, inst.Kept, inst.Prompt)
+	for _, inst := range cluster.Instances() {
+		if inst.PromptsRead > 0 {
+			fmt.Printf("%-10s %5d prompts read, %d of %d tokens found in the cache\n", inst.ID, inst.PromptsRead, inst.CachedTokens, inst.TotalPromptTokens)
 		}
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,44 +11,44 @@
 )
 
 // Request is one request as an engine receives it.
-type Work struct {
-	ID     string
-	Chain  []Hash // hashes of the prompt's complete blocks
-	Tokens int    // length of the prompt
-	Output int    // length of the answer, for writers only
-	Holds  bool   // for writers: the state can be fetched, otherwise the request is rejected
+type Request struct {
+	ID           string
+	BlockHashes  []Hash // hashes of the prompt's complete blocks
+	PromptTokens int    // length of the prompt
+	OutputTokens int    // length of the answer, for writers only
+	StateReady   bool   // for writers: the state can be fetched, otherwise the request is rejected
 }
 
 // EventKind says what happened to a request.
-type Happened uint8
+type EventKind uint8
 
 // The kinds of events.
 const (
-	ReadDone   Happened = iota + 1 // the prompt has been processed and its state waits to be fetched
-	First                          // the state has been fetched and the first token is out
-	Token                          // one more token
-	Done                           // the answer is complete
-	TurnedAway                     // it never ran: no room, no state, or an unusable request
-	Dropped                        // it was cancelled before it ran
-	Stopped                        // it was cancelled while it ran
-	Lost                           // the engine died with it
-	Again                          // its memory was needed: it is queued again and its tokens are recomputed
+	PrefillDone EventKind = iota + 1 // the prompt has been processed and its state waits to be fetched
+	FirstToken                       // the state has been fetched and the first token is out
+	NextToken                        // one more token
+	Done                             // the answer is complete
+	Rejected                         // it never ran: no room, no state, or an unusable request
+	Dropped                          // it was cancelled before it ran
+	Stopped                          // it was cancelled while it ran
+	Lost                             // the engine died with it
+	Preempted                        // its memory was needed: it is queued again and its tokens are recomputed
 )
 
 var eventNames = [...]string{"?", "prefill done", "first token", "token", "done", "rejected", "dropped", "stopped", "lost", "preempted"}
 
-func (h Happened) String() string { return eventNames[min(int(h), len(eventNames)-1)] }
+func (h EventKind) String() string { return eventNames[min(int(h), len(eventNames)-1)] }
 
 // final reports whether no more events follow for the request.
-func (h Happened) final() bool { return h != First && h != Token && h != Again }
+func (h EventKind) final() bool { return h != FirstToken && h != NextToken && h != Preempted }
 
 // Event is something that happened to a request.
 type Event struct {
-	At   time.Duration
-	What Happened
-	ID   string
-	Kept int // of PrefillDone and FirstToken: prompt tokens found in the cache
-	Why  string
+	At           time.Duration
+	Kind         EventKind
+	ID           string
+	CachedTokens int // of PrefillDone and FirstToken: prompt tokens found in the cache
+	Reason       string
 }
 
 // Report is a batch of changes to an engine's cache.
@@ -95,7 +95,7 @@
 
 // job is a request that the engine has accepted.
 type job struct {
-	Work
+	Request
 	blocks       []*block // with a reference held by this job
 	prefilled    int      // tokens that need no more prefill
 	cachedTokens int
@@ -108,7 +108,7 @@
 }
 
 // prefillTarget is the number of tokens to prefill. After a preemption it includes the tokens generated before.
-func (j *job) prefillTarget() int { return j.Tokens + j.generated }
+func (j *job) prefillTarget() int { return j.PromptTokens + j.generated }
 
 // prefillChunk is the part of a prompt that one step processes.
 type prefillChunk struct {
@@ -130,14 +130,14 @@
 
 // New returns an engine that is already warm.
 func New(s Settings, incarnation uint64) *Engine {
-	e := &Engine{settings: s, jobs: make(map[string]*job), states: make(map[string]*job), incarnation: incarnation, startedAt: -s.Warm - 1}
+	e := &Engine{settings: s, jobs: make(map[string]*job), states: make(map[string]*job), incarnation: incarnation, startedAt: -s.WarmUpTime - 1}
 	e.resetMemory()
 	return e
 }
 
 // resetMemory replaces the memory by an empty one.
 func (e *Engine) resetMemory() {
-	e.memory = newMemory(e.settings.Blocks)
+	e.memory = newMemory(e.settings.MemoryBlocks)
 	e.memory.onStore = func(h []Hash, parent Hash) {
 		e.changes = append(e.changes, Change{Stored: slices.Clone(h), Parent: parent})
 	}
@@ -149,36 +149,36 @@
 
 // Submit gives the engine a request, at a time not before that of earlier calls. A request that the engine can't take
 // is rejected at once.
-func (e *Engine) Submit(now time.Duration, r Work) {
+func (e *Engine) Submit(now time.Duration, r Request) {
 	e.Advance(now)
 	reason := ""
 	switch {
 	case e.crashed:
-		e.emit(Event{What: Lost, ID: r.ID, Why: "dead"})
+		e.emit(Event{Kind: Lost, ID: r.ID, Reason: "dead"})
 		return
 	case e.jobs[r.ID] != nil:
 		reason = "its id is open"
 	case e.overloaded:
 		reason = "fallen over"
-	case len(e.queue) >= e.settings.Queue+e.settings.Slots-len(e.running): // free slots are filled only when a step starts
+	case len(e.queue) >= e.settings.QueueLimit+e.settings.Slots-len(e.running): // free slots are filled only when a step starts
 		reason = "full"
-	case !e.settings.Reads && !r.Holds:
+	case !e.settings.Prefill && !r.StateReady:
 		reason = "no state"
-	case (r.Tokens+r.Output+e.settings.Block-1)/e.settings.Block > e.settings.Blocks:
+	case (r.PromptTokens+r.OutputTokens+e.settings.BlockTokens-1)/e.settings.BlockTokens > e.settings.MemoryBlocks:
 		reason = "longer than the memory"
-	case r.Tokens < len(r.Chain)*e.settings.Block || r.Tokens < 0 || r.Output < 0:
+	case r.PromptTokens < len(r.BlockHashes)*e.settings.BlockTokens || r.PromptTokens < 0 || r.OutputTokens < 0:
 		reason = "a prompt shorter than its blocks"
 	}
 	if reason != "" {
-		e.emit(Event{What: TurnedAway, ID: r.ID, Why: reason})
+		e.emit(Event{Kind: Rejected, ID: r.ID, Reason: reason})
 		return
 	}
-	e.checkOverload(r.Tokens)
+	e.checkOverload(r.PromptTokens)
 	if e.overloaded {
-		e.emit(Event{What: Lost, ID: r.ID, Why: "fallen over"})
+		e.emit(Event{Kind: Lost, ID: r.ID, Reason: "fallen over"})
 		return
 	}
-	j := &job{Work: r, prefilling: e.settings.Reads}
+	j := &job{Request: r, prefilling: e.settings.Prefill}
 	e.jobs[r.ID] = j
 	e.queue = append(e.queue, j)
 	e.beginStep()
@@ -192,28 +192,28 @@
 		return
 	}
 	e.recentArrivals = append(e.recentArrivals, arrival{e.now, tokens})
-	for e.now-e.recentArrivals[0].at > e.settings.Fall {
+	for e.now-e.recentArrivals[0].at > e.settings.ColdOverloadWindow {
 		e.recentArrivals = e.recentArrivals[1:]
 	}
 	total := 0
 	for _, s := range e.recentArrivals {
 		total += s.tokens
 	}
-	if float64(total) > e.settings.FallAt*e.capacity()*e.settings.ReadPerS*e.settings.Fall.Seconds() {
+	if float64(total) > e.settings.ColdOverloadFactor*e.capacity()*e.settings.PrefillTokensPerS*e.settings.ColdOverloadWindow.Seconds() {
 		e.abortAll("fallen over")
 		e.overloaded = true
 	}
 }
 
 // isWarm reports whether the engine has its full speed.
-func (e *Engine) isWarm() bool { return e.now-e.startedAt >= e.settings.Warm }
+func (e *Engine) isWarm() bool { return e.now-e.startedAt >= e.settings.WarmUpTime }
 
 // capacity is the share of its full speed that the engine has now.
 func (e *Engine) capacity() float64 {
 	if e.isWarm() {
 		return 1
 	}
-	return e.settings.ColdFrom + (1-e.settings.ColdFrom)*float64(e.now-e.startedAt)/float64(e.settings.Warm)
+	return e.settings.ColdCapacity + (1-e.settings.ColdCapacity)*float64(e.now-e.startedAt)/float64(e.settings.WarmUpTime)
 }
 
 // beginStep starts a step if there is something to do and none is running.
@@ -226,7 +226,7 @@
 		return
 	}
 	start := max(e.now, e.pausedUntil)
-	duration, prefillBudget, contextTokens, generating := e.settings.Step, e.settings.Chunk, 0, 0
+	duration, prefillBudget, contextTokens, generating := e.settings.StepOverhead, e.settings.ChunkTokens, 0, 0
 	e.batch = e.batch[:0]
 	for _, j := range e.running {
 		contextTokens += j.prefilled + j.generated
@@ -241,11 +241,11 @@
 		n := min(prefillBudget, j.prefillTarget()-j.prefilled)
 		prefillBudget -= n
 		e.batch = append(e.batch, prefillChunk{j, n})
-		duration += time.Duration(n) * e.settings.PerToken
+		duration += time.Duration(n) * e.settings.PerPrefillToken
 	}
-	duration += time.Duration(generating) * e.settings.PerSeq
+	duration += time.Duration(generating) * e.settings.PerSequence
 	if generating > 0 {
-		duration += time.Duration(float64(contextTokens) / 1000 * float64(e.settings.PerContext))
+		duration += time.Duration(float64(contextTokens) / 1000 * float64(e.settings.PerContextK))
 	}
 	factor := 1 / e.capacity()
 	for _, s := range e.slowdowns {
@@ -260,37 +260,37 @@
 func (e *Engine) admit() {
 	for len(e.queue) > 0 && len(e.running) < e.settings.Slots {
 		j := e.queue[0]
-		neededBlocks := (j.Tokens + e.settings.Block - 1) / e.settings.Block
-		if !e.settings.Reads {
-			neededBlocks = (j.Tokens + j.generated + e.settings.Block) / e.settings.Block
+		neededBlocks := (j.PromptTokens + e.settings.BlockTokens - 1) / e.settings.BlockTokens
+		if !e.settings.Prefill {
+			neededBlocks = (j.PromptTokens + j.generated + e.settings.BlockTokens) / e.settings.BlockTokens
 		}
 		cachedBlocks := 0
-		if e.settings.Reads {
-			cachedBlocks = e.memory.cachedPrefix(j.Chain)
+		if e.settings.Prefill {
+			cachedBlocks = e.memory.cachedPrefix(j.BlockHashes)
 			// If all of the prompt is cached, its last block is recomputed, as its output gives the first token.
-			if cachedBlocks*e.settings.Block == j.Tokens && cachedBlocks > 0 {
+			if cachedBlocks*e.settings.BlockTokens == j.PromptTokens && cachedBlocks > 0 {
 				cachedBlocks--
 			}
 		}
-		if neededBlocks-cachedBlocks > e.memory.available(j.Chain[:cachedBlocks]) {
+		if neededBlocks-cachedBlocks > e.memory.available(j.BlockHashes[:cachedBlocks]) {
 			return
 		}
-		shared := e.memory.acquire(j.Chain[:cachedBlocks])
+		shared := e.memory.acquire(j.BlockHashes[:cachedBlocks])
 		fresh, ok := e.memory.allocate(neededBlocks - cachedBlocks)
 		if !ok {
 			e.memory.release(shared)
 			return
 		}
 		j.blocks = append(shared, fresh...)
-		j.cachedTokens = cachedBlocks * e.settings.Block
+		j.cachedTokens = cachedBlocks * e.settings.BlockTokens
 		j.prefilled = j.cachedTokens
 		if !j.prefilling { // the whole state is fetched from the reader
-			j.prefilled = j.Tokens
+			j.prefilled = j.PromptTokens
 		}
 		e.queue = e.queue[1:]
 		e.running = append(e.running, j)
-		if !e.settings.Reads && !j.prefilling && j.generated == 0 {
-			e.emit(Event{What: First, ID: j.ID, Kept: j.cachedTokens})
+		if !e.settings.Prefill && !j.prefilling && j.generated == 0 {
+			e.emit(Event{Kind: FirstToken, ID: j.ID, CachedTokens: j.cachedTokens})
 			j.generated = 1
 		}
 	}
@@ -304,29 +304,29 @@
 		if j.finished {
 			continue
 		}
-		before := j.prefilled / e.settings.Block
+		before := j.prefilled / e.settings.BlockTokens
 		j.prefilled += s.tokens
-		if e.settings.Reads && !j.prefixLost {
-			after := min(j.prefilled/e.settings.Block, len(j.Chain))
+		if e.settings.Prefill && !j.prefixLost {
+			after := min(j.prefilled/e.settings.BlockTokens, len(j.BlockHashes))
 			if after > before {
-				e.memory.cacheBlocks(j.Chain, before, j.blocks[before:after])
+				e.memory.cacheBlocks(j.BlockHashes, before, j.blocks[before:after])
 			}
 		}
 		if j.prefilled < j.prefillTarget() {
 			continue
 		}
 		j.prefilling = false
-		if e.settings.Reads {
+		if e.settings.Prefill {
 			e.running = slices.DeleteFunc(e.running, func(x *job) bool { return x == j })
 			if j.cancelled { // the engine doesn't stop cancelled work, so it ran to the end for nothing
 				e.finish(j, Stopped, "called off")
 				continue
 			}
 			e.states[j.ID] = j
-			e.emit(Event{What: ReadDone, ID: j.ID, Kept: j.cachedTokens})
+			e.emit(Event{Kind: PrefillDone, ID: j.ID, CachedTokens: j.cachedTokens})
 		}
 	}
-	if !e.settings.Reads {
+	if !e.settings.Prefill {
 		e.generateTokens()
 	}
 	e.beginStep()
@@ -338,15 +338,15 @@
 		if j.prefilling || j.finished {
 			continue
 		}
-		if j.generated >= j.Output || j.cancelled && e.settings.CancelStops {
+		if j.generated >= j.OutputTokens || j.cancelled && e.settings.CancelStopsRunning {
 			kind := Done
-			if j.generated < j.Output {
+			if j.generated < j.OutputTokens {
 				kind = Stopped
 			}
 			e.finish(j, kind, "")
 			continue
 		}
-		if need := (j.Tokens + j.generated + e.settings.Block) / e.settings.Block; need > len(j.blocks) {
+		if need := (j.PromptTokens + j.generated + e.settings.BlockTokens) / e.settings.BlockTokens; need > len(j.blocks) {
 			fresh, ok := e.memory.allocate(need - len(j.blocks))
 			for !ok { // preempt the latest answer until the memory suffices
 				newest := e.running[len(e.running)-1]
@@ -362,8 +362,8 @@
 			j.blocks = append(j.blocks, fresh...)
 		}
 		j.generated++
-		e.emit(Event{What: Token, ID: j.ID})
-		if j.generated >= j.Output {
+		e.emit(Event{Kind: NextToken, ID: j.ID})
+		if j.generated >= j.OutputTokens {
 			e.finish(j, Done, "")
 		}
 	}
@@ -375,11 +375,11 @@
 	j.blocks, j.prefilled, j.prefilling = nil, 0, true
 	e.running = slices.DeleteFunc(e.running, func(x *job) bool { return x == j })
 	e.queue = slices.Insert(e.queue, 0, j)
-	e.emit(Event{What: Again, ID: j.ID})
+	e.emit(Event{Kind: Preempted, ID: j.ID})
 }
 
 // finish ends a request and releases its memory. It emits an event unless kind is 0.
-func (e *Engine) finish(j *job, kind Happened, reason string) {
+func (e *Engine) finish(j *job, kind EventKind, reason string) {
 	if j.finished {
 		return
 	}
@@ -391,7 +391,7 @@
 	e.running = slices.DeleteFunc(e.running, func(x *job) bool { return x == j })
 	e.queue = slices.DeleteFunc(e.queue, func(x *job) bool { return x == j })
 	if kind != 0 {
-		e.emit(Event{What: kind, ID: j.ID, Why: reason})
+		e.emit(Event{Kind: kind, ID: j.ID, Reason: reason})
 	}
 }
 
@@ -404,7 +404,7 @@
 	}
 	if slices.Contains(e.queue, j) {
 		e.finish(j, Dropped, "called off")
-	} else if j.cancelled = true; e.settings.CancelStops {
+	} else if j.cancelled = true; e.settings.CancelStopsRunning {
 		e.finish(j, Stopped, "called off")
 	}
 	e.beginStep()
@@ -436,13 +436,13 @@
 }
 
 // SlowDown multiplies the duration of steps by factor until the given time, on top of slowdowns in effect.
-func (e *Engine) Slow(now, until time.Duration, factor float64) {
+func (e *Engine) SlowDown(now, until time.Duration, factor float64) {
 	e.Advance(now)
 	e.slowdowns = append(slices.DeleteFunc(e.slowdowns, func(s slowdown) bool { return s.until <= now }), slowdown{until, factor})
 }
 
 // ClearCache forgets all cached blocks. Running requests continue.
-func (e *Engine) Forget(now time.Duration) {
+func (e *Engine) ClearCache(now time.Duration) {
 	e.Advance(now)
 	e.memory.uncacheAll()
 	for _, j := range e.running {
@@ -452,7 +452,7 @@
 }
 
 // Crash ends the process. All requests, states and cached blocks are lost.
-func (e *Engine) Die(now time.Duration) {
+func (e *Engine) Crash(now time.Duration) {
 	e.Advance(now)
 	e.abortAll("died")
 	e.crashed = true
@@ -482,7 +482,7 @@
 }
 
 // NextStep returns the time at which the running step ends, and false if none is running.
-func (e *Engine) Next() (time.Duration, bool) { return e.stepEnd, e.stepEnd != 0 }
+func (e *Engine) NextStep() (time.Duration, bool) { return e.stepEnd, e.stepEnd != 0 }
 
 // Advance moves the clock forward and completes the steps that end by then.
 func (e *Engine) Advance(now time.Duration) {
@@ -522,7 +522,7 @@
 func (e *Engine) Snapshot() Report {
 	children := make(map[Hash][]Hash)
 	var roots []Hash
-	for _, h := range e.Kept() {
+	for _, h := range e.CachedBlocks() {
 		if p := e.memory.cached[h].parent; e.memory.cached[p] != nil {
 			children[p] = append(children[p], h)
 		} else {
@@ -550,7 +550,7 @@
 }
 
 // CachedBlocks returns the hashes of all cached blocks in ascending order.
-func (e *Engine) Kept() []Hash {
+func (e *Engine) CachedBlocks() []Hash {
 	out := make([]Hash, 0, len(e.memory.cached))
 	for h := range e.memory.cached {
 		out = append(out, h)
@@ -561,11 +561,11 @@
 
 // Load returns the shares of slots and of memory in use, and the number of queued requests.
 func (e *Engine) Load() (slots, memory float64, waiting int) {
-	return float64(len(e.running)+len(e.states)) / float64(e.settings.Slots), float64(e.memory.usedBlocks) / float64(e.settings.Blocks), len(e.queue)
+	return float64(len(e.running)+len(e.states)) / float64(e.settings.Slots), float64(e.memory.usedBlocks) / float64(e.settings.MemoryBlocks), len(e.queue)
 }
 
 // CheckInvariants returns an error if an invariant of the engine is violated.
-func (e *Engine) Check() error {
+func (e *Engine) CheckInvariants() error {
 	if err := e.memory.check(); err != nil {
 		return err
 	}
@@ -585,8 +585,8 @@
 		return fmt.Errorf("%d blocks in use, but the count is %d", len(refs), e.memory.usedBlocks)
 	case len(e.running) > e.settings.Slots:
 		return fmt.Errorf("%d requests running in %d slots", len(e.running), e.settings.Slots)
-	case len(e.queue) > e.settings.Queue+e.settings.Slots: // preempted requests may exceed the queue's limit
-		return fmt.Errorf("%d requests wait in the queue, the limit is %d", len(e.queue), e.settings.Queue)
+	case len(e.queue) > e.settings.QueueLimit+e.settings.Slots: // preempted requests may exceed the queue's limit
+		return fmt.Errorf("%d requests wait in the queue, the limit is %d", len(e.queue), e.settings.QueueLimit)
 	case len(e.running)+len(e.queue)+len(e.states) != len(e.jobs):
 		return fmt.Errorf("%d run, %d wait and %d states don't add up to %d open requests", len(e.running), len(e.queue), len(e.states), len(e.jobs))
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -14,7 +14,7 @@
 
 func builtInKind(t testing.TB, name string) Kind {
 	t.Helper()
-	all, err := Kinds(nil)
+	all, err := ParseKinds(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,13 +30,13 @@
 	return out[:tokens*bytesPerToken]
 }
 
-func newRequest(e *Engine, id string, prompt []byte, output int) Work {
-	return Work{ID: id, Chain: Chain(prompt, e.settings.Block), Tokens: len(prompt) / bytesPerToken, Output: output, Holds: true}
+func newRequest(e *Engine, id string, prompt []byte, output int) Request {
+	return Request{ID: id, BlockHashes: BlockHashes(prompt, e.settings.BlockTokens), PromptTokens: len(prompt) / bytesPerToken, OutputTokens: output, StateReady: true}
 }
 
-func countEvents(events []Event, what Happened) (n int) {
+func countEvents(events []Event, what EventKind) (n int) {
 	for _, x := range events {
-		if x.What == what {
+		if x.Kind == what {
 			n++
 		}
 	}
@@ -45,7 +45,7 @@
 
 // runUntil steps an engine until it has nothing more to do or the given time is reached, and returns its events.
 func runUntil(e *Engine, until time.Duration) []Event {
-	for at, ok := e.Next(); ok && at <= until; at, ok = e.Next() {
+	for at, ok := e.NextStep(); ok && at <= until; at, ok = e.NextStep() {
 		e.Advance(at)
 	}
 	return e.Events()
@@ -67,7 +67,7 @@
 		k := builtInKind(t, name)
 		for seed := range uint64(60) {
 			s := k.Draw(seed)
-			within("memory", float64(s.Blocks*s.Block)/1000, documented.memory)
+			within("memory", float64(s.MemoryBlocks*s.BlockTokens)/1000, documented.memory)
 			if name == "reader" { // measure the prefill speed
 				e := New(s, 1)
 				const each = 8000
@@ -77,10 +77,10 @@
 					n++
 				}
 				ended := time.Duration(0)
-				for at, ok := e.Next(); ok; at, ok = e.Next() {
+				for at, ok := e.NextStep(); ok; at, ok = e.NextStep() {
 					e.Advance(at)
 					for _, x := range e.Events() {
-						if x.What == ReadDone {
+						if x.Kind == PrefillDone {
 							ended = x.At
 							e.Fetch(e.now, x.ID)
 						}
@@ -88,7 +88,7 @@
 				}
 				within("pace", float64(n*each)/ended.Seconds(), documented.pace)
 			} else { // a preempted answer is recomputed at the documented speed
-				j := &job{Work: Work{Tokens: 20000}, prefilling: true}
+				j := &job{Request: Request{PromptTokens: 20000}, prefilling: true}
 				e := New(s, 1)
 				e.running = []*job{j}
 				e.jobs[""] = j
@@ -112,7 +112,7 @@
 			e.beginStep()
 			within("slots", float64(len(e.running)), documented.slots)
 			within("queue", float64(len(e.queue)), documented.queue)
-			if n := countEvents(e.Events(), TurnedAway); n != 400-len(e.running)-len(e.queue) {
+			if n := countEvents(e.Events(), Rejected); n != 400-len(e.running)-len(e.queue) {
 				t.Errorf("%s: %d rejected", name, n)
 			}
 		}
@@ -122,14 +122,14 @@
 // Two long prompts evict a popular shared prefix that is not in use, from its end; blocks in use stay.
 func TestLongPromptsEvictSharedPrefix(t *testing.T) {
 	s := builtInKind(t, "reader").Draw(1)
-	s.Blocks = 20000 / s.Block
+	s.MemoryBlocks = 20000 / s.BlockTokens
 	e := New(s, 1)
 	shared := promptText("shared", 4000)
 	prefill := func(id string, prompt []byte) int {
 		e.Submit(e.now, newRequest(e, id, prompt, 0))
 		for _, x := range runUntil(e, time.Hour) {
-			if x.What == ReadDone && x.ID == id {
-				return x.Kept
+			if x.Kind == PrefillDone && x.ID == id {
+				return x.CachedTokens
 			}
 		}
 		t.Fatalf("%s was not prefilled", id)
@@ -137,13 +137,13 @@
 	}
 	prefill("a", shared)
 	e.Fetch(e.now, "a")
-	if cached := prefill("b", slices.Concat(shared, promptText("turn", 500))); cached < 4000-s.Block {
+	if cached := prefill("b", slices.Concat(shared, promptText("turn", 500))); cached < 4000-s.BlockTokens {
 		t.Errorf("%d tokens of the shared prefix cached", cached)
 	}
 	e.Fetch(e.now, "b")
 	e.Report()
 	prefill("long1", promptText("long1", 9000))
-	if cached := prefill("c", shared); cached < 4000-2*s.Block {
+	if cached := prefill("c", shared); cached < 4000-2*s.BlockTokens {
 		t.Errorf("%d tokens of the shared prefix cached beside one long prompt", cached)
 	}
 	e.Fetch(e.now, "c")
@@ -156,10 +156,10 @@
 	if removed == 0 {
 		t.Error("the evictions were not reported")
 	}
-	if left := e.memory.cachedPrefix(Chain(shared, s.Block)) * s.Block; left > 1500 {
+	if left := e.memory.cachedPrefix(BlockHashes(shared, s.BlockTokens)) * s.BlockTokens; left > 1500 {
 		t.Errorf("%d tokens of the shared prefix still cached", left)
 	}
-	if err := e.Check(); err != nil {
+	if err := e.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
 }
@@ -188,23 +188,23 @@
 // When a writer runs out of memory it preempts its newest answer and recomputes it; all answers must complete.
 func TestPreemptsNewestAnswer(t *testing.T) {
 	s := builtInKind(t, "writer-a").Draw(2)
-	s.Blocks = 3000 / s.Block
+	s.MemoryBlocks = 3000 / s.BlockTokens
 	e := New(s, 1)
 	for i := range 5 {
 		e.Submit(0, newRequest(e, fmt.Sprint(i), promptText(fmt.Sprint(i), 500), 400))
 	}
 	events := runUntil(e, time.Hour)
-	if countEvents(events, Again) == 0 || countEvents(events, Done) != 5 {
-		t.Errorf("%d preempted, %d done", countEvents(events, Again), countEvents(events, Done))
+	if countEvents(events, Preempted) == 0 || countEvents(events, Done) != 5 {
+		t.Errorf("%d preempted, %d done", countEvents(events, Preempted), countEvents(events, Done))
 	}
-	firstPreempted := events[slices.IndexFunc(events, func(x Event) bool { return x.What == Again })]
+	firstPreempted := events[slices.IndexFunc(events, func(x Event) bool { return x.Kind == Preempted })]
 	if firstPreempted.ID != "4" {
 		t.Errorf("answer %s was preempted first, want the newest", firstPreempted.ID)
 	}
 	for i := range 5 {
 		tokens := 1
 		for _, x := range events {
-			if x.What == Token && x.ID == fmt.Sprint(i) {
+			if x.Kind == NextToken && x.ID == fmt.Sprint(i) {
 				tokens++
 			}
 		}
@@ -218,7 +218,7 @@
 func TestCancel(t *testing.T) {
 	for _, stopsRunning := range []bool{true, false} {
 		s := builtInKind(t, "reader").Draw(1)
-		s.Slots, s.CancelStops = 1, stopsRunning
+		s.Slots, s.CancelStopsRunning = 1, stopsRunning
 		e := New(s, 1)
 		e.Submit(0, newRequest(e, "runs", promptText("a", 5000), 0))
 		e.Submit(0, newRequest(e, "waits", promptText("b", 5000), 0))
@@ -232,7 +232,7 @@
 		if (busy == 0) != stopsRunning {
 			t.Errorf("stops %v: %d still running", stopsRunning, busy)
 		}
-		if events = runUntil(e, time.Hour); !stopsRunning && (len(events) != 1 || events[0].What != Stopped) {
+		if events = runUntil(e, time.Hour); !stopsRunning && (len(events) != 1 || events[0].Kind != Stopped) {
 			t.Errorf("after running to the end: %v", events)
 		}
 		if len(e.jobs) != 0 || e.memory.usedBlocks != 0 {
@@ -257,8 +257,8 @@
 		return events[0].At
 	}
 	plain := timeToPrefill(func(*Engine) {})
-	slow := timeToPrefill(func(e *Engine) { e.Slow(0, time.Hour, 2) })
-	both := timeToPrefill(func(e *Engine) { e.Slow(0, time.Hour, 2); e.Slow(0, time.Hour, 3); e.Pause(0, time.Second) })
+	slow := timeToPrefill(func(e *Engine) { e.SlowDown(0, time.Hour, 2) })
+	both := timeToPrefill(func(e *Engine) { e.SlowDown(0, time.Hour, 2); e.SlowDown(0, time.Hour, 3); e.Pause(0, time.Second) })
 	cold := timeToPrefill(func(e *Engine) { e.Start(0, 2) })
 	if slow < plain*19/10 || slow > plain*21/10 || both < time.Second+plain*59/10 || both > time.Second+plain*61/10 || cold < plain*3/2 {
 		t.Errorf("plain %v, slow %v, slow twice and paused %v, cold %v", plain, slow, both, cold)
@@ -283,7 +283,7 @@
 	runUntil(e, time.Hour)
 	e.Fetch(e.now, "x")
 	first, ok := e.Report()
-	e.Die(e.now)
+	e.Crash(e.now)
 	e.Submit(e.now, newRequest(e, "y", prompt(1), 0))
 	if events := e.Events(); countEvents(events, Lost) != 1 {
 		t.Errorf("request to a crashed engine: %v", events)
@@ -297,7 +297,7 @@
 		t.Errorf("%+v, then %+v", first, second)
 	}
 	e.Submit(e.now, newRequest(e, "z", prompt(1), 0))
-	if events := runUntil(e, time.Hour); len(events) != 1 || events[0].Kept != 0 {
+	if events := runUntil(e, time.Hour); len(events) != 1 || events[0].CachedTokens != 0 {
 		t.Errorf("prefill after a restart with an empty cache: %v", events)
 	}
 }
@@ -332,12 +332,12 @@
 // it is called at each report and may break something.
 func runRandomOperations(seed uint64, name string, corrupt func(*Engine, *Report)) (sum [32]byte, err error) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	kinds, err := Kinds(nil)
+	kinds, err := ParseKinds(nil)
 	if err != nil {
 		return sum, err
 	}
 	s := kinds[name].Draw(seed)
-	s.Slots, s.Queue, s.Blocks = 1+rng.IntN(6), rng.IntN(8), 4+rng.IntN(200)
+	s.Slots, s.QueueLimit, s.MemoryBlocks = 1+rng.IntN(6), rng.IntN(8), 4+rng.IntN(200)
 	e := New(s, 1)
 	reported, open, ended := reportedCache{}, map[string]bool{}, map[string]int{}
 	var log strings.Builder
@@ -365,11 +365,11 @@
 		case op < 19:
 			e.Pause(now, now+time.Duration(rng.Int64N(int64(200*ms))))
 		case op < 20:
-			e.Slow(now, now+time.Second, 1+2*rng.Float64())
+			e.SlowDown(now, now+time.Second, 1+2*rng.Float64())
 		case op < 21:
-			e.Forget(now)
+			e.ClearCache(now)
 		case op < 22 && rng.IntN(4) == 0:
-			e.Die(now)
+			e.Crash(now)
 		case op < 23 && rng.IntN(3) == 0:
 			incarnation++
 			e.Start(now, incarnation)
@@ -382,7 +382,7 @@
 			if !open[ev.ID] {
 				return sum, fmt.Errorf("event %v for a request that is not open", ev)
 			}
-			if ev.What.final() {
+			if ev.Kind.final() {
 				ended[ev.ID]++
 				delete(open, ev.ID)
 			}
@@ -399,22 +399,22 @@
 				return sum, err
 			}
 		}
-		if err := e.Check(); err != nil {
+		if err := e.CheckInvariants(); err != nil {
 			return sum, err
 		}
-		if cached := e.Kept(); !e.crashed && len(cached) != len(reported) || !e.crashed && slices.ContainsFunc(cached, func(h Hash) bool { _, ok := reported[h]; return !ok }) {
+		if cached := e.CachedBlocks(); !e.crashed && len(cached) != len(reported) || !e.crashed && slices.ContainsFunc(cached, func(h Hash) bool { _, ok := reported[h]; return !ok }) {
 			return sum, fmt.Errorf("%d blocks cached, %d according to the reports", len(cached), len(reported))
 		}
 	}
 	if !e.crashed { // a snapshot must agree with all reports
 		snapshot := reportedCache{}
-		if err := snapshot.apply(e.Snapshot()); err != nil || len(snapshot) != len(e.Kept()) {
-			return sum, fmt.Errorf("snapshot has %d blocks, cache has %d: %w", len(snapshot), len(e.Kept()), err)
+		if err := snapshot.apply(e.Snapshot()); err != nil || len(snapshot) != len(e.CachedBlocks()) {
+			return sum, fmt.Errorf("snapshot has %d blocks, cache has %d: %w", len(snapshot), len(e.CachedBlocks()), err)
 		}
 	}
 	e.Start(now, incarnation+1)
 	for _, ev := range e.Events() {
-		if ev.What.final() {
+		if ev.Kind.final() {
 			ended[ev.ID]++
 			delete(open, ev.ID)
 		}
@@ -483,7 +483,7 @@
 
 func duplicateEvent(e *Engine) {
 	for id := range e.states {
-		e.emit(Event{What: Lost, ID: id})
+		e.emit(Event{Kind: Lost, ID: id})
 		return
 	}
 }
@@ -525,7 +525,7 @@
 	} {
 		text := strings.Replace(good, from, to, 1)
 		key := strings.Trim(strings.SplitN(to, ":", 2)[0], `"`)
-		if _, err := Kinds([]byte(text)); err == nil || !strings.Contains(err.Error(), key) {
+		if _, err := ParseKinds([]byte(text)); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", to, err)
 		}
 	}
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -14,15 +14,15 @@
 type Hash uint64
 
 // BlockHashes returns the hashes of a prompt's complete blocks.
-func Chain(text []byte, blockTokens int) []Hash {
+func BlockHashes(text []byte, blockTokens int) []Hash {
 	var chain []Hash
-	for _, h := range kvevents.Chain(text, blockTokens) {
+	for _, h := range kvevents.BlockHashes(text, blockTokens) {
 		chain = append(chain, Hash(h))
 	}
 	return chain
 }
 
-const bytesPerToken = kvevents.CharsToken
+const bytesPerToken = kvevents.BytesPerToken
 
 // block is one block of memory.
 type block struct {
--- a/internal/enginehost/host.go
+++ b/internal/enginehost/host.go
@@ -34,46 +34,46 @@
 
 // Options configure a Cluster.
 type Options struct {
-	Readers, Writers int
-	Seed             uint64
-	MemoryK          float64         // memory of each reader in thousands of tokens; 0 = drawn within the range of its kind
-	Kinds            json.RawMessage // kinds of engines; nil = the built-in ones
-	Reports          []string        // addresses of routers to which cache events are published
-	Lose             float64         // share of batches that are never sent, for tests
+	Readers, Writers    int
+	Seed                uint64
+	ReaderMemoryKTokens float64         // memory of each reader in thousands of tokens; 0 = drawn within the range of its kind
+	Kinds               json.RawMessage // kinds of engines; nil = the built-in ones
+	ReportAddrs         []string        // addresses of routers to which cache events are published
+	BatchLossRate       float64         // share of batches that are never sent, for tests
 }
 
 // Cluster is a set of emulated engines with a discovery service that lists them.
-type Site struct {
-	Discovery    string // address of the discovery service
-	options      Options
-	instances    []*Box
-	mu           sync.Mutex // guards all engines and the fields below
-	startTime    time.Time
-	stateHolders map[string]*Box // the reader at which a request's state waits, by request id
-	seq          int
-	watchers     []chan struct{}
-	closers      []func()
-	cancel       context.CancelFunc
-	ctx          context.Context
+type Cluster struct {
+	DiscoveryAddr string // address of the discovery service
+	options       Options
+	instances     []*Instance
+	mu            sync.Mutex // guards all engines and the fields below
+	startTime     time.Time
+	stateHolders  map[string]*Instance // the reader at which a request's state waits, by request id
+	seq           int
+	watchers      []chan struct{}
+	closers       []func()
+	cancel        context.CancelFunc
+	ctx           context.Context
 }
 
 // Instance is one engine with its listener.
-type Box struct {
-	ID, Kind, Addr string
-	cluster        *Site
-	engine         *engine.Engine
-	calls          map[string]*call
-	timer          *time.Timer
-	bornMs         int64
-	down           bool
-	batches        [][]byte // published batches; the first has number firstSeq
-	firstSeq       uint64
-	incarnation    uint64
-	wake           chan struct{} // signals that there is something to publish
-	listener       net.Listener
-	server         *http.Server
-	Reads, Kept    int // number of prompts processed, and how many of their tokens were found in the cache
-	Prompt         int
+type Instance struct {
+	ID, Kind, Addr            string
+	cluster                   *Cluster
+	engine                    *engine.Engine
+	calls                     map[string]*call
+	timer                     *time.Timer
+	bornMs                    int64
+	down                      bool
+	batches                   [][]byte // published batches; the first has number firstSeq
+	firstSeq                  uint64
+	incarnation               uint64
+	wake                      chan struct{} // signals that there is something to publish
+	listener                  net.Listener
+	server                    *http.Server
+	PromptsRead, CachedTokens int // number of prompts processed, and how many of their tokens were found in the cache
+	TotalPromptTokens         int
 }
 
 // call is a request that an engine is serving.
@@ -83,12 +83,12 @@
 }
 
 // Start starts the engines and the discovery service. Each reader publishes to all ReportAddrs.
-func Start(o Options) (*Site, error) {
-	kinds, err := engine.Kinds(o.Kinds)
+func Start(o Options) (*Cluster, error) {
+	kinds, err := engine.ParseKinds(o.Kinds)
 	if err != nil {
 		return nil, err
 	}
-	cl := &Site{options: o, startTime: time.Now(), stateHolders: make(map[string]*Box), seq: 1}
+	cl := &Cluster{options: o, startTime: time.Now(), stateHolders: make(map[string]*Instance), seq: 1}
 	cl.ctx, cl.cancel = context.WithCancel(context.Background())
 	for i := range max(1, o.Readers) + max(1, o.Writers) {
 		name := "reader"
@@ -100,10 +100,10 @@
 			return nil, fmt.Errorf("engine kinds: no %s", name)
 		}
 		settings := kind.Draw(o.Seed + uint64(i))
-		if o.MemoryK > 0 && settings.Reads {
-			settings.Blocks = max(1, int(o.MemoryK*1000)/settings.Block)
+		if o.ReaderMemoryKTokens > 0 && settings.Prefill {
+			settings.MemoryBlocks = max(1, int(o.ReaderMemoryKTokens*1000)/settings.BlockTokens)
 		}
-		inst := &Box{ID: fmt.Sprintf("%s-%d", name, i), Kind: name, cluster: cl, calls: make(map[string]*call), wake: make(chan struct{}, 1), incarnation: wallclock.Milliseconds()}
+		inst := &Instance{ID: fmt.Sprintf("%s-%d", name, i), Kind: name, cluster: cl, calls: make(map[string]*call), wake: make(chan struct{}, 1), incarnation: wallclock.Milliseconds()}
 		inst.engine = engine.New(settings, inst.incarnation)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -113,8 +113,8 @@
 		inst.Addr = l.Addr().String()
 		inst.serve(l)
 		cl.instances = append(cl.instances, inst)
-		if settings.Reads {
-			for _, addr := range o.Reports {
+		if settings.Prefill {
+			for _, addr := range o.ReportAddrs {
 				go inst.publish(cl.ctx, addr)
 			}
 		}
@@ -124,7 +124,7 @@
 		cl.Close()
 		return nil, err
 	}
-	cl.Discovery = l.Addr().String()
+	cl.DiscoveryAddr = l.Addr().String()
 	discovery := &http.Server{Handler: http.HandlerFunc(cl.serveDiscovery)}
 	go discovery.Serve(l)
 	cl.closers = append(cl.closers, func() { discovery.Close() })
@@ -133,7 +133,7 @@
 }
 
 // Close stops the publishers and all servers.
-func (cl *Site) Close() {
+func (cl *Cluster) Close() {
 	cl.cancel()
 	for _, c := range cl.closers {
 		c()
@@ -144,20 +144,20 @@
 }
 
 // Instances returns the cluster's engines, readers first.
-func (cl *Site) Boxes() []*Box { return cl.instances }
+func (cl *Cluster) Instances() []*Instance { return cl.instances }
 
-func (cl *Site) now() time.Duration { return time.Since(cl.startTime) }
+func (cl *Cluster) now() time.Duration { return time.Since(cl.startTime) }
 
-func (inst *Box) serve(l net.Listener) {
+func (inst *Instance) serve(l net.Listener) {
 	inst.listener = l
 	inst.server = &http.Server{Handler: inst}
 	go inst.server.Serve(l)
 }
 
 // Kill ends the engine's process like a crash: its connections break, and discovery isn't told.
-func (inst *Box) Kill() {
+func (inst *Instance) Kill() {
 	inst.cluster.mu.Lock()
-	inst.engine.Die(inst.cluster.now())
+	inst.engine.Crash(inst.cluster.now())
 	inst.processEvents()
 	inst.down = true
 	inst.cluster.mu.Unlock()
@@ -165,7 +165,7 @@
 }
 
 // Restart starts a killed engine again at its old address, cold and with an empty cache.
-func (inst *Box) Return() error {
+func (inst *Instance) Restart() error {
 	l, err := net.Listen("tcp", inst.Addr)
 	if err != nil {
 		return err
@@ -191,14 +191,14 @@
 }
 
 // processEvents delivers the engine's events and sets a timer for its next step. The caller holds the lock.
-func (inst *Box) processEvents() {
+func (inst *Instance) processEvents() {
 	cl := inst.cluster
 	inst.engine.Advance(cl.now())
 	for _, ev := range inst.engine.Events() {
-		if ev.What == engine.ReadDone {
+		if ev.Kind == engine.PrefillDone {
 			cl.stateHolders[ev.ID] = inst
-			inst.Reads++
-			inst.Kept += ev.Kept
+			inst.PromptsRead++
+			inst.CachedTokens += ev.CachedTokens
 		}
 		if c := inst.calls[ev.ID]; c != nil {
 			select {
@@ -207,7 +207,7 @@
 			}
 		}
 	}
-	if at, ok := inst.engine.Next(); ok {
+	if at, ok := inst.engine.NextStep(); ok {
 		wait := at - cl.now()
 		if inst.timer == nil {
 			inst.timer = time.AfterFunc(wait, func() {
@@ -222,7 +222,7 @@
 }
 
 // ServeHTTP implements the worker's side of the platform's protocol.
-func (inst *Box) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (inst *Instance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if id, ok := strings.CutPrefix(r.URL.Path, "/v1/holds/"); ok {
 		if r.Method == http.MethodDelete {
 			inst.cluster.releaseState(id)
@@ -259,8 +259,8 @@
 	settings := inst.engine.Settings()
 	holder := cl.stateHolders[id]
 	inst.calls[id] = c
-	inst.Prompt += len(prompt) / kvevents.CharsToken
-	inst.engine.Submit(cl.now(), engine.Work{ID: id, Chain: engine.Chain(prompt, settings.Block), Tokens: len(prompt) / kvevents.CharsToken, Output: outputTokens, Holds: holder != nil})
+	inst.TotalPromptTokens += len(prompt) / kvevents.BytesPerToken
+	inst.engine.Submit(cl.now(), engine.Request{ID: id, BlockHashes: engine.BlockHashes(prompt, settings.BlockTokens), PromptTokens: len(prompt) / kvevents.BytesPerToken, OutputTokens: outputTokens, StateReady: holder != nil})
 	inst.processEvents()
 	cl.mu.Unlock()
 	defer func() {
@@ -277,20 +277,20 @@
 		case <-r.Context().Done():
 			return
 		}
-		switch ev.What {
-		case engine.TurnedAway:
-			if ev.Why == "no state" {
+		switch ev.Kind {
+		case engine.Rejected:
+			if ev.Reason == "no state" {
 				reject(http.StatusGone)
 			} else {
 				reject(http.StatusServiceUnavailable)
 			}
 			return
-		case engine.ReadDone:
+		case engine.PrefillDone:
 			w.WriteHeader(http.StatusAccepted)
-			fmt.Fprintf(w, `{"cached_tokens":%d}`, ev.Kept)
+			fmt.Fprintf(w, `{"cached_tokens":%d}`, ev.CachedTokens)
 			return
-		case engine.First, engine.Token:
-			if ev.What == engine.First {
+		case engine.FirstToken, engine.NextToken:
+			if ev.Kind == engine.FirstToken {
 				cl.releaseState(id) // the writer has fetched the state: the reader may free its memory
 				w.Header().Set("Content-Type", "text/event-stream")
 			}
@@ -301,7 +301,7 @@
 			}
 		case engine.Done:
 			fmt.Fprintf(w, "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"prompt_tokens_details\":{\"cached_tokens\":0}}}\n\ndata: [DONE]\n\n",
-				len(prompt)/kvevents.CharsToken, generated)
+				len(prompt)/kvevents.BytesPerToken, generated)
 			return
 		case engine.Lost, engine.Dropped, engine.Stopped:
 			panic(http.ErrAbortHandler)
@@ -336,7 +336,7 @@
 }
 
 // releaseState discards a request's state at the reader that holds it, if there is one.
-func (cl *Site) releaseState(id string) {
+func (cl *Cluster) releaseState(id string) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if holder := cl.stateHolders[id]; holder != nil {
@@ -347,14 +347,14 @@
 }
 
 // HeldStates returns the number of states that wait at readers.
-func (cl *Site) Held() int {
+func (cl *Cluster) HeldStates() int {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return len(cl.stateHolders)
 }
 
 // Hosts returns the list of engines in discovery's JSON form.
-func (cl *Site) Hosts() []map[string]any {
+func (cl *Cluster) Hosts() []map[string]any {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	var hosts []map[string]any
@@ -365,7 +365,7 @@
 }
 
 // serveDiscovery serves the list of engines and, to a watch, each change of it.
-func (cl *Site) serveDiscovery(w http.ResponseWriter, r *http.Request) {
+func (cl *Cluster) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	wake := make(chan struct{}, 1)
 	cl.mu.Lock()
 	cl.watchers = append(cl.watchers, wake)
@@ -405,8 +405,8 @@
 }
 
 // Config returns a complete configuration file for a router in front of this cluster.
-func (cl *Site) Config(listen string, settings json.RawMessage) []byte {
-	text, _ := json.MarshalIndent(map[string]any{"name": "toy", "listen": listen, "discovery": cl.Discovery, "seed": strconv.FormatUint(cl.options.Seed+1, 16),
+func (cl *Cluster) Config(listen string, settings json.RawMessage) []byte {
+	text, _ := json.MarshalIndent(map[string]any{"name": "toy", "listen": listen, "discovery": cl.DiscoveryAddr, "seed": strconv.FormatUint(cl.options.Seed+1, 16),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":  map[string]any{"seq": 1, "whole": true, "hosts": cl.Hosts()}, "settings": settings}, "", "  ")
 	return text
--- a/internal/enginehost/publish.go
+++ b/internal/enginehost/publish.go
@@ -17,7 +17,7 @@
 )
 
 // collectReports takes the batches of all engines at each reportInterval.
-func (cl *Site) collectReports() {
+func (cl *Cluster) collectReports() {
 	for ticker := time.NewTicker(reportInterval); ; {
 		select {
 		case <-cl.ctx.Done():
@@ -32,7 +32,7 @@
 			}
 			inst.engine.Advance(cl.now())
 			if r, ok := inst.engine.Report(); ok {
-				inst.appendBatch(encodeReport(r, inst.engine.Settings().Block))
+				inst.appendBatch(encodeReport(r, inst.engine.Settings().BlockTokens))
 			}
 		}
 		cl.mu.Unlock()
@@ -40,7 +40,7 @@
 }
 
 // appendBatch appends a batch to those to publish. The caller holds the lock.
-func (inst *Box) appendBatch(batch []byte) {
+func (inst *Instance) appendBatch(batch []byte) {
 	inst.batches = append(inst.batches, batch)
 	if n := len(inst.batches) - maxKeptBatches; n > 0 {
 		inst.batches = inst.batches[n:]
@@ -56,7 +56,7 @@
 func encodeReport(r engine.Report, blockTokens int) []byte {
 	batch := kvevents.Batch{At: r.At.Seconds()}
 	for _, c := range r.Changes {
-		event := kvevents.Event{Parent: uint64(c.Parent), Block: blockTokens, Cleared: c.Cleared}
+		event := kvevents.Event{Parent: uint64(c.Parent), BlockTokens: blockTokens, Cleared: c.Cleared}
 		for _, h := range c.Stored {
 			event.Stored = append(event.Stored, uint64(h))
 		}
@@ -69,7 +69,7 @@
 }
 
 // publish keeps a stream to one router open until ctx ends.
-func (inst *Box) publish(ctx context.Context, addr string) {
+func (inst *Instance) publish(ctx context.Context, addr string) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		return
@@ -85,14 +85,14 @@
 }
 
 // position returns the engine's incarnation and the number of its next batch, and whether it is down.
-func (inst *Box) position() (incarnation, seq uint64, down bool) {
+func (inst *Instance) position() (incarnation, seq uint64, down bool) {
 	inst.cluster.mu.Lock()
 	defer inst.cluster.mu.Unlock()
 	return inst.incarnation, inst.firstSeq + uint64(len(inst.batches)), inst.down
 }
 
 // publishStream publishes the batches of the current incarnation until that incarnation or the stream ends.
-func (inst *Box) publishStream(ctx context.Context, client pb.KVEventsClient) {
+func (inst *Instance) publishStream(ctx context.Context, client pb.KVEventsClient) {
 	incarnation, seq, down := inst.position()
 	if down {
 		return
@@ -150,7 +150,7 @@
 				break
 			}
 			seq++
-			if inst.cluster.options.Lose > 0 && rand.Float64() < inst.cluster.options.Lose {
+			if inst.cluster.options.BatchLossRate > 0 && rand.Float64() < inst.cluster.options.BatchLossRate {
 				continue
 			}
 			if stream.Send(&pb.Published{Seq: sendSeq, Batch: batch}) != nil {
@@ -168,6 +168,6 @@
 }
 
 // snapshot encodes a snapshot of the engine's cache. Its number is that of the engine's next batch.
-func (inst *Box) snapshot() []byte {
-	return encodeReport(inst.engine.Snapshot(), inst.engine.Settings().Block)
+func (inst *Instance) snapshot() []byte {
+	return encodeReport(inst.engine.Snapshot(), inst.engine.Settings().BlockTokens)
 }
--- a/internal/kvevents/events.go
+++ b/internal/kvevents/events.go
@@ -25,29 +25,29 @@
 
 // Event is one change to an engine's cache: blocks stored, blocks removed, or the whole cache cleared.
 type Event struct {
-	Stored  []uint64
-	Parent  uint64 // hash of the block before the first stored one; 0 at the start of a prompt
-	Block   int    // tokens per block
-	Removed []uint64
-	Cleared bool
+	Stored      []uint64
+	Parent      uint64 // hash of the block before the first stored one; 0 at the start of a prompt
+	BlockTokens int    // tokens per block
+	Removed     []uint64
+	Cleared     bool
 }
 
 // Limits of a batch. Decode refuses a batch that exceeds one.
 const (
-	MaxBytes    = 1 << 20
-	MaxEvents   = 1 << 15
-	MaxHashes   = 1 << 16 // in all events of a batch
-	MaxBlock    = 1 << 16
-	maxElements = 1 << 18 // in a skipped array or map, such as an event's token ids
-	maxDepth    = 8       // of skipped fields
+	MaxBatchBytes  = 1 << 20
+	MaxEvents      = 1 << 15
+	MaxHashes      = 1 << 16 // in all events of a batch
+	MaxBlockTokens = 1 << 16
+	maxElements    = 1 << 18 // in a skipped array or map, such as an event's token ids
+	maxDepth       = 8       // of skipped fields
 )
 
 // Errors of Decode wrap one of these.
 var (
-	ErrLong  = errors.New("too long")
-	ErrShape = errors.New("malformed")
-	ErrTag   = errors.New("unknown kind of event")
-	ErrDepth = errors.New("nested too deeply")
+	ErrTooLong      = errors.New("too long")
+	ErrMalformed    = errors.New("malformed")
+	ErrUnknownEvent = errors.New("unknown kind of event")
+	ErrTooDeep      = errors.New("nested too deeply")
 )
 
 const (
@@ -86,7 +86,7 @@
 				out = msgp.AppendUint64(out, e.Parent)
 			}
 			out = msgp.AppendArrayHeader(out, 0)
-			out = msgp.AppendInt(out, e.Block)
+			out = msgp.AppendInt(out, e.BlockTokens)
 			out = msgp.AppendNil(out)
 		}
 	}
@@ -115,11 +115,11 @@
 	n, rest, err := msgp.ReadArrayHeaderBytes(d.rest)
 	switch {
 	case err != nil:
-		d.fail(ErrShape, what)
+		d.fail(ErrMalformed, what)
 	case int64(n) > int64(maxLen):
-		d.fail(ErrLong, fmt.Sprintf("%s: %d", what, n))
+		d.fail(ErrTooLong, fmt.Sprintf("%s: %d", what, n))
 	case int(n) < minLen, int(n) > len(rest): // each element takes at least one byte
-		d.fail(ErrShape, fmt.Sprintf("%s: %d", what, n))
+		d.fail(ErrMalformed, fmt.Sprintf("%s: %d", what, n))
 	default:
 		d.rest = rest
 		return int(n)
@@ -146,7 +146,7 @@
 	case msgp.BinType:
 		var b []byte
 		if b, rest, err = msgp.ReadBytesZC(d.rest); err == nil && (len(b) < 8 || len(b) > 64) {
-			err = ErrShape
+			err = ErrMalformed
 		}
 		if err == nil {
 			for _, c := range b[len(b)-8:] {
@@ -154,10 +154,10 @@
 			}
 		}
 	default:
-		err = ErrShape
+		err = ErrMalformed
 	}
 	if err != nil {
-		d.fail(ErrShape, "hash")
+		d.fail(ErrMalformed, "hash")
 		return 0
 	}
 	d.rest = rest
@@ -168,7 +168,7 @@
 func (d *decoder) hashList(what string) []uint64 {
 	n := d.arrayHeader(what, 0, MaxHashes)
 	if d.hashCount += n; d.hashCount > MaxHashes {
-		d.fail(ErrLong, what)
+		d.fail(ErrTooLong, what)
 	}
 	if d.err != nil {
 		return nil
@@ -189,7 +189,7 @@
 		return
 	}
 	if depth > maxDepth {
-		d.fail(ErrDepth, "skipped field")
+		d.fail(ErrTooDeep, "skipped field")
 		return
 	}
 	n, perElement := uint32(0), 1
@@ -197,30 +197,30 @@
 	case msgp.ArrayType:
 		var err error
 		if n, d.rest, err = msgp.ReadArrayHeaderBytes(d.rest); err != nil {
-			d.fail(ErrShape, "skipped field")
+			d.fail(ErrMalformed, "skipped field")
 			return
 		}
 	case msgp.MapType:
 		var err error
 		if n, d.rest, err = msgp.ReadMapHeaderBytes(d.rest); err != nil {
-			d.fail(ErrShape, "skipped field")
+			d.fail(ErrMalformed, "skipped field")
 			return
 		}
 		perElement = 2
 	case msgp.InvalidType:
-		d.fail(ErrShape, "skipped field")
+		d.fail(ErrMalformed, "skipped field")
 		return
 	default:
 		rest, err := msgp.Skip(d.rest)
 		if err != nil {
-			d.fail(ErrShape, "skipped field")
+			d.fail(ErrMalformed, "skipped field")
 			return
 		}
 		d.rest = rest
 		return
 	}
 	if int64(n) > maxElements || int64(n)*int64(perElement) > int64(len(d.rest)) {
-		d.fail(ErrLong, "skipped field")
+		d.fail(ErrTooLong, "skipped field")
 		return
 	}
 	for range int(n) * perElement {
@@ -231,8 +231,8 @@
 // Decode decodes and checks a batch. Hashes of all widths are reduced to 64 bits, token ids and unknown fields dropped.
 func Decode(data []byte) (Batch, error) {
 	var b Batch
-	if len(data) > MaxBytes {
-		return b, fmt.Errorf("%w: %d bytes", ErrLong, len(data))
+	if len(data) > MaxBatchBytes {
+		return b, fmt.Errorf("%w: %d bytes", ErrTooLong, len(data))
 	}
 	d := &decoder{rest: data}
 	fields := d.arrayHeader("batch", 2, 16)
@@ -248,7 +248,7 @@
 		d.skip(1)
 	}
 	if d.err == nil && len(d.rest) > 0 {
-		d.fail(ErrShape, "data after the end of the batch")
+		d.fail(ErrMalformed, "data after the end of the batch")
 	}
 	if d.err != nil {
 		return Batch{}, d.err
@@ -276,10 +276,10 @@
 		i, rest, err = msgp.ReadInt64Bytes(d.rest)
 		v = float64(i)
 	default:
-		err = ErrShape
+		err = ErrMalformed
 	}
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		d.fail(ErrShape, "number")
+		d.fail(ErrMalformed, "number")
 		return 0
 	}
 	d.rest = rest
@@ -294,7 +294,7 @@
 	}
 	tag, rest, err := msgp.ReadStringZC(d.rest)
 	if err != nil {
-		d.fail(ErrShape, "event type")
+		d.fail(ErrMalformed, "event type")
 		return e
 	}
 	d.rest = rest
@@ -302,7 +302,7 @@
 	switch string(tag) {
 	case blockStored:
 		if fields < 5 {
-			d.fail(ErrShape, blockStored)
+			d.fail(ErrMalformed, blockStored)
 			return e
 		}
 		e.Stored = d.hashList("stored blocks")
@@ -313,14 +313,14 @@
 		}
 		d.skip(1) // token ids
 		size := d.number()
-		if d.err == nil && (size < 1 || size > MaxBlock || size != math.Trunc(size)) {
-			d.fail(ErrShape, "block size")
+		if d.err == nil && (size < 1 || size > MaxBlockTokens || size != math.Trunc(size)) {
+			d.fail(ErrMalformed, "block size")
 		}
-		e.Block = int(size)
+		e.BlockTokens = int(size)
 		used = 5
 	case blockRemoved:
 		if fields < 2 {
-			d.fail(ErrShape, blockRemoved)
+			d.fail(ErrMalformed, blockRemoved)
 			return e
 		}
 		e.Removed = d.hashList("removed blocks")
@@ -331,7 +331,7 @@
 	case allBlocksCleared:
 		e.Cleared = true
 	default:
-		d.fail(ErrTag, fmt.Sprintf("%.40q", tag))
+		d.fail(ErrUnknownEvent, fmt.Sprintf("%.40q", tag))
 		return e
 	}
 	for range fields - used {
@@ -341,12 +341,12 @@
 }
 
 // BytesPerToken is the prompt length in bytes that counts as one token.
-const CharsToken = 4
+const BytesPerToken = 4
 
 // BlockHashes returns the hashes of a prompt's complete blocks of blockTokens tokens each. A hash covers its block and
 // all blocks before it.
-func Chain(text []byte, blockTokens int) []uint64 {
-	blockBytes := blockTokens * CharsToken
+func BlockHashes(text []byte, blockTokens int) []uint64 {
+	blockBytes := blockTokens * BytesPerToken
 	if blockBytes <= 0 {
 		return nil
 	}
--- a/internal/kvevents/events_test.go
+++ b/internal/kvevents/events_test.go
@@ -11,8 +11,8 @@
 )
 
 func sampleBatch() Batch {
-	return Batch{At: 12.5, Events: []Event{{Stored: []uint64{1, 1 << 63, 77}, Parent: 9, Block: 16}, {Removed: []uint64{5}}, {Cleared: true},
-		{Stored: []uint64{4}, Block: 64}, {Removed: []uint64{}}}}
+	return Batch{At: 12.5, Events: []Event{{Stored: []uint64{1, 1 << 63, 77}, Parent: 9, BlockTokens: 16}, {Removed: []uint64{5}}, {Cleared: true},
+		{Stored: []uint64{4}, BlockTokens: 64}, {Removed: []uint64{}}}}
 }
 
 func TestRoundTrip(t *testing.T) {
@@ -45,7 +45,7 @@
 	b = msgp.AppendArrayHeader(b, 0)
 	b = msgp.AppendInt(b, 0) // data parallel rank
 	got, err := Decode(b)
-	if err != nil || len(got.Events) != 1 || got.Events[0].Stored[0] != 1<<64-2 || got.Events[0].Stored[1] != 0x102 || got.Events[0].Block != 16 {
+	if err != nil || len(got.Events) != 1 || got.Events[0].Stored[0] != 1<<64-2 || got.Events[0].Stored[1] != 0x102 || got.Events[0].BlockTokens != 16 {
 		t.Errorf("%+v %v", got, err)
 	}
 }
@@ -71,10 +71,10 @@
 		text []byte
 		want error
 	}{
-		"nothing": {nil, ErrShape}, "cut": {good[:len(good)-3], ErrShape}, "more": {append(bytes.Clone(good), 1), ErrShape}, "deep": {deepArray, ErrDepth},
-		"long": {longArray, ErrLong}, "tag": {unknownKind, ErrTag}, "bytes": {make([]byte, MaxBytes+1), ErrLong},
-		"block size": {Encode(Batch{Events: []Event{{Stored: []uint64{1}, Block: 0}}}), ErrShape},
-		"hashes":     {Encode(Batch{Events: []Event{{Removed: make([]uint64, MaxHashes+1)}}}), ErrLong},
+		"nothing": {nil, ErrMalformed}, "cut": {good[:len(good)-3], ErrMalformed}, "more": {append(bytes.Clone(good), 1), ErrMalformed}, "deep": {deepArray, ErrTooDeep},
+		"long": {longArray, ErrTooLong}, "tag": {unknownKind, ErrUnknownEvent}, "bytes": {make([]byte, MaxBatchBytes+1), ErrTooLong},
+		"block size": {Encode(Batch{Events: []Event{{Stored: []uint64{1}, BlockTokens: 0}}}), ErrMalformed},
+		"hashes":     {Encode(Batch{Events: []Event{{Removed: make([]uint64, MaxHashes+1)}}}), ErrTooLong},
 	} {
 		if _, err := Decode(c.text); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
@@ -103,7 +103,7 @@
 		n := 0
 		for _, e := range b.Events {
 			n += len(e.Stored) + len(e.Removed)
-			if e.Block < 0 || e.Block > MaxBlock {
+			if e.BlockTokens < 0 || e.BlockTokens > MaxBlockTokens {
 				t.Fatalf("%+v", e)
 			}
 		}
--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -23,26 +23,26 @@
 
 // Change is one change to a worker's cache: blocks stored, blocks removed, or the whole cache cleared.
 type Change struct {
-	Stored  []uint64
-	Parent  uint64 // hash of the block before the first stored one; 0 at the start of a prompt
-	Block   int    // tokens per block
-	Removed []uint64
-	Cleared bool
+	Stored      []uint64
+	Parent      uint64 // hash of the block before the first stored one; 0 at the start of a prompt
+	BlockTokens int    // tokens per block
+	Removed     []uint64
+	Cleared     bool
 }
 
 // Settings configure an Index.
 type Settings struct {
-	Blocks   int           // blocks in the index
-	Workers  int           // workers in the index; beyond 128 of them, larger slot sets leave room for fewer blocks
-	Bound    time.Duration // how long a worker's blocks are believed while one of its batches is missing
-	Buffered int           // batches per worker kept while an earlier one is missing
-	Rate     float64       // block changes that a worker may report per second
-	Burst    float64       // block changes that a worker may report at once
+	MaxBlocks        int           // blocks in the index
+	MaxWorkers       int           // workers in the index; beyond 128 of them, larger slot sets leave room for fewer blocks
+	MaxStaleness     time.Duration // how long a worker's blocks are believed while one of its batches is missing
+	MaxBuffered      int           // batches per worker kept while an earlier one is missing
+	ChangesPerSecond float64       // block changes that a worker may report per second
+	Burst            float64       // block changes that a worker may report at once
 }
 
 // Check returns an error if a setting is out of range.
 func (s Settings) Check() error {
-	if s.Blocks < 1 || s.Workers < 1 || s.Bound <= 0 || s.Buffered < 0 || s.Rate <= 0 || s.Burst < 1 {
+	if s.MaxBlocks < 1 || s.MaxWorkers < 1 || s.MaxStaleness <= 0 || s.MaxBuffered < 0 || s.ChangesPerSecond <= 0 || s.Burst < 1 {
 		return errors.New("kvindex: blocks, workers and burst must be at least 1, staleness bound and change rate above 0, buffered batches not below 0")
 	}
 	return nil
@@ -50,27 +50,27 @@
 
 // Reasons for which a report, or part of one, is refused or suspect. Stats counts them.
 const (
-	OldIncarnation = "old_incarnation" // from a process that has been replaced
-	Duplicate      = "duplicate"       // received before
-	Early          = "early"           // an earlier batch is missing and the buffer is full
-	Flood          = "flood"           // over the worker's rate limit
-	NoRoom         = "no_room"         // no room for another worker
-	UnknownParent  = "unknown_parent"  // the parent isn't cached by the worker; the blocks are stored all the same
-	NeverStored    = "never_stored"    // removed without having been stored
-	BlockSize      = "block_size"      // differs from the worker's earlier blocks, which are all forgotten
-	NoBlock        = "no_block"        // a block without a hash or a size
+	OldIncarnation   = "old_incarnation" // from a process that has been replaced
+	Duplicate        = "duplicate"       // received before
+	BufferFull       = "early"           // an earlier batch is missing and the buffer is full
+	RateLimited      = "flood"           // over the worker's rate limit
+	TooManyWorkers   = "no_room"         // no room for another worker
+	UnknownParent    = "unknown_parent"  // the parent isn't cached by the worker; the blocks are stored all the same
+	NeverStored      = "never_stored"    // removed without having been stored
+	BlockSizeChanged = "block_size"      // differs from the worker's earlier blocks, which are all forgotten
+	InvalidBlock     = "no_block"        // a block without a hash or a size
 )
 
 // Stats are gauges of the index and counters since its creation.
 type Stats struct {
-	Blocks    int // currently in the index
-	Workers   int
-	Refused   map[string]int64 // by reason
-	Gaps      int64
-	Replays   int64 // gaps filled by a replay in time
-	Aged      int64 // gaps that weren't filled in time, so that the worker's blocks were forgotten
-	Predicted int64 // requests with a predicted and an actual cached prefix
-	Wrong     int64 // predictions off by more than a tenth of the actual length and by more than 64 tokens
+	Blocks           int // currently in the index
+	Workers          int
+	Refused          map[string]int64 // by reason
+	Gaps             int64
+	Replays          int64 // gaps filled by a replay in time
+	ExpiredGaps      int64 // gaps that weren't filled in time, so that the worker's blocks were forgotten
+	Predictions      int64 // requests with a predicted and an actual cached prefix
+	WrongPredictions int64 // predictions off by more than a tenth of the actual length and by more than 64 tokens
 }
 
 // Index holds the reported blocks of all workers. It is not safe for concurrent use.
@@ -112,7 +112,7 @@
 		return nil, err
 	}
 	x := &Index{settings: s, workers: make(map[string]*worker), slotsByBlockTokens: make(map[int]slotSet), stats: Stats{Refused: make(map[string]int64)}}
-	x.table = newTable(s.Blocks, minSetWords)
+	x.table = newTable(s.MaxBlocks, minSetWords)
 	x.growSlots(minSetWords)
 	return x, nil
 }
@@ -149,19 +149,19 @@
 }
 
 // ReplayRequest asks a publisher to send its batches again, starting with number FromSeq.
-type Replay struct {
-	Worker string
-	From   uint64
+type ReplayRequest struct {
+	Worker  string
+	FromSeq uint64
 }
 
 // Apply applies a worker's batch, or buffers it while an earlier one is missing. It returns the replay to request from
 // the publisher, or nil if no batch is missing.
-func (x *Index) Apply(now time.Duration, id string, b Batch) *Replay {
+func (x *Index) Apply(now time.Duration, id string, b Batch) *ReplayRequest {
 	x.sweepStale()
 	w := x.workers[id]
 	if w == nil {
-		if len(x.workers) >= x.settings.Workers {
-			x.stats.Refused[NoRoom]++
+		if len(x.workers) >= x.settings.MaxWorkers {
+			x.stats.Refused[TooManyWorkers]++
 			return nil
 		}
 		if 2*(len(x.workers)+1) > len(x.workerBySlot) {
@@ -182,7 +182,7 @@
 		w.incomplete, w.silent = false, false
 	}
 	if !x.spendBudget(now, w, b) {
-		x.stats.Refused[Flood]++
+		x.stats.Refused[RateLimited]++
 		return w.replayRequest()
 	}
 	if w.silent && b.Seq >= w.nextSeq { // its publisher is back: skip what was published meanwhile
@@ -216,11 +216,11 @@
 }
 
 // replayRequest returns the replay to request, or nil if no batch is missing.
-func (w *worker) replayRequest() *Replay {
+func (w *worker) replayRequest() *ReplayRequest {
 	if w.gapSince == 0 {
 		return nil
 	}
-	return &Replay{w.id, w.nextSeq}
+	return &ReplayRequest{w.id, w.nextSeq}
 }
 
 // bufferEarly keeps a batch that arrived before an earlier one.
@@ -237,8 +237,8 @@
 	switch {
 	case found:
 		x.stats.Refused[Duplicate]++
-	case len(w.buffered) >= x.settings.Buffered:
-		x.stats.Refused[Early]++
+	case len(w.buffered) >= x.settings.MaxBuffered:
+		x.stats.Refused[BufferFull]++
 	default:
 		w.buffered = slices.Insert(w.buffered, pos, b)
 	}
@@ -251,7 +251,7 @@
 	for _, c := range b.Changes {
 		cost += float64(len(c.Stored) + len(c.Removed))
 	}
-	w.budget = math.Min(x.settings.Burst, w.budget+x.settings.Rate*(now-w.budgetAt).Seconds())
+	w.budget = math.Min(x.settings.Burst, w.budget+x.settings.ChangesPerSecond*(now-w.budgetAt).Seconds())
 	w.budgetAt = now
 	if cost > w.budget {
 		return false
@@ -286,19 +286,19 @@
 
 // storeBlocks indexes the stored blocks of a change.
 func (x *Index) storeBlocks(w *worker, c Change) {
-	if c.Block < 1 {
-		x.stats.Refused[NoBlock]++
+	if c.BlockTokens < 1 {
+		x.stats.Refused[InvalidBlock]++
 		return
 	}
-	if w.blockTokens != c.Block {
+	if w.blockTokens != c.BlockTokens {
 		if w.blockTokens != 0 {
-			x.stats.Refused[BlockSize]++
+			x.stats.Refused[BlockSizeChanged]++
 			x.forgetBlocks(w)
 		}
-		x.setBlockTokens(w, c.Block)
+		x.setBlockTokens(w, c.BlockTokens)
 	}
 	if w.slot == noSlot {
-		x.stats.Refused[NoRoom]++
+		x.stats.Refused[TooManyWorkers]++
 		return
 	}
 	if c.Parent != 0 {
@@ -309,7 +309,7 @@
 	x.table.useClock++
 	for _, h := range c.Stored {
 		if h == 0 {
-			x.stats.Refused[NoBlock]++
+			x.stats.Refused[InvalidBlock]++
 			continue
 		}
 		i := x.table.findOrInsert(h, x.active)
@@ -398,7 +398,7 @@
 }
 
 // PublisherLost records that the connection to a worker's publisher is lost: batches may be missing until it is back.
-func (x *Index) Lost(now time.Duration, id string) {
+func (x *Index) PublisherLost(now time.Duration, id string) {
 	if w := x.workers[id]; w != nil && w.gapSince == 0 && !w.silent {
 		w.gapSince = max(now, 1)
 		x.stats.Gaps++
@@ -407,7 +407,7 @@
 
 // Heartbeat records that a worker's publisher is alive and which batch it sends next. If that is the next batch to
 // apply, nothing is missing.
-func (x *Index) Heard(now time.Duration, id string, incarnation, nextSeq uint64) *Replay {
+func (x *Index) Heartbeat(now time.Duration, id string, incarnation, nextSeq uint64) *ReplayRequest {
 	w := x.workers[id]
 	if w == nil {
 		return nil
@@ -432,7 +432,7 @@
 }
 
 // RemoveWorker forgets a worker that is no longer listed.
-func (x *Index) Gone(id string) {
+func (x *Index) RemoveWorker(id string) {
 	if w := x.workers[id]; w != nil {
 		x.releaseSlot(w)
 		delete(x.workers, id)
@@ -443,10 +443,10 @@
 // batches, only the unbroken run up to the latest is applied: blocks stored by older ones may have been removed by a
 // missing one.
 func (x *Index) expireGap(now time.Duration, w *worker) {
-	if w.gapSince == 0 || now-w.gapSince <= x.settings.Bound {
+	if w.gapSince == 0 || now-w.gapSince <= x.settings.MaxStaleness {
 		return
 	}
-	x.stats.Aged++
+	x.stats.ExpiredGaps++
 	x.forgetBlocks(w)
 	w.incomplete = true
 	w.silent = w.nextSeq >= w.endSeq // no batch is known to be missing, so the publisher itself has been lost
@@ -462,7 +462,7 @@
 }
 
 // CachedPrefix is the length of a prompt's prefix that a worker has cached.
-type Kept struct {
+type CachedPrefix struct {
 	Worker string
 	Tokens int
 }
@@ -470,7 +470,7 @@
 // Lookup returns the cached prefix of a prompt for each worker that holds any of it, longest first, and the ids of the
 // workers whose cache is completely known; a worker not among these may hold more than is indexed. chainFor returns the
 // prompt's block hashes for a block size; it is called once for each size in use.
-func (x *Index) Lookup(now time.Duration, chainFor func(blockTokens int) []uint64) (prefixes []Kept, complete []string) {
+func (x *Index) Lookup(now time.Duration, chainFor func(blockTokens int) []uint64) (prefixes []CachedPrefix, complete []string) {
 	for _, w := range x.workers {
 		x.expireGap(now, w)
 	}
@@ -480,7 +480,7 @@
 		addKept := func(dropped slotSet) {
 			dropped.each(func(i int) {
 				if depth > 0 {
-					prefixes = append(prefixes, Kept{x.workerBySlot[i].id, depth * blockTokens})
+					prefixes = append(prefixes, CachedPrefix{x.workerBySlot[i].id, depth * blockTokens})
 				}
 			})
 		}
@@ -506,7 +506,7 @@
 		}
 	}
 	slices.Sort(complete)
-	slices.SortFunc(prefixes, func(a, b Kept) int {
+	slices.SortFunc(prefixes, func(a, b CachedPrefix) int {
 		if a.Tokens != b.Tokens {
 			return b.Tokens - a.Tokens
 		}
@@ -519,10 +519,10 @@
 }
 
 // RecordPrediction compares the predicted cached tokens of a prompt with those that an engine actually found.
-func (x *Index) Compare(predicted, found int) {
-	x.stats.Predicted++
+func (x *Index) RecordPrediction(predicted, found int) {
+	x.stats.Predictions++
 	if diff := predicted - found; max(diff, -diff) > max(found/10, 64) {
-		x.stats.Wrong++
+		x.stats.WrongPredictions++
 	}
 }
 
--- a/internal/kvindex/index_test.go
+++ b/internal/kvindex/index_test.go
@@ -13,7 +13,7 @@
 const ms = time.Millisecond
 
 func settings() Settings {
-	return Settings{Blocks: 1 << 14, Workers: 16, Bound: 2 * time.Second, Buffered: 32, Rate: 1e9, Burst: 1e9}
+	return Settings{MaxBlocks: 1 << 14, MaxWorkers: 16, MaxStaleness: 2 * time.Second, MaxBuffered: 32, ChangesPerSecond: 1e9, Burst: 1e9}
 }
 
 func newIndex(t testing.TB, change func(*Settings)) *Index {
@@ -40,7 +40,7 @@
 }
 
 func stored(incarnation, seq uint64, parent uint64, blocks ...uint64) Batch {
-	return Batch{Incarnation: incarnation, Seq: seq, Changes: []Change{{Stored: blocks, Parent: parent, Block: 16}}}
+	return Batch{Incarnation: incarnation, Seq: seq, Changes: []Change{{Stored: blocks, Parent: parent, BlockTokens: 16}}}
 }
 
 func (x *Index) cachedBlocks(now time.Duration, id string, hashes []uint64) (int, bool) {
@@ -94,7 +94,7 @@
 			t.Fatalf("restart %d: %d blocks", i, d)
 		}
 	}
-	x.Gone("a")
+	x.RemoveWorker("a")
 	if _, complete := x.cachedBlocks(0, "a", hashes); complete || x.Stats().Workers != 0 {
 		t.Error("the removed worker is still known")
 	}
@@ -107,7 +107,7 @@
 	hashes := blockHashes(1, 12)
 	x.Apply(0, "a", stored(1, 0, 0, hashes[:4]...))
 	replay := x.Apply(ms, "a", stored(1, 2, hashes[7], hashes[8:]...)) // batch 1 is missing
-	if replay == nil || replay.From != 1 || replay.Worker != "a" {
+	if replay == nil || replay.FromSeq != 1 || replay.Worker != "a" {
 		t.Fatalf("replay request %+v, want batch 1 of a", replay)
 	}
 	if d, ok := x.cachedBlocks(time.Second, "a", hashes); d != 4 || !ok {
@@ -125,40 +125,40 @@
 		t.Error("a duplicate was not refused")
 	}
 	x.Apply(2*time.Second, "a", stored(1, 9, 0, 6))
-	if d, _ := x.cachedBlocks(5*time.Second, "a", hashes); d != 0 || x.Stats().Aged != 1 {
+	if d, _ := x.cachedBlocks(5*time.Second, "a", hashes); d != 0 || x.Stats().ExpiredGaps != 1 {
 		t.Errorf("%d blocks cached past the staleness bound", d)
 	}
 	x.Apply(5*time.Second, "a", stored(1, 10, 0, hashes...))
 	if d, complete := x.cachedBlocks(5*time.Second, "a", hashes); d != 12 || complete {
 		t.Errorf("%d blocks, complete %v: nothing is stored after the gap, or the cache counts as completely known", d, complete)
 	}
-	x.Apply(5*time.Second, "a", Batch{Incarnation: 1, Seq: 11, Changes: []Change{{Cleared: true}, {Stored: hashes, Block: 16}}})
-	x.Lost(6*time.Second, "a")
+	x.Apply(5*time.Second, "a", Batch{Incarnation: 1, Seq: 11, Changes: []Change{{Cleared: true}, {Stored: hashes, BlockTokens: 16}}})
+	x.PublisherLost(6*time.Second, "a")
 	if d, ok := x.cachedBlocks(6*time.Second+ms, "a", hashes); d != 12 || !ok {
 		t.Error("blocks forgotten as soon as the publisher was lost")
 	}
-	if replay := x.Heard(7*time.Second, "a", 1, 12); replay != nil {
+	if replay := x.Heartbeat(7*time.Second, "a", 1, 12); replay != nil {
 		t.Errorf("nothing is missing, but %+v was requested", replay)
 	}
-	x.Lost(8*time.Second, "a")
+	x.PublisherLost(8*time.Second, "a")
 	if _, ok := x.cachedBlocks(11*time.Second, "a", hashes); ok {
 		t.Error("a worker that is silent for longer than the staleness bound still counts as completely known")
 	}
 }
 
 func TestBadReportsAffectOnlyTheirWorker(t *testing.T) {
-	x := newIndex(t, func(s *Settings) { s.Workers, s.Buffered, s.Rate, s.Burst = 2, 2, 1000, 100 })
+	x := newIndex(t, func(s *Settings) { s.MaxWorkers, s.MaxBuffered, s.ChangesPerSecond, s.Burst = 2, 2, 1000, 100 })
 	hashes, other := blockHashes(1, 8), blockHashes(2, 8)
 	x.Apply(0, "a", stored(1, 0, 0, hashes...))
 	x.Apply(0, "b", stored(1, 0, 0, other...))
-	x.Apply(0, "b", Batch{Incarnation: 1, Seq: 1, Changes: []Change{{Removed: []uint64{hashes[0], 99, 0}}, {Stored: []uint64{0, 7}, Block: 16}, {Stored: []uint64{8}}}})
-	x.Apply(0, "b", Batch{Incarnation: 1, Seq: 2, Changes: []Change{{Stored: blockHashes(3, 2), Block: 32}}})
+	x.Apply(0, "b", Batch{Incarnation: 1, Seq: 1, Changes: []Change{{Removed: []uint64{hashes[0], 99, 0}}, {Stored: []uint64{0, 7}, BlockTokens: 16}, {Stored: []uint64{8}}}})
+	x.Apply(0, "b", Batch{Incarnation: 1, Seq: 2, Changes: []Change{{Stored: blockHashes(3, 2), BlockTokens: 32}}})
 	for i := range uint64(4) {
 		x.Apply(0, "b", stored(1, 9+i, 0, 5))
 	}
 	x.Apply(0, "b", stored(1, 3, 0, blockHashes(4, 200)...))
 	x.Apply(0, "c", stored(1, 0, 0, hashes...))
-	for reason, n := range map[string]int64{NeverStored: 3, NoBlock: 2, BlockSize: 1, Early: 2, Flood: 1, NoRoom: 1} {
+	for reason, n := range map[string]int64{NeverStored: 3, InvalidBlock: 2, BlockSizeChanged: 1, BufferFull: 2, RateLimited: 1, TooManyWorkers: 1} {
 		if got := x.Stats().Refused[reason]; got != n {
 			t.Errorf("%s: %d, want %d", reason, got, n)
 		}
@@ -173,7 +173,7 @@
 
 // At its limit the index evicts the blocks that were neither stored nor looked up for the longest time.
 func TestBoundedMemory(t *testing.T) {
-	x := newIndex(t, func(s *Settings) { s.Blocks = 1000 })
+	x := newIndex(t, func(s *Settings) { s.MaxBlocks = 1000 })
 	popular := blockHashes(1, 20)
 	x.Apply(0, "a", stored(1, 0, 0, popular...))
 	for i := range uint64(500) {
@@ -214,8 +214,8 @@
 		rng := rand.New(rand.NewPCG(seed, 4))
 		loss, delay := []float64{0, 0.1, 0.3}[seed%3], time.Duration(rng.Int64N(int64(200*ms))+1)
 		x := newIndex(t, func(s *Settings) {
-			if s.Buffered = 4 + rng.IntN(40); loss == 0 {
-				s.Buffered = 1000 // no batch is dropped for want of buffer space either
+			if s.MaxBuffered = 4 + rng.IntN(40); loss == 0 {
+				s.MaxBuffered = 1000 // no batch is dropped for want of buffer space either
 			}
 		})
 		type message struct {
@@ -265,7 +265,7 @@
 					for _, h := range c[n:to] {
 						w.cached[h] = true
 					}
-					publish(now, w, Change{Stored: c[n:to], Parent: parent, Block: 16})
+					publish(now, w, Change{Stored: c[n:to], Parent: parent, BlockTokens: 16})
 				}
 			case op < 16: // evict the end of a prompt
 				c := prompts[rng.IntN(len(prompts))]
@@ -297,7 +297,7 @@
 					replayAskedAt[m.id] = now
 					for _, y := range workers {
 						if y.id == r.Worker {
-							for i := r.From; i < uint64(len(y.published)); i++ {
+							for i := r.FromSeq; i < uint64(len(y.published)); i++ {
 								send(now, y.id, y.published[i])
 							}
 						}
@@ -308,7 +308,7 @@
 			if now%(500*ms) == 0 { // the publisher's heartbeat
 				for _, y := range workers {
 					if rng.Float64() >= loss {
-						x.Heard(now, y.id, y.incarnation, uint64(len(y.published)))
+						x.Heartbeat(now, y.id, y.incarnation, uint64(len(y.published)))
 					}
 				}
 			}
@@ -319,7 +319,7 @@
 						continue
 					}
 					// A lost last batch is only noticed with the next heartbeat that arrives.
-					limit := settings().Bound + delay + 4*time.Second
+					limit := settings().MaxStaleness + delay + 4*time.Second
 					if loss == 0 {
 						limit = delay + step
 					}
@@ -343,7 +343,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		x := newIndex(t, func(s *Settings) { s.Blocks, s.Workers, s.Buffered = 50, 3, 3 })
+		x := newIndex(t, func(s *Settings) { s.MaxBlocks, s.MaxWorkers, s.MaxBuffered = 50, 3, 3 })
 		now := time.Duration(0)
 		for ; len(text) >= 4; text = text[4:] {
 			id, hashes := fmt.Sprint("w", text[0]%4), blockHashes(uint64(text[1]%5), 8)
@@ -351,20 +351,20 @@
 			b := Batch{Incarnation: uint64(text[3] % 3), Seq: uint64(text[3] >> 4)}
 			switch text[0] >> 4 % 8 {
 			case 0, 1, 2:
-				b.Changes = []Change{{Stored: hashes[from:], Parent: uint64(text[2] >> 4), Block: 1 + int(text[1]>>7)}}
+				b.Changes = []Change{{Stored: hashes[from:], Parent: uint64(text[2] >> 4), BlockTokens: 1 + int(text[1]>>7)}}
 			case 3:
 				b.Changes = []Change{{Removed: hashes[:from]}}
 			case 4:
 				b.Changes = []Change{{Cleared: true}}
 			case 5:
 				now += time.Duration(text[1]) * 20 * ms
-				x.Lost(now, id)
+				x.PublisherLost(now, id)
 				continue
 			case 6:
-				x.Heard(now, id, b.Incarnation, b.Seq)
+				x.Heartbeat(now, id, b.Incarnation, b.Seq)
 				continue
 			case 7:
-				x.Gone(id)
+				x.RemoveWorker(id)
 				continue
 			}
 			x.Apply(now, id, b)
@@ -393,7 +393,7 @@
 func TestAThousandWorkers(t *testing.T) {
 	const maxWorkers = 1100
 	s := settings()
-	s.Blocks, s.Workers = 1<<13, maxWorkers
+	s.MaxBlocks, s.MaxWorkers = 1<<13, maxWorkers
 	x, err := New(s)
 	if err != nil {
 		t.Fatal(err)
@@ -404,14 +404,14 @@
 	name := func(i int) string { return fmt.Sprintf("w%04d", i) }
 	for i := range maxWorkers {
 		hashes := append(slices.Clone(shared[:1+i%3]), uint64(5000+i)) // a part of the shared prefix, then a block of its own
-		x.Apply(0, name(i), Batch{Incarnation: 1, Changes: []Change{{Stored: hashes, Block: 16}}})
+		x.Apply(0, name(i), Batch{Incarnation: 1, Changes: []Change{{Stored: hashes, BlockTokens: 16}}})
 		if i%7 == 0 { // some restart, so that stale slots exist while the sets grow
-			x.Apply(0, name(i), Batch{Incarnation: 2, Changes: []Change{{Stored: hashes[:1], Block: 16}}})
+			x.Apply(0, name(i), Batch{Incarnation: 2, Changes: []Change{{Stored: hashes[:1], BlockTokens: 16}}})
 		}
 	}
 	x.Apply(0, "one too many", Batch{Incarnation: 1})
 	prefixes, complete := x.Lookup(0, func(int) []uint64 { return shared })
-	if len(prefixes) != maxWorkers || len(complete) != maxWorkers || x.Stats().Refused[NoRoom] != 1 {
+	if len(prefixes) != maxWorkers || len(complete) != maxWorkers || x.Stats().Refused[TooManyWorkers] != 1 {
 		t.Fatalf("%d workers cache some of the prefix, %d are completely known, refused %v", len(prefixes), len(complete), x.Stats().Refused)
 	}
 	for _, k := range prefixes {
@@ -491,7 +491,7 @@
 	for _, workers := range []int{10, 100} {
 		b.Run(fmt.Sprintf("index/%d", workers), func(b *testing.B) {
 			before := heap()
-			x := newIndex(b, func(s *Settings) { s.Blocks, s.Workers = 1<<20, 128 })
+			x := newIndex(b, func(s *Settings) { s.MaxBlocks, s.MaxWorkers = 1<<20, 128 })
 			texts := storeMillionBlocks(workers, func(id string, seq uint64, blocks []uint64) { x.Apply(0, id, stored(1, seq, 0, blocks...)) })
 			each := float64(heap()-before) / 1e6
 			b.ReportAllocs()
@@ -524,12 +524,12 @@
 // One operation is a batch that stores one prompt of 64 blocks and removes another.
 func BenchmarkEvents(b *testing.B) {
 	b.Run("index", func(b *testing.B) {
-		x := newIndex(b, func(s *Settings) { s.Blocks, s.Workers = 1<<20, 128 })
+		x := newIndex(b, func(s *Settings) { s.MaxBlocks, s.MaxWorkers = 1<<20, 128 })
 		storeMillionBlocks(100, func(id string, seq uint64, blocks []uint64) { x.Apply(0, id, stored(1, seq, 0, blocks...)) })
 		b.ReportAllocs()
 		seq, i := uint64(0), uint64(0)
 		for b.Loop() {
-			x.Apply(0, "new", Batch{Incarnation: 1, Seq: seq, Changes: []Change{{Stored: blockHashes(1<<40+i%1000, 64), Block: 16}, {Removed: blockHashes(1<<40+(i+500)%1000, 64)}}})
+			x.Apply(0, "new", Batch{Incarnation: 1, Seq: seq, Changes: []Change{{Stored: blockHashes(1<<40+i%1000, 64), BlockTokens: 16}, {Removed: blockHashes(1<<40+(i+500)%1000, 64)}}})
 			seq, i = seq+1, i+1
 		}
 		b.ReportMetric(128*float64(b.N)/b.Elapsed().Seconds(), "changes/s")
--- a/internal/kvindex/pressure_test.go
+++ b/internal/kvindex/pressure_test.go
@@ -69,7 +69,7 @@
 
 func newSimulation(t testing.TB, seed uint64, routers int, reports bool, loss float64) *simulation {
 	t.Helper()
-	kinds, err := engine.Kinds(nil)
+	kinds, err := engine.ParseKinds(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 	}
 	for i := range 4 {
 		settings := kinds["reader"].Draw(seed*100 + uint64(i))
-		settings.Blocks, settings.Block = 60000/32, 32 // make memory the scarce resource
+		settings.MemoryBlocks, settings.BlockTokens = 60000/32, 32 // make memory the scarce resource
 		id := fmt.Sprint("r", i)
 		add(id, 0, settings)
 		s.readers = append(s.readers, id)
@@ -93,7 +93,7 @@
 	class := decide.Class{TTFTTarget: 1200 * ms, TTFTTargetPer1000: 40 * ms, Deadline: 5 * time.Second, TPOTTarget: 60 * ms, Value: 1}
 	for i := range routers {
 		r := &router{simulation: s, replayAskedAt: make(map[string]time.Duration), open: make(map[decide.RequestID]*requestState)}
-		if r.index, err = kvindex.New(kvindex.Settings{Blocks: 1 << 16, Workers: 16, Bound: 2 * time.Second, Buffered: 64, Rate: 1e6, Burst: 1e6}); err != nil {
+		if r.index, err = kvindex.New(kvindex.Settings{MaxBlocks: 1 << 16, MaxWorkers: 16, MaxStaleness: 2 * time.Second, MaxBuffered: 64, ChangesPerSecond: 1e6, Burst: 1e6}); err != nil {
 			t.Fatal(err)
 		}
 		settings := decide.Settings{RouterIndex: i, RouterCount: routers, Classes: []decide.Class{class}, MaxAttempts: 4, CanCancel: true, ClockStep: 2 * ms,
@@ -114,7 +114,7 @@
 			b := kvindex.Batch{Incarnation: report.Incarnation, Seq: report.Seq}
 			wire := kvevents.Batch{}
 			for _, c := range report.Changes { // encoded and decoded, as in a real stream
-				wire.Events = append(wire.Events, kvevents.Event{Stored: toUint64(c.Stored), Parent: uint64(c.Parent), Block: s.engines[id].Settings().Block, Removed: toUint64(c.Removed), Cleared: c.Cleared})
+				wire.Events = append(wire.Events, kvevents.Event{Stored: toUint64(c.Stored), Parent: uint64(c.Parent), BlockTokens: s.engines[id].Settings().BlockTokens, Removed: toUint64(c.Removed), Cleared: c.Cleared})
 			}
 			got, err := kvevents.Decode(kvevents.Encode(wire))
 			if err != nil {
@@ -139,7 +139,7 @@
 			for _, r := range s.routers {
 				if s.networkRand.Float64() >= s.loss && len(s.published[id]) > 0 {
 					last := s.published[id][len(s.published[id])-1]
-					r.requestReplay(r.index.Heard(s.Now, id, last.Incarnation, last.Seq+1))
+					r.requestReplay(r.index.Heartbeat(s.Now, id, last.Incarnation, last.Seq+1))
 				}
 			}
 		}
@@ -171,13 +171,13 @@
 	r.After(time.Duration(r.networkRand.Int64N(int64(4*ms))), func() { r.requestReplay(r.index.Apply(r.Now, id, b)) })
 }
 
-func (r *router) requestReplay(ask *kvindex.Replay) {
+func (r *router) requestReplay(ask *kvindex.ReplayRequest) {
 	if ask == nil || r.Now-r.replayAskedAt[ask.Worker] < 50*ms {
 		return
 	}
 	r.replayAskedAt[ask.Worker] = r.Now
 	for _, b := range r.published[ask.Worker] {
-		if b.Seq >= ask.From {
+		if b.Seq >= ask.FromSeq {
 			r.receiveBatch(ask.Worker, b)
 		}
 	}
@@ -192,7 +192,7 @@
 	request := decide.Request{ID: l.num, TimeLeft: 5 * time.Second, Session: session, Prefix: uint64(prefix), PromptLength: len(prompt) / 4, PrefixLength: prefixTokens,
 		MaxOutput: 2 * outputTokens, DurationHint: time.Duration(outputTokens) * 60 * ms}
 	if s.reports {
-		predicted, complete := r.index.Lookup(s.Now, func(block int) []uint64 { return toUint64(engine.Chain(prompt, block)) })
+		predicted, complete := r.index.Lookup(s.Now, func(block int) []uint64 { return toUint64(engine.BlockHashes(prompt, block)) })
 		request.CachedTokens = make(map[string]int)
 		for _, id := range complete {
 			request.CachedTokens[id] = 0
@@ -220,17 +220,17 @@
 		}
 		elapsed := s.Now - l.arrived
 		outcome := decide.Outcome{ID: l.num, Attempt: attempt, Server: id, Elapsed: elapsed}
-		switch ev.What {
-		case engine.ReadDone:
+		switch ev.Kind {
+		case engine.PrefillDone:
 			s.promptTokens += len(l.prompt) / 4
-			s.cachedTokens += ev.Kept
-			if p, ok := l.predicted[id]; ok && p > ev.Kept+max(ev.Kept/10, 64) {
+			s.cachedTokens += ev.CachedTokens
+			if p, ok := l.predicted[id]; ok && p > ev.CachedTokens+max(ev.CachedTokens/10, 64) {
 				s.overpredicted++
 			}
 			l.reader = id
-			outcome.Status, outcome.CachedTokens = decide.Read, ev.Kept
+			outcome.Status, outcome.CachedTokens = decide.Read, ev.CachedTokens
 			l.Outcome(s.Now, outcome)
-		case engine.First:
+		case engine.FirstToken:
 			s.firstTokenTimes = append(s.firstTokenTimes, elapsed)
 			l.ended = true
 			s.engines[l.reader].Fetch(s.Now, l.id)
@@ -238,7 +238,7 @@
 			outcome.Status, outcome.Final = decide.Served, true
 			s.After(time.Duration(l.outputTokens)*40*ms, func() { l.Outcome(s.Now, outcome) })
 			s.scheduleStep(l.reader)
-		case engine.TurnedAway:
+		case engine.Rejected:
 			outcome.Status = decide.Rejected
 			l.Outcome(s.Now, outcome)
 		case engine.Lost, engine.Dropped, engine.Stopped:
@@ -250,7 +250,7 @@
 }
 
 func (s *simulation) scheduleStep(id string) {
-	if at, ok := s.engines[id].Next(); ok {
+	if at, ok := s.engines[id].NextStep(); ok {
 		s.After(at-s.Now, func() { s.processEvents(id) })
 	}
 }
@@ -262,7 +262,7 @@
 	l.attempts++
 	r.After(ms, func() {
 		e := r.engines[server]
-		e.Submit(r.Now, engine.Work{ID: l.id, Chain: engine.Chain(l.prompt, e.Settings().Block), Tokens: len(l.prompt) / 4, Output: l.outputTokens, Holds: l.reader != ""})
+		e.Submit(r.Now, engine.Request{ID: l.id, BlockHashes: engine.BlockHashes(l.prompt, e.Settings().BlockTokens), PromptTokens: len(l.prompt) / 4, OutputTokens: l.outputTokens, StateReady: l.reader != ""})
 		r.processEvents(server)
 	})
 }
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -180,9 +180,9 @@
 	to <- prometheus.MustNewConstMetric(descWorkers, prometheus.GaugeValue, float64(s.Workers))
 	to <- prometheus.MustNewConstMetric(descGaps, prometheus.CounterValue, float64(s.Gaps))
 	to <- prometheus.MustNewConstMetric(descReplays, prometheus.CounterValue, float64(s.Replays))
-	to <- prometheus.MustNewConstMetric(descLost, prometheus.CounterValue, float64(s.Aged))
-	to <- prometheus.MustNewConstMetric(descPredicted, prometheus.CounterValue, float64(s.Predicted))
-	to <- prometheus.MustNewConstMetric(descWrong, prometheus.CounterValue, float64(s.Wrong))
+	to <- prometheus.MustNewConstMetric(descLost, prometheus.CounterValue, float64(s.ExpiredGaps))
+	to <- prometheus.MustNewConstMetric(descPredicted, prometheus.CounterValue, float64(s.Predictions))
+	to <- prometheus.MustNewConstMetric(descWrong, prometheus.CounterValue, float64(s.WrongPredictions))
 	for reason, n := range s.Refused {
 		to <- prometheus.MustNewConstMetric(descRefused, prometheus.CounterValue, float64(n), reason)
 	}
--- a/internal/reports/reports.go
+++ b/internal/reports/reports.go
@@ -63,7 +63,7 @@
 
 // GRPC returns a gRPC server with the service registered. A panic in a stream is logged and ends only that stream.
 func (l *Listener) GRPC() *grpc.Server {
-	g := grpc.NewServer(append(grpcfront.ServerLimits(kvevents.MaxBytes+4<<10), grpc.StreamInterceptor(
+	g := grpc.NewServer(append(grpcfront.ServerLimits(kvevents.MaxBatchBytes+4<<10), grpc.StreamInterceptor(
 		func(srv any, ss grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) (err error) {
 			defer func() {
 				if p := recover(); p != nil {
@@ -85,7 +85,7 @@
 			continue
 		}
 		l.mu.Lock()
-		l.index.Gone(id)
+		l.index.RemoveWorker(id)
 		if s := l.streams[id]; s != nil {
 			s.cancel(errors.New("the worker is listed no more"))
 		}
@@ -101,7 +101,7 @@
 	defer l.mu.Unlock()
 	prefixes, complete := l.index.Lookup(l.now(), func(blockTokens int) []uint64 {
 		if hashes[blockTokens] == nil {
-			hashes[blockTokens] = kvevents.Chain(prompt, blockTokens)
+			hashes[blockTokens] = kvevents.BlockHashes(prompt, blockTokens)
 		}
 		return hashes[blockTokens]
 	})
@@ -122,7 +122,7 @@
 func (l *Listener) Found(_ string, predicted, actual int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.index.Compare(predicted, actual)
+	l.index.RecordPrediction(predicted, actual)
 }
 
 // Stats returns the index's statistics. Batches that could not be decoded are counted in Refused.
@@ -168,7 +168,7 @@
 		defer l.mu.Unlock()
 		if l.streams[hello.Worker] == current {
 			delete(l.streams, hello.Worker)
-			l.index.Lost(l.now(), hello.Worker)
+			l.index.PublisherLost(l.now(), hello.Worker)
 		}
 	}()
 	messages := make(chan *pb.Published)
@@ -189,9 +189,9 @@
 	}()
 	askedFrom, askedAt := uint64(0), time.Time{}
 	for m := hello; ; {
-		if ask := l.handleMessage(hello, m); ask != nil && (ask.From != askedFrom || time.Since(askedAt) > replayRetryInterval) {
-			askedFrom, askedAt = ask.From, time.Now()
-			if err := in.Send(&pb.Wanted{ReplayFrom: ask.From}); err != nil {
+		if ask := l.handleMessage(hello, m); ask != nil && (ask.FromSeq != askedFrom || time.Since(askedAt) > replayRetryInterval) {
+			askedFrom, askedAt = ask.FromSeq, time.Now()
+			if err := in.Send(&pb.Wanted{ReplayFrom: ask.FromSeq}); err != nil {
 				return err
 			}
 		}
@@ -237,7 +237,7 @@
 }
 
 // handleMessage passes a message to the index and returns the replay to request, if any.
-func (l *Listener) handleMessage(hello, m *pb.Published) *kvindex.Replay {
+func (l *Listener) handleMessage(hello, m *pb.Published) *kvindex.ReplayRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m == hello { // nothing has been published yet, so nothing can be missing
@@ -246,7 +246,7 @@
 		}
 	}
 	if len(m.Batch) == 0 {
-		return l.index.Heard(l.now(), hello.Worker, hello.Incarnation, m.Next)
+		return l.index.Heartbeat(l.now(), hello.Worker, hello.Incarnation, m.Next)
 	}
 	b, err := kvevents.Decode(m.Batch)
 	if err != nil {
@@ -263,7 +263,7 @@
 
 // refusalReason returns the name under which a decoding error is counted.
 func refusalReason(err error) string {
-	for target, name := range map[error]string{kvevents.ErrLong: "batch_long", kvevents.ErrShape: "batch_shape", kvevents.ErrTag: "batch_tag", kvevents.ErrDepth: "batch_depth"} {
+	for target, name := range map[error]string{kvevents.ErrTooLong: "batch_long", kvevents.ErrMalformed: "batch_shape", kvevents.ErrUnknownEvent: "batch_tag", kvevents.ErrTooDeep: "batch_depth"} {
 		if errors.Is(err, target) {
 			return name
 		}
--- a/internal/reports/reports_test.go
+++ b/internal/reports/reports_test.go
@@ -34,7 +34,7 @@
 	t        *testing.T
 	core     *core.Core
 	listener *reports.Listener
-	engines  *enginehost.Site
+	engines  *enginehost.Cluster
 	addr     string // of the reports listener
 	url      string
 	names    httpfront.Names
@@ -54,7 +54,7 @@
 	hw := httpfront.NewWorkers(settings.ConnectTimeout, settings.ConnIdle, 400, log)
 	c, err := core.New(settings.Settings, 1, hw, log)
 	must(err)
-	listener, err := reports.New(c, kvindex.Settings{Blocks: 1 << 16, Workers: 16, Bound: 2 * time.Second, Buffered: 64, Rate: 1e5, Burst: 1e5}, log)
+	listener, err := reports.New(c, kvindex.Settings{MaxBlocks: 1 << 16, MaxWorkers: 16, MaxStaleness: 2 * time.Second, MaxBuffered: 64, ChangesPerSecond: 1e5, Burst: 1e5}, log)
 	must(err)
 	c.CacheReports, c.OnAvailabilityChange = listener, listener.Moved
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +62,7 @@
 	g := listener.GRPC()
 	go g.Serve(l)
 	t.Cleanup(g.Stop)
-	o.Reports = append(o.Reports, l.Addr().String())
+	o.ReportAddrs = append(o.ReportAddrs, l.Addr().String())
 	engines, err := enginehost.Start(o)
 	must(err)
 	t.Cleanup(engines.Close)
@@ -130,7 +130,7 @@
 // A reader crashes under load and restarts with an empty cache. From its first report on the router must not expect it
 // to have its earlier cache, and most requests must be served throughout.
 func TestReaderCrashesAndRestarts(t *testing.T) {
-	b := startRouter(t, enginehost.Options{Readers: 2, Writers: 2, Seed: 3, MemoryK: 30})
+	b := startRouter(t, enginehost.Options{Readers: 2, Writers: 2, Seed: 3, ReaderMemoryKTokens: 30})
 	shared := make([]string, 4)
 	for i := range shared {
 		shared[i] = promptText(fmt.Sprint("shared", i), 600)
@@ -148,9 +148,9 @@
 		}
 		all.Wait()
 	}
-	instances := b.engines.Boxes()
+	instances := b.engines.Instances()
 	crashed, other := instances[0], instances[1]
-	cached := func(inst *enginehost.Box) (longest int, known bool) {
+	cached := func(inst *enginehost.Instance) (longest int, known bool) {
 		for _, s := range shared {
 			n, ok := b.listener.Kept([]byte(s))[inst.ID]
 			longest, known = max(longest, n), known || ok
@@ -169,18 +169,18 @@
 	}, sendAll)
 	crashed.Kill()
 	sendAll()
-	if err := crashed.Return(); err != nil {
+	if err := crashed.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	b.updateWorkers()
-	b.waitFor("the restarted reader has reported", func() bool { n, known := cached(crashed); return n == 0 && known || n > 0 && crashed.Reads > 0 }, sendAll)
+	b.waitFor("the restarted reader has reported", func() bool { n, known := cached(crashed); return n == 0 && known || n > 0 && crashed.PromptsRead > 0 }, sendAll)
 	before := b.listener.Stats()
 	for range 10 {
 		sendAll()
 	}
 	after := b.listener.Stats()
-	if n := after.Predicted - before.Predicted; n < 5 || after.Wrong-before.Wrong > n/5 {
-		t.Errorf("%d predictions after the restart, %d of them wrong", n, after.Wrong-before.Wrong)
+	if n := after.Predictions - before.Predictions; n < 5 || after.WrongPredictions-before.WrongPredictions > n/5 {
+		t.Errorf("%d predictions after the restart, %d of them wrong", n, after.WrongPredictions-before.WrongPredictions)
 	}
 	if served.Load() < sent.Load()*3/4 {
 		t.Errorf("%d of %d served", served.Load(), sent.Load())
@@ -188,15 +188,15 @@
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	b.core.Wait(ctx)
-	if ctx.Err() != nil || b.engines.Held() > 0 {
-		t.Errorf("%d states were not released", b.engines.Held())
+	if ctx.Err() != nil || b.engines.HeldStates() > 0 {
+		t.Errorf("%d states were not released", b.engines.HeldStates())
 	}
 	t.Logf("%d of %d served, %+v", served.Load(), sent.Load(), after)
 }
 
 // With 30% of the batches never sent, gaps must be noticed and filled by replays.
 func TestLostBatchesAreReplayed(t *testing.T) {
-	b := startRouter(t, enginehost.Options{Readers: 1, Writers: 1, Seed: 5, Lose: 0.3})
+	b := startRouter(t, enginehost.Options{Readers: 1, Writers: 1, Seed: 5, BatchLossRate: 0.3})
 	n := 0
 	b.waitFor("two gaps have been filled", func() bool { return b.listener.Stats().Replays > 1 }, func() {
 		n++
@@ -234,7 +234,7 @@
 		_, err = s.Recv()
 		return status.Code(err)
 	}
-	reader := b.engines.Boxes()[0].ID
+	reader := b.engines.Instances()[0].ID
 	for what, c := range map[string]struct {
 		hello *pb.Published
 		want  codes.Code
@@ -262,7 +262,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := kvevents.Encode(kvevents.Batch{Events: []kvevents.Event{{Stored: []uint64{1, 2, 3}, Block: 16}}})
+	good := kvevents.Encode(kvevents.Batch{Events: []kvevents.Event{{Stored: []uint64{1, 2, 3}, BlockTokens: 16}}})
 	for i, m := range []*pb.Published{{Seq: 0, Batch: good}, {Seq: 1, Batch: []byte("nonsense")}, {Seq: 2, Batch: good[:len(good)-2]}, {Seq: 3, Batch: good}} {
 		if err := s.Send(m); err != nil {
 			t.Fatal(i, err)
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -223,8 +223,8 @@
 
 // IndexSettings returns the settings of the index of workers' prefix caches.
 func (f *File) IndexSettings() kvindex.Settings {
-	return kvindex.Settings{Blocks: f.Reports.Blocks, Workers: maxReportWorkers, Bound: time.Duration(f.Reports.BoundMs) * time.Millisecond,
-		Buffered: maxBufferedReports, Rate: reportBlocksPerSecond, Burst: reportBlockBurst}
+	return kvindex.Settings{MaxBlocks: f.Reports.Blocks, MaxWorkers: maxReportWorkers, MaxStaleness: time.Duration(f.Reports.BoundMs) * time.Millisecond,
+		MaxBuffered: maxBufferedReports, ChangesPerSecond: reportBlocksPerSecond, Burst: reportBlockBurst}
 }
 
 // NeedsGrants reports whether an enabled service grants attempts to callers outside the router.
