--- a/cmd/rowanyard/incident_test.go
+++ b/cmd/rowanyard/incident_test.go
@@ -117,7 +117,7 @@
 // Writers accept a request's bytes and never answer, on used and on new connections: the state held at the reader must be
 // released within the limit, for every class.
 func TestStateIsReleasedInTimeWhenWritersAreSilent(t *testing.T) {
-	for name, fault := range map[string]faultproxy.Fault{"silent": faultproxy.Silent, "never up": faultproxy.NeverUp} {
+	for name, fault := range map[string]faultproxy.Fault{"silent": faultproxy.Silent, "never up": faultproxy.Unreachable} {
 		t.Run(name, func(t *testing.T) {
 			writers, states := &proxies{t: t}, newHeldStates()
 			_, p := startRouter(t, standin.Options{Readers: 2, Writers: 3, Via: writers.wrap, Seen: states.record}, "")
@@ -151,15 +151,15 @@
 			}
 			t.Cleanup(fleet.Close)
 			file := filepath.Join(t.TempDir(), "offset")
-			cmd := exec.Command("env", clockstep.Variable+"="+file, path)
+			cmd := exec.Command("env", clockstep.FileVariable+"="+file, path)
 			p := startCommand(t, cmd, fleet.Config("127.0.0.1:0"), "")
 			p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 			const requests = 4
 			startRequests(t, p, "a", requests).Wait()
-			if err := clockstep.Write(file, seconds); err != nil {
+			if err := clockstep.WriteOffset(file, seconds); err != nil {
 				t.Fatal(err)
 			}
-			if err := clockstep.Tell(cmd.Process); err != nil {
+			if err := clockstep.Reload(cmd.Process); err != nil {
 				t.Fatal(err)
 			}
 			for p.clockOffset(t) < time.Hour/2 {
--- a/cmd/scaletest/arguments.go
+++ b/cmd/scaletest/arguments.go
@@ -15,8 +15,8 @@
 
 // checkWorkers checks the number of workers.
 func checkWorkers(workers int) error {
-	if workers < 2 || workers > hollow.Most {
-		return fmt.Errorf("--workers: %d, must be between 2 and %d", workers, hollow.Most)
+	if workers < 2 || workers > hollow.MaxWorkers {
+		return fmt.Errorf("--workers: %d, must be between 2 and %d", workers, hollow.MaxWorkers)
 	}
 	return nil
 }
--- a/cmd/scaletest/discovery.go
+++ b/cmd/scaletest/discovery.go
@@ -55,8 +55,8 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "step\tchanges\tseconds\tdelay p50 ms\tdelay max ms\treal router ms\tB/router\tmax B\tpeak 5 s B/s\treal router B\treal router CPU ms\t")
 	for _, s := range steps {
-		fmt.Fprintf(table, "%s\t%d\t%.2f\t%.1f\t%.1f\t%.1f\t%.0f\t%d\t%.0f\t%d\t%.0f\t\n", s.Name, s.Changes, s.Long.Seconds(), milliseconds(s.Delay50),
-			milliseconds(s.DelayLast), milliseconds(s.RealDelay), s.Mean, s.Most, s.Worst5, s.RealBytes, milliseconds(s.RealCPU))
+		fmt.Fprintf(table, "%s\t%d\t%.2f\t%.1f\t%.1f\t%.1f\t%.0f\t%d\t%.0f\t%d\t%.0f\t\n", s.Name, s.Changes, s.Duration.Seconds(), milliseconds(s.DelayP50),
+			milliseconds(s.DelayMax), milliseconds(s.RealDelay), s.MeanBytes, s.MaxBytes, s.PeakRate, s.RealBytes, milliseconds(s.RealCPU))
 	}
 	if err := table.Flush(); err != nil {
 		return err
--- a/cmd/scaletest/fleet.go
+++ b/cmd/scaletest/fleet.go
@@ -41,7 +41,7 @@
 // Run runs the simulation and writes a table of its phases.
 func (c *fleetCommand) Run(_ context.Context, out io.Writer) error {
 	startedAt := time.Now()
-	phases, err := fleetsim.Play(c.options())
+	phases, err := fleetsim.Simulate(c.options())
 	if err != nil {
 		return err
 	}
@@ -49,8 +49,8 @@
 	fmt.Fprintln(table, "phase\tseconds\trequests\tserved\tbroken streams\tfirst token p50 ms\tp95 ms\tprompt cache hits\tattempts/request\tprobes/request\tpeak reader load\tpeak writer load\tprobes/s per server\tmax probes/s\tpeak cold load\t")
 	for _, p := range phases {
 		fmt.Fprintf(table, "%s\t%g-%g\t%d\t%.4f\t%d\t%.0f\t%.0f\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", p.Name, p.From.Seconds(), p.Until.Seconds(),
-			p.Came, p.Served, p.Broken, milliseconds(p.First50), milliseconds(p.First95), p.Found, p.Attempts, p.Probes,
-			p.WorstReader, p.WorstWriter, p.ProbesAtServer, p.MostProbesAtServer, p.ColdWorst)
+			p.Requests, p.ServedShare, p.BrokenStreams, milliseconds(p.FirstTokenP50), milliseconds(p.FirstTokenP95), p.CacheHitShare, p.AttemptsPerRequest, p.ProbesPerRequest,
+			p.PeakReaderLoad, p.PeakWriterLoad, p.MeanProbeRate, p.MaxProbeRate, p.PeakColdLoad)
 	}
 	if err := table.Flush(); err != nil {
 		return err
--- a/cmd/scaletest/settings.go
+++ b/cmd/scaletest/settings.go
@@ -49,7 +49,7 @@
 	}
 	r, err := settingsrun.Run(ctx, settingsrun.Options{Changes: c.Changes, Interval: c.Interval, Options: onerouter.Options{Program: c.Program,
 		Routers: c.Routers, Workers: c.Workers, Readers: c.Readers, Zones: c.Zones, Rate: c.Rate, Tokens: settingsTokens, Prompt: settingsPrompt,
-		Settle: c.Settle, MemoryMB: onerouter.DefaultMemory, Sockets: onerouter.DefaultSockets, Seed: c.Seed}})
+		Settle: c.Settle, MemoryMB: onerouter.DefaultMemoryMB, Sockets: onerouter.DefaultSockets, Seed: c.Seed}})
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 		"requests: %d sent, %d served, %d refused, %d failed\n",
 		c.Changes, c.Workers, c.Rate, c.Seed,
 		milliseconds(r.Delays[len(r.Delays)/2]), milliseconds(r.Delays[len(r.Delays)-1]),
-		milliseconds(r.CPU), r.Window.Seconds(), milliseconds(r.Without),
+		milliseconds(r.CPU), r.Window.Seconds(), milliseconds(r.BaselineCPU),
 		r.Load.Sent, r.Load.Served, r.Load.Refused, r.Load.Failed)
 	return err
 }
--- a/decide/coldfleet_test.go
+++ b/decide/coldfleet_test.go
@@ -217,9 +217,9 @@
 	d.restartAt = 12 * time.Second
 	end := d.restartAt + min(d.settings.WarmUpTime, 12*time.Second)
 	d.generateTraffic(end)
-	d.Until(d.restartAt - 2*time.Second)
+	d.RunUntil(d.restartAt - 2*time.Second)
 	old := d.serverList()
-	d.Until(d.restartAt)
+	d.RunUntil(d.restartAt)
 	share := []float64{0.03, 0.5, 0.9}[d.rng.IntN(3)]
 	for _, s := range old {
 		if d.rng.Float64() < share {
@@ -251,7 +251,7 @@
 			}
 		})
 	}
-	d.Until(end + 40*time.Second)
+	d.RunUntil(end + 40*time.Second)
 }
 
 func keys(m map[RequestID]bool) func(func(RequestID) bool) {
--- a/decide/fair_test.go
+++ b/decide/fair_test.go
@@ -67,7 +67,7 @@
 		}
 	}
 	sim.After(0, next)
-	sim.Until(duration + 20*time.Second)
+	sim.RunUntil(duration + 20*time.Second)
 	return all
 }
 
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -201,13 +201,13 @@
 		})
 		return
 	}
-	began, slot := sim.Now, srv.queue.Next(sim.Now)
+	began, slot := sim.Now, srv.queue.Peek(sim.Now)
 	took := time.Duration(float64(srv.serviceTime) * work)
 	if srv.StartedAt > 0 {
 		took = time.Duration(float64(took) / sim.capacity(sim.Now-srv.StartedAt))
 	}
-	wait := slot.Begins + took - sim.Now
-	if expired := slot.Begins-sim.Now > timeout; !sim.dropExpired || !expired { // else the server drops it at its turn
+	wait := slot.Start + took - sim.Now
+	if expired := slot.Start-sim.Now > timeout; !sim.dropExpired || !expired { // else the server drops it at its turn
 		slot.Take(took)
 	}
 	if wait > timeout {
@@ -317,7 +317,7 @@
 		sim.startRouter(i, sim.serverList())
 	}
 	sim.generateLoad(0.6*10*toySlots/toyReadTime.Seconds(), 80*time.Second)
-	sim.Until(40 * time.Second)
+	sim.RunUntil(40 * time.Second)
 	return sim
 }
 
@@ -368,7 +368,7 @@
 				srv := sim.servers[id]
 				sim.restartServer(srv)
 				sim.publishServers(500 * ms)
-				sim.Until(95 * time.Second)
+				sim.RunUntil(95 * time.Second)
 				sim.checkAnswers(t, name, 0.97)
 				sim.checkColdBudget(t, name, srv)
 				coldSends := 0
@@ -428,9 +428,9 @@
 		sim.After(at+duration, setSilent(false))
 	}
 	served := func(from, until time.Duration) float64 {
-		sim.Until(from)
+		sim.RunUntil(from)
 		before, all := maps.Clone(sim.answers), 0
-		sim.Until(until)
+		sim.RunUntil(until)
 		for how, n := range sim.answers {
 			all += n - before[how]
 		}
@@ -440,7 +440,7 @@
 	if t.Logf("%.3f served before, %.3f when all are back", initial, after); after < initial-0.03 {
 		t.Errorf("%.3f served before, %.3f when all are back", initial, after)
 	}
-	sim.Until(90 * time.Second)
+	sim.RunUntil(90 * time.Second)
 	sim.checkAnswers(t, role, 0.7)
 }
 
@@ -467,7 +467,7 @@
 					sim.publishServers(500 * ms)
 				})
 			}
-			sim.Until(95 * time.Second)
+			sim.RunUntil(95 * time.Second)
 			sim.checkAnswers(t, "replaced", 0.8)
 			used := 0
 			for _, srv := range replacements {
@@ -508,13 +508,13 @@
 			}
 			sim.generateLoad(0.2*10*toySlots/toyReadTime.Seconds(), 30*time.Second)
 			sim.After(3*time.Second, func() { sim.publishServers(500 * ms) })
-			sim.Until(5 * time.Second)
+			sim.RunUntil(5 * time.Second)
 			before := sim.answers["served"]
-			sim.Until(30 * time.Second)
+			sim.RunUntil(30 * time.Second)
 			if got := sim.answers["served"] - before; got < 2400 {
 				t.Errorf("only %d served after the current list had arrived: %v", got, sim.answers)
 			}
-			sim.Until(60 * time.Second)
+			sim.RunUntil(60 * time.Second)
 			sim.checkAnswers(t, initialList, 0.65)
 			for _, srv := range sim.servers {
 				sim.checkColdBudget(t, initialList, srv)
@@ -534,7 +534,7 @@
 	srv := sim.servers["r1"]
 	srv.StartedAt = 1
 	sim.generateLoad(2*2*toySlots/toyReadTime.Seconds(), 10*time.Second)
-	sim.Until(30 * time.Second)
+	sim.RunUntil(30 * time.Second)
 	if sim.worstColdLoad(srv) <= 1 {
 		t.Errorf("%.2f of the budget without pacing, want more than 1", sim.worstColdLoad(srv))
 	}
@@ -553,14 +553,14 @@
 		sim.startRouter(i, sim.serverList())
 	}
 	sim.generateLoad(0.8*10*toySlots/toyReadTime.Seconds(), 10*time.Second)
-	sim.Until(4 * time.Second)
+	sim.RunUntil(4 * time.Second)
 	for i, s := range sim.serverList() {
 		if i%3 == 0 {
 			sim.restartServer(sim.servers[s.ID])
 		}
 	}
 	sim.publishServers(500 * ms)
-	sim.Until(20 * time.Second)
+	sim.RunUntil(20 * time.Second)
 	if got := hex.EncodeToString(sum.Sum(nil)); got != callsHash {
 		t.Errorf("hash of the calls is %s", got)
 	}
--- a/internal/grpcfront/silence_test.go
+++ b/internal/grpcfront/silence_test.go
@@ -42,7 +42,7 @@
 	if err := probe(long); err != nil {
 		t.Fatal(err)
 	}
-	proxy.Mute()
+	proxy.SilenceOpen()
 	if probe(50*time.Millisecond) == nil {
 		t.Fatal("answered on a silent connection")
 	}
--- a/internal/httpfront/silence_test.go
+++ b/internal/httpfront/silence_test.go
@@ -52,7 +52,7 @@
 			t.Fatalf("%d connections", w.openConns.Load())
 		}
 	}
-	proxy.Mute()
+	proxy.SilenceOpen()
 	if probe(50*time.Millisecond) == nil {
 		t.Fatal("the probe was answered on a silent connection")
 	}
--- a/internal/kvindex/pressure_test.go
+++ b/internal/kvindex/pressure_test.go
@@ -345,7 +345,7 @@
 	if setUp != nil {
 		setUp(s)
 	}
-	s.Until(duration + 20*time.Second)
+	s.RunUntil(duration + 20*time.Second)
 	slices.Sort(s.firstTokenTimes)
 	n := len(s.firstTokenTimes)
 	if n == 0 {
@@ -397,9 +397,9 @@
 				s.processEvents(id)
 			}
 		})
-		s.Until(20*time.Second + 50*ms)
+		s.RunUntil(20*time.Second + 50*ms)
 		s.overpredicted = 0
-		s.Until(60 * time.Second)
+		s.RunUntil(60 * time.Second)
 		return s.overpredicted, len(s.firstTokenTimes)
 	}
 	if wrong, served := run(true); wrong > served/100 {
--- a/internal/scale/clockstep/clockstep.go
+++ b/internal/scale/clockstep/clockstep.go
@@ -18,7 +18,7 @@
 )
 
 // FileVariable is the environment variable with the path of the file that holds the offset.
-const Variable = "CLOCKSTEP_FILE"
+const FileVariable = "CLOCKSTEP_FILE"
 
 const (
 	clockRead           = "	sec, nsec, mono := runtimeNow()\n" // part of time.Now in Go 1.26
@@ -38,7 +38,7 @@
 
 func init() {
 	step := func() {
-		text, _ := os.ReadFile(os.Getenv("` + Variable + `"))
+		text, _ := os.ReadFile(os.Getenv("` + FileVariable + `"))
 		time.ClockStep, _ = strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64)
 	}
 	step()
@@ -109,9 +109,9 @@
 }
 
 // WriteOffset writes the offset to a file. A program reads it when it starts or when Reload is called.
-func Write(file string, seconds int) error {
+func WriteOffset(file string, seconds int) error {
 	return os.WriteFile(file, []byte(strconv.Itoa(seconds)), 0o600)
 }
 
 // Reload makes a running program read the offset again.
-func Tell(p *os.Process) error { return p.Signal(syscall.SIGUSR1) }
+func Reload(p *os.Process) error { return p.Signal(syscall.SIGUSR1) }
--- a/internal/scale/faultproxy/faultproxy.go
+++ b/internal/scale/faultproxy/faultproxy.go
@@ -24,11 +24,11 @@
 	// sent, as for a peer behind a partition that a middlebox hides.
 	Silent
 	// Unreachable acts as Silent on open connections; new ones are never established, as for a machine that has failed.
-	NeverUp
+	Unreachable
 	// Refused resets each new connection; open ones are not affected.
 	Refused
 	// Delayed delays the forwarding of new connections; open ones are not affected.
-	Late
+	Delayed
 )
 
 const (
@@ -99,7 +99,7 @@
 func (p *Proxy) Set(fault Fault) { p.SetAfter(fault, 0, 0) }
 
 // SetDelayed sets the fault to Delayed with the given delay.
-func (p *Proxy) SetLate(delay time.Duration) { p.SetAfter(Late, 0, delay) }
+func (p *Proxy) SetDelayed(delay time.Duration) { p.SetAfter(Delayed, 0, delay) }
 
 // SetAfter changes the fault. If the new fault is a silence, that many bytes from the client still pass on each open
 // connection before the silence begins. When a silence ends, the connections that lost bytes are reset, as their
@@ -121,7 +121,7 @@
 }
 
 // SilenceOpen silences all open connections for good, without an error. New connections are not affected.
-func (p *Proxy) Mute() {
+func (p *Proxy) SilenceOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.sessions {
@@ -139,13 +139,13 @@
 }
 
 // LossyConnections returns how many connections have lost bytes to a silence so far.
-func (p *Proxy) Swallowed() int {
+func (p *Proxy) LossyConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lossy
 }
 
-func isSilent(f Fault) bool { return f == Silent || f == NeverUp }
+func isSilent(f Fault) bool { return f == Silent || f == Unreachable }
 
 // notifyChange wakes up all goroutines that wait for a change. The caller holds p.mu.
 func (p *Proxy) notifyChange() {
@@ -190,7 +190,7 @@
 		if closed {
 			return
 		}
-		if fault == NeverUp {
+		if fault == Unreachable {
 			p.blockConnections(changed)
 			continue
 		}
@@ -212,7 +212,7 @@
 			c.Close()
 			continue
 		}
-		p.goroutines.Go(func() { p.serve(c, fault == Late, delay) })
+		p.goroutines.Go(func() { p.serve(c, fault == Delayed, delay) })
 	}
 }
 
--- a/internal/scale/faultproxy/faultproxy_test.go
+++ b/internal/scale/faultproxy/faultproxy_test.go
@@ -80,7 +80,7 @@
 	if got, err := exchange(c, "b\n", shortWait); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%q, %v", got, err)
 	}
-	if n := p.Swallowed(); n != 1 {
+	if n := p.LossyConnections(); n != 1 {
 		t.Errorf("%d connections lost bytes, want 1", n)
 	}
 	p.Set(None)
@@ -108,7 +108,7 @@
 
 func TestUnreachable(t *testing.T) {
 	p := startProxy(t)
-	p.Set(NeverUp)
+	p.Set(Unreachable)
 	for end := time.Now().Add(maxWait); ; { // some connections are established before the backlog is full
 		c, err := net.DialTimeout("tcp", p.Address(), shortWait)
 		if err != nil {
@@ -150,7 +150,7 @@
 	p := startProxy(t)
 	old := dial(t, p)
 	exchange(old, "a\n", maxWait)
-	p.Mute()
+	p.SilenceOpen()
 	if got, err := exchange(old, "b\n", shortWait); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%q, %v", got, err)
 	}
--- a/internal/scale/fleetsim/fleet.go
+++ b/internal/scale/fleetsim/fleet.go
@@ -245,9 +245,9 @@
 	case RackLost:
 		f.takeDown(0, func(s *server) bool { return s.Cell/f.Zones < cellsPerRack && s.Zone == 0 })
 	case ZoneCold:
-		f.takeDown(ZoneAway, func(s *server) bool { return s.Zone == 0 })
-	case RegionCut:
+		f.takeDown(ZoneDowntime, func(s *server) bool { return s.Zone == 0 })
+	case RegionIsolated:
 		f.isolatedRegion = 0
-		f.After(RegionAway, func() { f.isolatedRegion = -1 })
+		f.After(RegionIsolation, func() { f.isolatedRegion = -1 })
 	}
 }
--- a/internal/scale/fleetsim/fleetsim_test.go
+++ b/internal/scale/fleetsim/fleetsim_test.go
@@ -19,7 +19,7 @@
 	simulate := func(seed uint64) []Phase {
 		o := smallFleet(ZoneCold)
 		o.Seed = seed
-		phases, err := Play(o)
+		phases, err := Simulate(o)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,7 +40,7 @@
 	for _, event := range Events() {
 		t.Run(string(event), func(t *testing.T) {
 			t.Parallel()
-			phases, err := Play(smallFleet(event))
+			phases, err := Simulate(smallFleet(event))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -48,16 +48,16 @@
 				t.Logf("%+v", p)
 			}
 			steady, last := phases[1], phases[len(phases)-1]
-			if steady.Served < 0.99 || steady.Found <= 0 || steady.First50 <= 0 || steady.First95 < steady.First50 {
+			if steady.ServedShare < 0.99 || steady.CacheHitShare <= 0 || steady.FirstTokenP50 <= 0 || steady.FirstTokenP95 < steady.FirstTokenP50 {
 				t.Errorf("steady: %+v", steady)
 			}
 			if event == NoEvent {
 				return
 			}
-			if hit := phases[2]; hit.Attempts <= steady.Attempts {
+			if hit := phases[2]; hit.AttemptsPerRequest <= steady.AttemptsPerRequest {
 				t.Errorf("the event had no effect: %+v", hit)
 			}
-			if event != RegionCut && last.Served < 0.95 {
+			if event != RegionIsolated && last.ServedShare < 0.95 {
 				t.Errorf("the fleet has not recovered: %+v", last)
 			}
 		})
@@ -73,7 +73,7 @@
 	} {
 		o := smallFleet(NoEvent)
 		change(&o)
-		if _, err := Play(o); err == nil {
+		if _, err := Simulate(o); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
--- a/internal/scale/fleetsim/options.go
+++ b/internal/scale/fleetsim/options.go
@@ -12,20 +12,20 @@
 
 // The events. An event begins after the warm-up and the steady phase.
 const (
-	NoEvent   Event = "none"
-	RackLost  Event = "rack"   // the servers of some neighboring cells fail for good
-	ZoneCold  Event = "zone"   // the servers of a zone fail and return cold after ZoneDowntime
-	RegionCut Event = "region" // one region and the others cannot reach each other for RegionIsolation
+	NoEvent        Event = "none"
+	RackLost       Event = "rack"   // the servers of some neighboring cells fail for good
+	ZoneCold       Event = "zone"   // the servers of a zone fail and return cold after ZoneDowntime
+	RegionIsolated Event = "region" // one region and the others cannot reach each other for RegionIsolation
 )
 
 // Events returns all events, NoEvent included.
-func Events() []Event { return []Event{NoEvent, RackLost, ZoneCold, RegionCut} }
+func Events() []Event { return []Event{NoEvent, RackLost, ZoneCold, RegionIsolated} }
 
 // The extent of the events.
 const (
-	ZoneAway     = 5 * time.Second
-	RegionAway   = time.Minute
-	cellsPerRack = 8
+	ZoneDowntime    = 5 * time.Second
+	RegionIsolation = time.Minute
+	cellsPerRack    = 8
 )
 
 // Options configures a simulation. Zero values have no special meaning. Default returns the fleet that
--- a/internal/scale/fleetsim/play.go
+++ b/internal/scale/fleetsim/play.go
@@ -116,7 +116,7 @@
 }
 
 // Simulate runs a simulation and returns the measurements of its phases in order.
-func Play(o Options) ([]Phase, error) {
+func Simulate(o Options) ([]Phase, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
@@ -129,7 +129,7 @@
 	var phases []Phase
 	runPhase := func(name string, until time.Duration) {
 		from := f.Now
-		f.Until(until)
+		f.RunUntil(until)
 		f.Now = until
 		phases = append(phases, f.endPhase(name, from))
 	}
--- a/internal/scale/fleetsim/router.go
+++ b/internal/scale/fleetsim/router.go
@@ -85,17 +85,17 @@
 // turn in the queue.
 func (r *router) read(q *request, n int, s *server, timeout time.Duration) {
 	f, a := r.fleet, q.attempts[n]
-	cached := min(q.PromptLength, max(min(s.cache.Kept(q.Prefix), q.PrefixLength), s.cache.Kept(q.Session)))
+	cached := min(q.PromptLength, max(min(s.cache.Get(q.Prefix), q.PrefixLength), s.cache.Get(q.Session)))
 	f.recordAttempt(s, float64(q.PromptLength)/meanPromptTokens)
-	slot := s.queue.Next(f.Now)
-	if slot.Begins > a.sentAt+timeout {
+	slot := s.queue.Peek(f.Now)
+	if slot.Start > a.sentAt+timeout {
 		return
 	}
 	duration := time.Duration(float64(f.readTimePerToken) * float64(q.PromptLength-cached) / f.speed(s))
 	ends := slot.Take(duration)
 	f.After(ends-f.Now+f.latency(r, s), func() {
-		s.cache.Keep(q.Prefix, q.PrefixLength)
-		s.cache.Keep(q.Session, q.PromptLength)
+		s.cache.Put(q.Prefix, q.PrefixLength)
+		s.cache.Put(q.Session, q.PromptLength)
 		if !a.ended && f.reachable(r, s) {
 			q.stateHolder = s
 			f.stats.read(q.PromptLength, cached)
--- a/internal/scale/fleetsim/tally.go
+++ b/internal/scale/fleetsim/tally.go
@@ -36,20 +36,20 @@
 
 // Phase holds the measurements of one phase of a simulation.
 type Phase struct {
-	Name               string
-	From, Until        time.Duration
-	Came               int
-	Served             float64       // share of the finished requests
-	Broken             int           // number of streams that ended early
-	First50, First95   time.Duration // time to the first token
-	Found              float64       // share of the prompt tokens that readers found in their caches
-	Attempts           float64       // per request
-	Probes             float64       // per request
-	WorstReader        float64       // attempts at the busiest reader relative to the mean
-	WorstWriter        float64       // attempts at the busiest writer relative to the mean
-	ProbesAtServer     float64       // per second, mean over all servers
-	MostProbesAtServer float64       // per second, at the server that received the most
-	ColdWorst          float64       // highest load of a cold server within a window so far, as a share of its limit
+	Name                         string
+	From, Until                  time.Duration
+	Requests                     int
+	ServedShare                  float64       // share of the finished requests
+	BrokenStreams                int           // number of streams that ended early
+	FirstTokenP50, FirstTokenP95 time.Duration // time to the first token
+	CacheHitShare                float64       // share of the prompt tokens that readers found in their caches
+	AttemptsPerRequest           float64       // per request
+	ProbesPerRequest             float64       // per request
+	PeakReaderLoad               float64       // attempts at the busiest reader relative to the mean
+	PeakWriterLoad               float64       // attempts at the busiest writer relative to the mean
+	MeanProbeRate                float64       // per second, mean over all servers
+	MaxProbeRate                 float64       // per second, at the server that received the most
+	PeakColdLoad                 float64       // highest load of a cold server within a window so far, as a share of its limit
 }
 
 // endPhase returns the measurements of the current phase and resets the counters for the next one.
@@ -57,16 +57,16 @@
 	t := f.stats
 	f.stats = newStats()
 	served := int(t.firstToken.TotalCount())
-	p := Phase{Name: name, From: from, Until: f.Now, Came: t.requests, Broken: t.brokenStreams, ColdWorst: f.worstColdLoad,
-		First50: time.Duration(t.firstToken.ValueAtQuantile(50)), First95: time.Duration(t.firstToken.ValueAtQuantile(95)),
-		Served: share(served, served+t.refused+t.failed), Found: share(t.cachedTokens, t.promptTokens),
-		Attempts: share(t.attempts, t.requests), Probes: share(t.probes, t.requests)}
+	p := Phase{Name: name, From: from, Until: f.Now, Requests: t.requests, BrokenStreams: t.brokenStreams, PeakColdLoad: f.worstColdLoad,
+		FirstTokenP50: time.Duration(t.firstToken.ValueAtQuantile(50)), FirstTokenP95: time.Duration(t.firstToken.ValueAtQuantile(95)),
+		ServedShare: share(served, served+t.refused+t.failed), CacheHitShare: share(t.cachedTokens, t.promptTokens),
+		AttemptsPerRequest: share(t.attempts, t.requests), ProbesPerRequest: share(t.probes, t.requests)}
 	seconds := (f.Now - from).Seconds()
-	p.WorstReader, p.WorstWriter = f.peakToMeanLoad(readerKind), f.peakToMeanLoad(writerKind)
+	p.PeakReaderLoad, p.PeakWriterLoad = f.peakToMeanLoad(readerKind), f.peakToMeanLoad(writerKind)
 	for _, s := range f.serverList {
 		rate := float64(s.probes) / seconds
-		p.ProbesAtServer += rate / float64(len(f.serverList))
-		p.MostProbesAtServer = max(p.MostProbesAtServer, rate)
+		p.MeanProbeRate += rate / float64(len(f.serverList))
+		p.MaxProbeRate = max(p.MaxProbeRate, rate)
 		s.probes, s.received = 0, 0
 	}
 	return p
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -20,7 +20,7 @@
 )
 
 // MaxWorkers is the maximum number of workers. Their addresses start at 127.1.0.1.
-const Most = 1 << 16
+const MaxWorkers = 1 << 16
 
 // Kind is the purpose of a message.
 type Kind int
@@ -44,9 +44,9 @@
 
 // Counts holds what a fleet has received and sent since its start.
 type Counts struct {
-	By          [kindCount]Count
+	ByKind      [kindCount]Count
 	Connections int64 // connections accepted
-	Busiest     int   // probes at the worker that received the most
+	MaxProbes   int   // probes at the worker that received the most
 }
 
 // Options configures a Fleet.
@@ -75,8 +75,8 @@
 // Start starts a Fleet on a port that the kernel chooses.
 func Start(o Options) (*Fleet, error) {
 	switch {
-	case o.Workers < 2 || o.Workers > Most:
-		return nil, fmt.Errorf("%d workers: must be between 2 and %d", o.Workers, Most)
+	case o.Workers < 2 || o.Workers > MaxWorkers:
+		return nil, fmt.Errorf("%d workers: must be between 2 and %d", o.Workers, MaxWorkers)
 	case !(o.Readers > 0 && o.Readers < 1):
 		return nil, fmt.Errorf("share of readers %v: must be greater than 0 and less than 1", o.Readers)
 	}
@@ -132,10 +132,10 @@
 	c := Counts{Connections: f.connections.Load()}
 	for k := range f.counts {
 		count := &f.counts[k]
-		c.By[k] = Count{Messages: count.messages.Load(), In: count.in.Load(), Out: count.out.Load()}
+		c.ByKind[k] = Count{Messages: count.messages.Load(), In: count.in.Load(), Out: count.out.Load()}
 	}
 	for i := range f.probes {
-		c.Busiest = max(c.Busiest, int(f.probes[i].Load()))
+		c.MaxProbes = max(c.MaxProbes, int(f.probes[i].Load()))
 	}
 	return c
 }
@@ -143,10 +143,10 @@
 // Since returns the counts between two snapshots, except MaxProbes, which covers the time since the start.
 func (c Counts) Since(before Counts) Counts {
 	c.Connections -= before.Connections
-	for k := range c.By {
-		c.By[k].Messages -= before.By[k].Messages
-		c.By[k].In -= before.By[k].In
-		c.By[k].Out -= before.By[k].Out
+	for k := range c.ByKind {
+		c.ByKind[k].Messages -= before.ByKind[k].Messages
+		c.ByKind[k].In -= before.ByKind[k].In
+		c.ByKind[k].Out -= before.ByKind[k].Out
 	}
 	return c
 }
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -60,14 +60,14 @@
 	}
 	counts := f.Counts()
 	for _, kind := range []Kind{Probe, Release, Read, Write} {
-		if c := counts.By[kind]; c.Messages != 1 || c.In == 0 || c.Out == 0 {
+		if c := counts.ByKind[kind]; c.Messages != 1 || c.In == 0 || c.Out == 0 {
 			t.Errorf("%v: %+v", kind, c)
 		}
 	}
-	if counts.By[Other].Messages != 0 || counts.Connections < 2 || counts.Busiest != 1 {
+	if counts.ByKind[Other].Messages != 0 || counts.Connections < 2 || counts.MaxProbes != 1 {
 		t.Errorf("%+v", counts)
 	}
-	if since := f.Counts().Since(counts); since.By[Probe].Messages != 0 || since.Connections != 0 {
+	if since := f.Counts().Since(counts); since.ByKind[Probe].Messages != 0 || since.Connections != 0 {
 		t.Errorf("counts since the last snapshot, want none: %+v", since)
 	}
 }
@@ -90,7 +90,7 @@
 	if text, _ := io.ReadAll(c); len(text) > 0 {
 		t.Errorf("%q", text)
 	}
-	for _, bad := range []Options{{}, {Workers: 1, Readers: 0.5}, {Workers: Most + 1, Readers: 0.5}, {Workers: 9}, {Workers: 9, Readers: 1}} {
+	for _, bad := range []Options{{}, {Workers: 1, Readers: 0.5}, {Workers: MaxWorkers + 1, Readers: 0.5}, {Workers: 9}, {Workers: 9, Readers: 1}} {
 		if f, err := Start(bad); err == nil {
 			f.Close()
 			t.Errorf("%+v: started", bad)
--- a/internal/scale/listrun/listrun.go
+++ b/internal/scale/listrun/listrun.go
@@ -34,13 +34,13 @@
 type Step struct {
 	Name      string
 	Changes   int           // number of versions published
-	Long      time.Duration // from the first change until the last router received the last one
-	Delay50   time.Duration // median time from a change until a simulated router received it or a later one
-	DelayLast time.Duration // ... until the last of them received it
+	Duration  time.Duration // from the first change until the last router received the last one
+	DelayP50  time.Duration // median time from a change until a simulated router received it or a later one
+	DelayMax  time.Duration // ... until the last of them received it
 	RealDelay time.Duration // longest time from a change until the real router received it
-	Mean      float64       // bytes received by a simulated router
-	Most      int64         // bytes received by the simulated router that received the most
-	Worst5    float64       // bytes per second received in the busiest five seconds, mean over the simulated routers
+	MeanBytes float64       // bytes received by a simulated router
+	MaxBytes  int64         // bytes received by the simulated router that received the most
+	PeakRate  float64       // bytes per second received in the busiest five seconds, mean over the simulated routers
 	RealCPU   time.Duration // processor time of the real router
 	RealBytes int64         // bytes received by the real router from discovery
 }
@@ -65,13 +65,13 @@
 // Run measures all kinds of changes one after the other. On an error it also returns the steps that were completed.
 func Run(ctx context.Context, o Options) (steps []Step, err error) {
 	d, err := onerouter.Deploy(ctx, onerouter.Options{Program: o.Program, Routers: o.Routers, Workers: o.Workers, Readers: o.Readers,
-		Zones: o.Zones, MemoryMB: onerouter.DefaultMemory, Sockets: onerouter.DefaultSockets, Seed: o.Seed})
+		Zones: o.Zones, MemoryMB: onerouter.DefaultMemoryMB, Sockets: onerouter.DefaultSockets, Seed: o.Seed})
 	if err != nil {
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, d.Close()) }()
 	r := &run{Options: o, registry: d.Registry, router: d.Router, hosts: d.Registry.Hosts(), random: rand.New(rand.NewPCG(o.Seed, 0))}
-	endpoint, err := r.registry.Open()
+	endpoint, err := r.registry.AddEndpoint()
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 // applyChange publishes a change and waits until all simulated routers have received it.
 func (r *run) applyChange(ctx context.Context, hosts []httpfront.Entry) (delays []time.Duration, err error) {
 	at := time.Now()
-	seq := r.registry.Change(hosts...)
+	seq := r.registry.Update(hosts...)
 	ctx, stop := context.WithTimeout(ctx, changeTimeout)
 	defer stop()
 	times, err := r.group.Wait(ctx, seq)
@@ -121,8 +121,8 @@
 	peakRate := measurePeakRate(r.group)
 	startedAt := time.Now()
 	err = measure(&s)
-	s.Long = time.Since(startedAt)
-	s.Worst5 = peakRate()
+	s.Duration = time.Since(startedAt)
+	s.PeakRate = peakRate()
 	if err != nil {
 		return s, err
 	}
@@ -134,8 +134,8 @@
 	s.RealBytes = after.Discovery.In - before.Discovery.In
 	for i, n := range r.group.Bytes() {
 		received := n - bytes[i]
-		s.Mean += float64(received) / float64(r.Routers-1)
-		s.Most = max(s.Most, received)
+		s.MeanBytes += float64(received) / float64(r.Routers-1)
+		s.MaxBytes = max(s.MaxBytes, received)
 	}
 	return s, nil
 }
@@ -178,16 +178,16 @@
 // setDelays sets the delays of the step from those of single routers.
 func (s *Step) setDelays(delays []time.Duration) {
 	slices.Sort(delays)
-	s.Delay50, s.DelayLast = delays[len(delays)/2], delays[len(delays)-1]
+	s.DelayP50, s.DelayMax = delays[len(delays)/2], delays[len(delays)-1]
 }
 
 // waitForRealRouter waits until the real router has received version seq, and returns the time since from.
 func (r *run) waitForRealRouter(ctx context.Context, from time.Time, seq int64) (time.Duration, error) {
 	for time.Since(from) < changeTimeout {
-		if r.router.Version() >= seq {
+		if r.router.ListVersion() >= seq {
 			return time.Since(from), nil
 		}
-		if err := onerouter.Pause(ctx, pollInterval); err != nil {
+		if err := onerouter.Sleep(ctx, pollInterval); err != nil {
 			return 0, err
 		}
 	}
@@ -196,7 +196,7 @@
 
 // idle measures watches without changes.
 func (r *run) idle(ctx context.Context) (Step, error) {
-	return r.measureStep("no change", func(*Step) error { return onerouter.Pause(ctx, r.Idle) })
+	return r.measureStep("no change", func(*Step) error { return onerouter.Sleep(ctx, r.Idle) })
 }
 
 // oneByOne measures changes that are made one at a time.
@@ -215,7 +215,7 @@
 				return err
 			}
 			s.RealDelay = max(s.RealDelay, took)
-			if err := onerouter.Pause(ctx, r.Interval-time.Since(at)); err != nil {
+			if err := onerouter.Sleep(ctx, r.Interval-time.Since(at)); err != nil {
 				return err
 			}
 		}
@@ -229,7 +229,7 @@
 func (r *run) burst(ctx context.Context) (Step, error) {
 	return r.measureStep("burst", func(s *Step) error {
 		for range r.Changes - 1 {
-			r.registry.Change(r.touchRandomWorker()...)
+			r.registry.Update(r.touchRandomWorker()...)
 		}
 		s.Changes = r.Changes
 		return r.applyLastChange(ctx, s, r.touchRandomWorker())
--- a/internal/scale/onerouter/deployment.go
+++ b/internal/scale/onerouter/deployment.go
@@ -32,7 +32,7 @@
 
 // startRouter starts the router with its own endpoint of discovery, so that its traffic is counted separately.
 func (d *Deployment) startRouter(ctx context.Context, o Options) error {
-	endpoint, err := d.Registry.Open()
+	endpoint, err := d.Registry.AddEndpoint()
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 
 // StartLoad starts the clients and, if configured, the scrapes of metrics. The returned function stops both and
 // returns the outcomes of the requests; it may be called more than once.
-func (d *Deployment) Play(ctx context.Context, o Options) (end func() load.Result) {
+func (d *Deployment) StartLoad(ctx context.Context, o Options) (end func() load.Result) {
 	loadCtx, stop := context.WithCancel(ctx)
 	result := make(chan load.Result, 1)
 	go func() {
@@ -60,7 +60,7 @@
 // Close stops everything.
 func (d *Deployment) Close() (err error) {
 	if d.Router != nil {
-		err = d.Router.End()
+		err = d.Router.Stop()
 	}
 	d.Registry.Close()
 	d.fleet.Close()
--- a/internal/scale/onerouter/onerouter.go
+++ b/internal/scale/onerouter/onerouter.go
@@ -41,28 +41,28 @@
 // Result holds the measurements of a run.
 type Result struct {
 	Options
-	CPU         time.Duration // processor time of the router in the window
-	Resident    int64         // bytes of memory at the end
-	Threads     int
-	Descriptors int           // open at the end
-	Met         hollow.Counts // messages and connections at the workers
-	Discovery   Flow          // bytes exchanged with discovery
-	Scrapes     Scrapes
-	Log         int64         // bytes of the router's log
-	Load        load.Result   // over the whole run
-	Ready       time.Duration // from the router's start until it was ready
+	CPU          time.Duration // processor time of the router in the window
+	Resident     int64         // bytes of memory at the end
+	Threads      int
+	Descriptors  int           // open at the end
+	WorkerCounts hollow.Counts // messages and connections at the workers
+	Discovery    Traffic       // bytes exchanged with discovery
+	Scrapes      Scrapes
+	LogBytes     int64         // bytes of the router's log
+	Load         load.Result   // over the whole run
+	StartupTime  time.Duration // from the router's start until it was ready
 }
 
-// Flow counts bytes received and sent by the router, above TCP.
-type Flow struct{ In, Out int64 }
+// Traffic counts bytes received and sent by the router, above TCP.
+type Traffic struct{ In, Out int64 }
 
 // PerSecond returns a count of the window as a rate.
 func (r Result) PerSecond(n int64) float64 { return float64(n) / r.Window.Seconds() }
 
 // Default limits in the router's configuration.
 const (
-	DefaultMemory  = 192 // MB
-	DefaultSockets = 1024
+	DefaultMemoryMB = 192 // MB
+	DefaultSockets  = 1024
 )
 
 const (
@@ -114,17 +114,17 @@
 		return Result{}, err
 	}
 	defer func() { err = errors.Join(err, d.Close()) }()
-	result = Result{Options: o, Ready: d.Router.Ready}
-	stopLoad := d.Play(ctx, o)
+	result = Result{Options: o, StartupTime: d.Router.StartupTime}
+	stopLoad := d.StartLoad(ctx, o)
 	defer stopLoad()
-	if err := Pause(ctx, o.Settle); err != nil {
+	if err := Sleep(ctx, o.Settle); err != nil {
 		return Result{}, err
 	}
 	before, err := d.Router.Sample()
 	if err != nil {
 		return Result{}, err
 	}
-	if err := Pause(ctx, o.Window); err != nil {
+	if err := Sleep(ctx, o.Window); err != nil {
 		return Result{}, err
 	}
 	after, err := d.Router.Sample()
@@ -137,7 +137,7 @@
 }
 
 // Sleep waits for the given time. It returns early with an error if ctx ends.
-func Pause(ctx context.Context, wait time.Duration) error {
+func Sleep(ctx context.Context, wait time.Duration) error {
 	select {
 	case <-time.After(wait):
 		return nil
@@ -147,12 +147,12 @@
 }
 
 // setUsage sets the measurements from snapshots at the start and the end of the window.
-func (r *Result) setUsage(a, b Moment) {
+func (r *Result) setUsage(a, b Snapshot) {
 	r.Window = b.Process.At.Sub(a.Process.At)
 	r.CPU = b.Process.CPU - a.Process.CPU
 	r.Resident, r.Threads, r.Descriptors = b.Process.Resident, b.Process.Threads, b.Process.Descriptors
-	r.Met = b.Workers.Since(a.Workers)
-	r.Discovery = Flow{In: b.Discovery.In - a.Discovery.In, Out: b.Discovery.Out - a.Discovery.Out}
-	r.Log = b.Log - a.Log
+	r.WorkerCounts = b.Workers.Since(a.Workers)
+	r.Discovery = Traffic{In: b.Discovery.In - a.Discovery.In, Out: b.Discovery.Out - a.Discovery.Out}
+	r.LogBytes = b.LogBytes - a.LogBytes
 	r.Scrapes = b.Scrapes.since(a.Scrapes)
 }
--- a/internal/scale/onerouter/process.go
+++ b/internal/scale/onerouter/process.go
@@ -37,7 +37,7 @@
 // Process is the measured router, with the components whose counts belong to it.
 type Process struct {
 	fleet     *hollow.Fleet
-	endpoint  *registry.Door
+	endpoint  *registry.Endpoint
 	command   *exec.Cmd
 	address   string
 	dir       string
@@ -47,7 +47,7 @@
 	startedAt time.Time
 	exited    chan struct{} // closed once the process has exited
 
-	Ready time.Duration // from the start until the router was ready
+	StartupTime time.Duration // from the start until the router was ready
 }
 
 // logCounts holds what has been learned from the router's log so far.
@@ -96,14 +96,14 @@
 }
 
 // Start starts a router process that knows the given hosts, and waits until it is ready.
-func Start(ctx context.Context, o Options, fleet *hollow.Fleet, endpoint *registry.Door, hosts []httpfront.Entry) (*Process, error) {
+func Start(ctx context.Context, o Options, fleet *hollow.Fleet, endpoint *registry.Endpoint, hosts []httpfront.Entry) (*Process, error) {
 	r, err := startProcess(o, hosts, endpoint.Address)
 	if err != nil {
 		return nil, err
 	}
 	r.fleet, r.endpoint = fleet, endpoint
-	if r.Ready, err = r.waitReady(ctx); err != nil {
-		return nil, errors.Join(err, r.End())
+	if r.StartupTime, err = r.waitReady(ctx); err != nil {
+		return nil, errors.Join(err, r.Stop())
 	}
 	return r, nil
 }
@@ -168,7 +168,7 @@
 	ctx, stop := context.WithTimeout(ctx, reloadTimeout)
 	defer stop()
 	for r.log.counts().settings == before {
-		if err := Pause(ctx, reloadPollInterval); err != nil {
+		if err := Sleep(ctx, reloadPollInterval); err != nil {
 			return fmt.Errorf("the router did not apply its new settings: %w: %s", err, r.log.lastLine())
 		}
 	}
@@ -208,23 +208,23 @@
 }
 
 // Snapshot holds all counts at one time.
-type Moment struct {
+type Snapshot struct {
 	Process   procstat.Sample
 	Workers   hollow.Counts
-	Discovery Flow
+	Discovery Traffic
 	Scrapes   Scrapes
-	Log       int64 // bytes of the router's log
+	LogBytes  int64 // bytes of the router's log
 }
 
 // Sample returns all current counts.
-func (r *Process) Sample() (Moment, error) {
+func (r *Process) Sample() (Snapshot, error) {
 	process, err := procstat.Read(r.command.Process.Pid)
 	if err != nil {
-		return Moment{}, fmt.Errorf("the router has exited: %w: %s", err, r.log.lastLine())
+		return Snapshot{}, fmt.Errorf("the router has exited: %w: %s", err, r.log.lastLine())
 	}
 	toDiscovery, fromDiscovery := r.endpoint.Bytes()
-	return Moment{Process: process, Workers: r.fleet.Counts(), Log: r.log.counts().bytes, Scrapes: r.scraper.counts(),
-		Discovery: Flow{In: fromDiscovery, Out: toDiscovery}}, nil
+	return Snapshot{Process: process, Workers: r.fleet.Counts(), LogBytes: r.log.counts().bytes, Scrapes: r.scraper.counts(),
+		Discovery: Traffic{In: fromDiscovery, Out: toDiscovery}}, nil
 }
 
 // listTaken matches the log line of a router that has taken a list.
@@ -234,10 +234,10 @@
 var settingsTaken = []byte(`msg="new settings" `)
 
 // ListVersion returns the latest version of the list that the router has logged, or 0 if there is none.
-func (r *Process) Version() int64 { return r.log.counts().version }
+func (r *Process) ListVersion() int64 { return r.log.counts().version }
 
 // Stop stops the process and removes its files.
-func (r *Process) End() error {
+func (r *Process) Stop() error {
 	_ = r.command.Process.Signal(syscall.SIGTERM) // it may have exited already
 	select {
 	case <-r.exited:
--- a/internal/scale/onerouter/scrape.go
+++ b/internal/scale/onerouter/scrape.go
@@ -11,13 +11,13 @@
 
 // Scrapes counts scrapes of the router's metrics.
 type Scrapes struct {
-	Good, Failed int64
-	Bytes        int64 // of the bodies of successful scrapes
+	Succeeded, Failed int64
+	Bytes             int64 // of the bodies of successful scrapes
 }
 
 // since returns the difference to earlier counts.
 func (s Scrapes) since(before Scrapes) Scrapes {
-	return Scrapes{Good: s.Good - before.Good, Failed: s.Failed - before.Failed, Bytes: s.Bytes - before.Bytes}
+	return Scrapes{Succeeded: s.Succeeded - before.Succeeded, Failed: s.Failed - before.Failed, Bytes: s.Bytes - before.Bytes}
 }
 
 // scraper requests a router's metrics.
@@ -27,7 +27,7 @@
 }
 
 func (s *scraper) counts() Scrapes {
-	return Scrapes{Good: s.good.Load(), Failed: s.failed.Load(), Bytes: s.bytes.Load()}
+	return Scrapes{Succeeded: s.good.Load(), Failed: s.failed.Load(), Bytes: s.bytes.Load()}
 }
 
 // run scrapes at the given interval over a kept connection until ctx ends.
--- a/internal/scale/onerouter/table.go
+++ b/internal/scale/onerouter/table.go
@@ -17,12 +17,12 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "workers\trequests/s\tserved\tCPU %\tMB\tdescriptors\tthreads\tconnections/s\tprobes/s\tprobe B/s\treleases/s\trelease B/s\tdiscovery B/s\tscrapes/s\tscrape B/s\tlog B/s\tready s\t")
 	for _, r := range results {
-		probes, releases := r.Met.By[hollow.Probe], r.Met.By[hollow.Release]
+		probes, releases := r.WorkerCounts.ByKind[hollow.Probe], r.WorkerCounts.ByKind[hollow.Release]
 		fmt.Fprintf(table, "%d\t%g\t%.3f\t%.2f\t%.1f\t%d\t%d\t%.1f\t%.1f\t%.0f\t%.1f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f\t%.2f\t\n",
 			r.Workers, r.Rate, r.servedShare(), 100*r.cpuShare(), float64(r.Resident)/bytesPerMB, r.Descriptors, r.Threads,
-			r.PerSecond(r.Met.Connections), r.PerSecond(probes.Messages), r.PerSecond(probes.In+probes.Out),
+			r.PerSecond(r.WorkerCounts.Connections), r.PerSecond(probes.Messages), r.PerSecond(probes.In+probes.Out),
 			r.PerSecond(releases.Messages), r.PerSecond(releases.In+releases.Out),
-			r.PerSecond(r.Discovery.In+r.Discovery.Out), r.PerSecond(r.Scrapes.Good), r.PerSecond(r.Scrapes.Bytes), r.PerSecond(r.Log), r.Ready.Seconds())
+			r.PerSecond(r.Discovery.In+r.Discovery.Out), r.PerSecond(r.Scrapes.Succeeded), r.PerSecond(r.Scrapes.Bytes), r.PerSecond(r.LogBytes), r.StartupTime.Seconds())
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -40,8 +40,8 @@
 	{"CPU %", func(r Result) float64 { return 100 * r.cpuShare() }},
 	{"MB", func(r Result) float64 { return float64(r.Resident) / bytesPerMB }},
 	{"descriptors", func(r Result) float64 { return float64(r.Descriptors) }},
-	{"probes/s", func(r Result) float64 { return r.PerSecond(r.Met.By[hollow.Probe].Messages) }},
-	{"connections/s", func(r Result) float64 { return r.PerSecond(r.Met.Connections) }},
+	{"probes/s", func(r Result) float64 { return r.PerSecond(r.WorkerCounts.ByKind[hollow.Probe].Messages) }},
+	{"connections/s", func(r Result) float64 { return r.PerSecond(r.WorkerCounts.Connections) }},
 }
 
 // writeFits writes the fitted lines of each rate.
--- a/internal/scale/registry/registry.go
+++ b/internal/scale/registry/registry.go
@@ -30,7 +30,7 @@
 	seq       int64
 	history   []change      // the latest changes, oldest first
 	changed   chan struct{} // closed and replaced on each change
-	endpoints []*Door
+	endpoints []*Endpoint
 	stop      chan struct{}
 }
 
@@ -50,22 +50,22 @@
 }
 
 // Endpoint is an address of a Registry that counts its own bytes.
-type Door struct {
+type Endpoint struct {
 	Address string
 	in, out atomic.Int64
 	server  *http.Server
 }
 
 // Bytes returns the bytes received and sent so far, above TCP.
-func (d *Door) Bytes() (in, out int64) { return d.in.Load(), d.out.Load() }
+func (d *Endpoint) Bytes() (in, out int64) { return d.in.Load(), d.out.Load() }
 
 // AddEndpoint starts serving the Registry at a new address.
-func (r *Registry) Open() (*Door, error) {
+func (r *Registry) AddEndpoint() (*Endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{Address: l.Addr().String()}
+	d := &Endpoint{Address: l.Addr().String()}
 	d.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	r.mu.Lock()
 	r.endpoints = append(r.endpoints, d)
@@ -85,7 +85,7 @@
 }
 
 // Update sets entries and returns the version that contains them. An entry whose health is "removed" leaves the list.
-func (r *Registry) Change(hosts ...httpfront.Entry) int64 {
+func (r *Registry) Update(hosts ...httpfront.Entry) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, h := range hosts {
@@ -204,7 +204,7 @@
 // countingListener counts the bytes of all its connections at an Endpoint.
 type countingListener struct {
 	net.Listener
-	endpoint *Door
+	endpoint *Endpoint
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -217,7 +217,7 @@
 
 type countingConn struct {
 	net.Conn
-	endpoint *Door
+	endpoint *Endpoint
 }
 
 func (c *countingConn) Read(p []byte) (int, error) {
--- a/internal/scale/settingsrun/settingsrun.go
+++ b/internal/scale/settingsrun/settingsrun.go
@@ -23,11 +23,11 @@
 
 // Result holds the measurements of a run.
 type Result struct {
-	Delays  []time.Duration // from writing the file until the router logs that it has applied the settings, shortest first
-	Window  time.Duration   // duration of all changes together
-	CPU     time.Duration   // processor time of the router in the window
-	Without time.Duration   // ... in a window of the same length without changes
-	Load    load.Result     // over the whole run
+	Delays      []time.Duration // from writing the file until the router logs that it has applied the settings, shortest first
+	Window      time.Duration   // duration of all changes together
+	CPU         time.Duration   // processor time of the router in the window
+	BaselineCPU time.Duration   // ... in a window of the same length without changes
+	Load        load.Result     // over the whole run
 }
 
 // Run starts a router under load, changes its settings, and returns the measurements.
@@ -38,16 +38,16 @@
 		return Result{}, err
 	}
 	defer func() { err = errors.Join(err, d.Close()) }()
-	stopLoad := d.Play(ctx, o.Options)
+	stopLoad := d.StartLoad(ctx, o.Options)
 	defer stopLoad()
-	if err := onerouter.Pause(ctx, o.Settle); err != nil {
+	if err := onerouter.Sleep(ctx, o.Settle); err != nil {
 		return Result{}, err
 	}
 	result.CPU, result.Window, err = measureCPU(d.Router, func() error { return o.changeSettings(ctx, d.Router, &result) })
 	if err != nil {
 		return Result{}, err
 	}
-	result.Without, _, err = measureCPU(d.Router, func() error { return onerouter.Pause(ctx, result.Window) })
+	result.BaselineCPU, _, err = measureCPU(d.Router, func() error { return onerouter.Sleep(ctx, result.Window) })
 	result.Load = stopLoad()
 	slices.Sort(result.Delays)
 	return result, err
@@ -78,7 +78,7 @@
 			return fmt.Errorf("change %d: %w", n+1, err)
 		}
 		result.Delays = append(result.Delays, time.Since(startedAt))
-		if err := onerouter.Pause(ctx, o.Interval-time.Since(startedAt)); err != nil {
+		if err := onerouter.Sleep(ctx, o.Interval-time.Since(startedAt)); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/soak/deployment.go
+++ b/internal/scale/soak/deployment.go
@@ -126,7 +126,7 @@
 	if r.dir, err = os.MkdirTemp(d.dir, r.name); err != nil {
 		return err
 	}
-	endpoint, err := d.registry.Open()
+	endpoint, err := d.registry.AddEndpoint()
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 // inject injects one fault and ends it after its duration.
 func (d *deployment) inject(f Fault) {
 	switch f.Kind {
-	case DiscoverySilent, DiscoveryResets, RouterEnds, RouterKilled, RouterReloads, ClockStepped, Crowd:
+	case DiscoverySilent, DiscoveryResets, RouterTerminated, RouterKilled, RouterReloads, ClockStepped, IdleConnections:
 		d.injectIntoRouter(f, d.routers[f.Target])
 	default:
 		d.injectIntoWorker(f, d.workers[f.Target])
@@ -238,7 +238,7 @@
 	case DiscoverySilent:
 		from := time.Now()
 		r.discovery.Set(faultproxy.Silent)
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		r.discovery.Set(faultproxy.None)
 		d.mu.Lock()
 		d.discoveryOutages = append(d.discoveryOutages, discoveryOutage{r.number, from, time.Now()})
@@ -249,56 +249,56 @@
 		// The outage lasts until the router reconnects.
 		d.discoveryOutages = append(d.discoveryOutages, discoveryOutage{r.number, time.Now(), time.Now().Add(discoveryDelayLimit)})
 		d.mu.Unlock()
-	case RouterEnds:
+	case RouterTerminated:
 		r.terminate()
 		_ = r.start(d.plan.Routers)
 	case RouterKilled:
 		r.kill()
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		_ = r.start(d.plan.Routers)
 	case RouterReloads:
 		r.reload(f.Amount)
 	case ClockStepped:
 		_ = r.stepClock(f.Amount)
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		_ = r.stepClock(0)
-	case Crowd:
-		r.openIdleConnections(f.Amount, f.For)
+	case IdleConnections:
+		r.openIdleConnections(f.Amount, f.Duration)
 	}
 }
 
 func (d *deployment) injectIntoWorker(f Fault, w *worker) {
 	injectNetworkFault := func(set func()) {
 		set()
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		w.proxy.Set(faultproxy.None)
 	}
 	switch f.Kind {
 	case WorkerSilent:
 		injectNetworkFault(func() { w.proxy.SetAfter(faultproxy.Silent, f.Amount, 0) })
-	case WorkerNeverUp:
-		injectNetworkFault(func() { w.proxy.SetAfter(faultproxy.NeverUp, f.Amount, 0) })
+	case WorkerUnreachable:
+		injectNetworkFault(func() { w.proxy.SetAfter(faultproxy.Unreachable, f.Amount, 0) })
 	case WorkerRefuses:
 		injectNetworkFault(func() { w.proxy.Set(faultproxy.Refused) })
-	case WorkerLate:
-		injectNetworkFault(func() { w.proxy.SetLate(time.Duration(f.Amount) * time.Millisecond) })
-	case WorkerMuted:
-		w.proxy.Mute()
+	case WorkerDelayed:
+		injectNetworkFault(func() { w.proxy.SetDelayed(time.Duration(f.Amount) * time.Millisecond) })
+	case WorkerOpenSilent:
+		w.proxy.SilenceOpen()
 	case WorkerResets:
 		w.proxy.Reset()
 	case WorkerStopped:
 		d.signalWorker(w, syscall.SIGSTOP)
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		d.signalWorker(w, syscall.SIGCONT)
 	case WorkerKilled:
 		d.signalWorker(w, syscall.SIGKILL)
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		if d.startWorker(w) == nil {
 			d.changeEntry(w, func() { w.bornMs = float64(wallclock.Milliseconds()) })
 		}
 	case WorkerDrains:
 		d.changeEntry(w, func() { w.health = "draining" })
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		d.changeEntry(w, func() { w.health = "up" })
 	}
 }
@@ -318,7 +318,7 @@
 	change()
 	entry := w.entry()
 	d.mu.Unlock()
-	d.registry.Change(entry)
+	d.registry.Update(entry)
 	d.mu.Lock()
 	d.healthChanges = append(d.healthChanges, healthChange{time.Now(), w.host, entry.Health})
 	d.mu.Unlock()
--- a/internal/scale/soak/judge.go
+++ b/internal/scale/soak/judge.go
@@ -13,16 +13,16 @@
 
 // The invariants.
 const (
-	Answered Rule = "every request is answered once and in time"
-	Once     Rule = "a request that must not run twice runs at most once"
-	Pinned   Rule = "state held for a request is fetched or released in time"
-	Drained  Rule = "a draining worker gets no new attempts"
-	Gone     Rule = "no attempt starts for a client that has disconnected"
-	Told     Rule = "a worker is sent no more time than the client has left"
-	Ready    Rule = "a router process is ready in time"
-	Bounded  Rule = "memory and descriptors stay within their limits"
-	Alive    Rule = "no router process exits by itself"
-	Guarded  Rule = "no internal invariant check fails"
+	RuleAnsweredOnce         Rule = "every request is answered once and in time"
+	RuleAtMostOnce           Rule = "a request that must not run twice runs at most once"
+	RuleStateReleased        Rule = "state held for a request is fetched or released in time"
+	RuleDrainRespected       Rule = "a draining worker gets no new attempts"
+	RuleDisconnectRespected  Rule = "no attempt starts for a client that has disconnected"
+	RuleDeadlinePropagated   Rule = "a worker is sent no more time than the client has left"
+	RuleReadyInTime          Rule = "a router process is ready in time"
+	RuleResourcesBounded     Rule = "memory and descriptors stay within their limits"
+	RuleNoCrash              Rule = "no router process exits by itself"
+	RuleNoInvariantViolation Rule = "no internal invariant check fails"
 )
 
 // Limits that the checks apply.
@@ -40,11 +40,11 @@
 )
 
 // Violation is one violation of an invariant.
-type Broken struct {
-	Rule     Rule
-	What     string
-	ID       string   // of the request concerned, if there is one
-	Evidence []string // log lines and events of that request, in order of time
+type Violation struct {
+	Rule      Rule
+	Message   string
+	RequestID string   // of the request concerned, if there is one
+	Evidence  []string // log lines and events of that request, in order of time
 }
 
 // Report is the outcome of a run.
@@ -54,16 +54,16 @@
 	Failed, Unanswered        int
 	Faults                    int
 	Processes                 int
-	Broken                    []Broken
+	Violations                []Violation
 }
 
 // String returns a summary line, followed by the violations, each with its evidence.
 func (r Report) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d: %d processes, %d faults, %d requests: %d served, %d refused, %d failed, %d without a response; %d violations",
-		r.Seed, r.Processes, r.Faults, r.Requests, r.Served, r.Refused, r.Failed, r.Unanswered, len(r.Broken))
-	for _, b := range r.Broken {
-		fmt.Fprintf(&text, "\n  %s: %s", b.Rule, b.What)
+		r.Seed, r.Processes, r.Faults, r.Requests, r.Served, r.Refused, r.Failed, r.Unanswered, len(r.Violations))
+	for _, b := range r.Violations {
+		fmt.Fprintf(&text, "\n  %s: %s", b.Rule, b.Message)
 		for _, line := range b.Evidence {
 			fmt.Fprintf(&text, "\n    %s", line)
 		}
@@ -104,12 +104,12 @@
 			report.Failed++
 		}
 	}
-	for _, rule := range []func(*records) []Broken{checkAnswers, checkEffects, checkStates, checkDrains, checkDisconnects,
+	for _, rule := range []func(*records) []Violation{checkAnswers, checkEffects, checkStates, checkDrains, checkDisconnects,
 		checkDeadlines, checkRouters} {
-		report.Broken = append(report.Broken, rule(rec)...)
+		report.Violations = append(report.Violations, rule(rec)...)
 	}
-	for i := range report.Broken {
-		report.Broken[i].Evidence = rec.evidence(report.Broken[i].ID)
+	for i := range report.Violations {
+		report.Violations[i].Evidence = rec.evidence(report.Violations[i].RequestID)
 	}
 	return report
 }
@@ -149,23 +149,23 @@
 }
 
 // checkAnswers finds requests that got no response, or got it too late.
-func checkAnswers(rec *records) (found []Broken) {
+func checkAnswers(rec *records) (found []Violation) {
 	for _, s := range rec.requests {
 		if !s.disconnectedAt.IsZero() {
 			continue
 		}
 		if s.status != 0 && s.status != 200 && s.ended.Sub(s.at) > s.firstTokenTimeout+responseSlack+clockSlack {
-			found = append(found, Broken{Rule: Answered,
-				What: fmt.Sprintf("%s answered with status %d after %v, allowed were %v", s.id, s.status, s.ended.Sub(s.at),
-					s.firstTokenTimeout), ID: s.id})
+			found = append(found, Violation{Rule: RuleAnsweredOnce,
+				Message: fmt.Sprintf("%s answered with status %d after %v, allowed were %v", s.id, s.status, s.ended.Sub(s.at),
+					s.firstTokenTimeout), RequestID: s.id})
 		}
 		if s.status != 0 {
 			continue
 		}
 		if reason := rec.excuse(s); reason == "" {
-			found = append(found, Broken{Rule: Answered,
-				What: fmt.Sprintf("%s at n%d has no response %v after it was sent, reused connection %v, seen by workers %v",
-					s.id, s.router, s.ended.Sub(s.at), s.reusedConn, len(rec.eventsByID[s.id]) > 0), ID: s.id})
+			found = append(found, Violation{Rule: RuleAnsweredOnce,
+				Message: fmt.Sprintf("%s at n%d has no response %v after it was sent, reused connection %v, seen by workers %v",
+					s.id, s.router, s.ended.Sub(s.at), s.reusedConn, len(rec.eventsByID[s.id]) > 0), RequestID: s.id})
 		}
 	}
 	return found
@@ -191,7 +191,7 @@
 }
 
 // checkEffects finds non-idempotent requests whose write ran more than once.
-func checkEffects(rec *records) (found []Broken) {
+func checkEffects(rec *records) (found []Violation) {
 	effects := make(map[string]int)
 	for _, e := range rec.events {
 		if e.kind == effectRan {
@@ -204,14 +204,14 @@
 	}
 	for id, n := range effects {
 		if nonIdempotent[id] && n > 1 {
-			found = append(found, Broken{Rule: Once, What: fmt.Sprintf("%s ran %d times", id, n), ID: id})
+			found = append(found, Violation{Rule: RuleAtMostOnce, Message: fmt.Sprintf("%s ran %d times", id, n), RequestID: id})
 		}
 	}
 	return found
 }
 
 // checkStates finds state that a reader held for too long while its request had no attempt running at any worker.
-func checkStates(rec *records) (found []Broken) {
+func checkStates(rec *records) (found []Violation) {
 	for id, events := range rec.eventsByID {
 		if rec.routerWasKilled(id) {
 			continue
@@ -245,17 +245,17 @@
 }
 
 // checkState goes through the events of one request.
-func checkState(id string, events []event) *Broken {
+func checkState(id string, events []event) *Violation {
 	isHeld := false
 	active := make(map[string]int)
 	var idleSince time.Time // since when no attempt of the request has been running
-	check := func(until time.Time) *Broken {
+	check := func(until time.Time) *Violation {
 		activeCount := 0
 		for _, n := range active {
 			activeCount += n
 		}
 		if idleFor := until.Sub(idleSince); isHeld && activeCount == 0 && idleFor > idleHoldLimit+idleHoldSlack {
-			return &Broken{Rule: Pinned, What: fmt.Sprintf("%s: its state was held for %v with no attempt running", id, idleFor), ID: id}
+			return &Violation{Rule: RuleStateReleased, Message: fmt.Sprintf("%s: its state was held for %v with no attempt running", id, idleFor), RequestID: id}
 		}
 		return nil
 	}
@@ -294,7 +294,7 @@
 }
 
 // checkDrains finds attempts at workers that the router knew to be draining.
-func checkDrains(rec *records) (found []Broken) {
+func checkDrains(rec *records) (found []Violation) {
 	router := make(map[string]int)
 	for _, s := range rec.requests {
 		router[s.id] = s.router
@@ -308,8 +308,8 @@
 			continue
 		}
 		if knownSince, ok := rec.drainKnownSince(e.host, number, e.at); ok && e.at.Sub(knownSince) > drainGrace+clockSlack {
-			found = append(found, Broken{Rule: Drained,
-				What: fmt.Sprintf("%s at %s, %v after the router learned that it drains", e.id, e.host, e.at.Sub(knownSince)), ID: e.id})
+			found = append(found, Violation{Rule: RuleDrainRespected,
+				Message: fmt.Sprintf("%s at %s, %v after the router learned that it drains", e.id, e.host, e.at.Sub(knownSince)), RequestID: e.id})
 		}
 	}
 	return found
@@ -351,14 +351,14 @@
 }
 
 // checkDisconnects finds attempts that began after their client had closed its connection.
-func checkDisconnects(rec *records) (found []Broken) {
+func checkDisconnects(rec *records) (found []Violation) {
 	for _, s := range rec.requests {
 		if s.disconnectedAt.IsZero() {
 			continue
 		}
 		for _, sentAt := range rec.sendTimes(s, "") {
 			if late := sentAt.Sub(s.disconnectedAt); late > disconnectGrace+clockSlack {
-				found = append(found, Broken{Rule: Gone, What: fmt.Sprintf("%s sent %v after its client disconnected", s.id, late), ID: s.id})
+				found = append(found, Violation{Rule: RuleDisconnectRespected, Message: fmt.Sprintf("%s sent %v after its client disconnected", s.id, late), RequestID: s.id})
 			}
 		}
 	}
@@ -377,7 +377,7 @@
 }
 
 // checkDeadlines finds attempts whose X-Remaining-Ms gave the worker more time than the client had left.
-func checkDeadlines(rec *records) (found []Broken) {
+func checkDeadlines(rec *records) (found []Violation) {
 	for _, s := range rec.requests {
 		for _, e := range rec.eventsByID[s.id] {
 			if e.kind != attemptArrived {
@@ -390,8 +390,8 @@
 				}
 			}
 			if e.deadline > s.firstTokenTimeout-elapsed+deadlineSlack+clockSlack {
-				found = append(found, Broken{Rule: Told, ID: s.id,
-					What: fmt.Sprintf("%s at %s: was given %v when %v of %v had passed", s.id, e.host, e.deadline, elapsed, s.firstTokenTimeout)})
+				found = append(found, Violation{Rule: RuleDeadlinePropagated, RequestID: s.id,
+					Message: fmt.Sprintf("%s at %s: was given %v when %v of %v had passed", s.id, e.host, e.deadline, elapsed, s.firstTokenTimeout)})
 			}
 		}
 	}
@@ -400,26 +400,26 @@
 
 // forbiddenLogTexts maps texts that no router may log to the invariant that each of them shows to be violated.
 var forbiddenLogTexts = map[string]Rule{
-	"invariant violated": Guarded, "panicked": Guarded, "msg=overdue": Answered,
-	"floods a request": Guarded, "panic:": Alive, "DATA RACE": Alive}
+	"invariant violated": RuleNoInvariantViolation, "panicked": RuleNoInvariantViolation, "msg=overdue": RuleAnsweredOnce,
+	"floods a request": RuleNoInvariantViolation, "panic:": RuleNoCrash, "DATA RACE": RuleNoCrash}
 
 // checkRouters finds router processes that exited by themselves, were not ready in time, used too many resources, or logged a
 // forbidden text.
-func checkRouters(rec *records) (found []Broken) {
+func checkRouters(rec *records) (found []Violation) {
 	for _, r := range rec.routers {
 		for _, exit := range r.crashed {
-			found = append(found, Broken{Rule: Alive, What: fmt.Sprintf("%s exited by itself: %s", r.name, exit)})
+			found = append(found, Violation{Rule: RuleNoCrash, Message: fmt.Sprintf("%s exited by itself: %s", r.name, exit)})
 		}
 		if r.notReady > 0 {
-			found = append(found, Broken{Rule: Ready, What: fmt.Sprintf("%s: %d processes not ready within %v", r.name, r.notReady, readyTimeout)})
+			found = append(found, Violation{Rule: RuleReadyInTime, Message: fmt.Sprintf("%s: %d processes not ready within %v", r.name, r.notReady, readyTimeout)})
 		}
 		if r.peak.Resident > routerMemoryMB<<20 || r.peak.Descriptors > routerMaxDescriptors {
-			found = append(found, Broken{Rule: Bounded, What: fmt.Sprintf("%s: %d MB, %d descriptors", r.name,
+			found = append(found, Violation{Rule: RuleResourcesBounded, Message: fmt.Sprintf("%s: %d MB, %d descriptors", r.name,
 				r.peak.Resident>>20, r.peak.Descriptors)})
 		}
 		for _, text := range slices.Sorted(maps.Keys(forbiddenLogTexts)) {
 			for _, line := range r.lines(text) {
-				found = append(found, Broken{Rule: forbiddenLogTexts[text], What: r.name + " logged " + line.text})
+				found = append(found, Violation{Rule: forbiddenLogTexts[text], Message: r.name + " logged " + line.text})
 			}
 		}
 	}
--- a/internal/scale/soak/router.go
+++ b/internal/scale/soak/router.go
@@ -134,7 +134,7 @@
 	}
 	command := exec.Command(r.program)
 	command.Env = append(os.Environ(), "ROUTER_CONFIG="+r.file("config.json"), "TMPDIR="+r.dir, "ROWANYARD_LOG=debug",
-		clockstep.Variable+"="+r.file("clock"))
+		clockstep.FileVariable+"="+r.file("clock"))
 	command.Stderr, command.Stdout = r, r
 	if err := command.Start(); err != nil {
 		return err
@@ -236,7 +236,7 @@
 
 // stepClock steps the wall clock of the current process and of later ones to the given offset.
 func (r *router) stepClock(seconds int) error {
-	if err := clockstep.Write(r.file("clock"), seconds); err != nil {
+	if err := clockstep.WriteOffset(r.file("clock"), seconds); err != nil {
 		return err
 	}
 	r.signal(syscall.SIGUSR1)
--- a/internal/scale/soak/schedule.go
+++ b/internal/scale/soak/schedule.go
@@ -17,35 +17,35 @@
 
 // The faults.
 const (
-	WorkerSilent    FaultKind = "worker silent"      // its connections, old and new, stay open and carry nothing
-	WorkerNeverUp   FaultKind = "worker never up"    // as WorkerSilent, but new connections are never established
-	WorkerRefuses   FaultKind = "worker refuses"     // new connections are reset
-	WorkerLate      FaultKind = "worker late"        // new connections are served after a delay
-	WorkerMuted     FaultKind = "worker muted"       // open connections carry nothing any more; new ones work
-	WorkerResets    FaultKind = "worker resets"      // open connections are reset
-	WorkerStopped   FaultKind = "worker stopped"     // SIGSTOP, then SIGCONT
-	WorkerKilled    FaultKind = "worker killed"      // SIGKILL, then a new process
-	WorkerDrains    FaultKind = "worker drains"      // listed as draining, then as up again
-	DiscoverySilent FaultKind = "discovery silent"   // to one router: its connections stay open and carry nothing
-	DiscoveryResets FaultKind = "discovery resets"   // to one router: its connections are reset
-	RouterEnds      FaultKind = "router ends"        // SIGTERM, SIGKILL at the earliest time allowed, and a new process
-	RouterKilled    FaultKind = "router killed"      // SIGKILL, and a new process
-	RouterReloads   FaultKind = "router reloads"     // a series of SIGHUP
-	ClockStepped    FaultKind = "wall clock stepped" // of one router
-	Crowd           FaultKind = "crowd"              // many idle connections to one router
+	WorkerSilent      FaultKind = "worker silent"      // its connections, old and new, stay open and carry nothing
+	WorkerUnreachable FaultKind = "worker never up"    // as WorkerSilent, but new connections are never established
+	WorkerRefuses     FaultKind = "worker refuses"     // new connections are reset
+	WorkerDelayed     FaultKind = "worker late"        // new connections are served after a delay
+	WorkerOpenSilent  FaultKind = "worker muted"       // open connections carry nothing any more; new ones work
+	WorkerResets      FaultKind = "worker resets"      // open connections are reset
+	WorkerStopped     FaultKind = "worker stopped"     // SIGSTOP, then SIGCONT
+	WorkerKilled      FaultKind = "worker killed"      // SIGKILL, then a new process
+	WorkerDrains      FaultKind = "worker drains"      // listed as draining, then as up again
+	DiscoverySilent   FaultKind = "discovery silent"   // to one router: its connections stay open and carry nothing
+	DiscoveryResets   FaultKind = "discovery resets"   // to one router: its connections are reset
+	RouterTerminated  FaultKind = "router ends"        // SIGTERM, SIGKILL at the earliest time allowed, and a new process
+	RouterKilled      FaultKind = "router killed"      // SIGKILL, and a new process
+	RouterReloads     FaultKind = "router reloads"     // a series of SIGHUP
+	ClockStepped      FaultKind = "wall clock stepped" // of one router
+	IdleConnections   FaultKind = "crowd"              // many idle connections to one router
 )
 
 // Fault is one fault of a schedule. It lasts from At, counted from the start of the workload, for the duration For.
 type Fault struct {
-	Kind   FaultKind
-	At     time.Duration
-	For    time.Duration
-	Target int // number of the worker or router
-	Amount int // by kind: bytes that still pass, milliseconds of delay, seconds of a clock step, number of signals or connections
+	Kind     FaultKind
+	At       time.Duration
+	Duration time.Duration
+	Target   int // number of the worker or router
+	Amount   int // by kind: bytes that still pass, milliseconds of delay, seconds of a clock step, number of signals or connections
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%6.3f %s %d for %v amount %d", f.At.Seconds(), f.Kind, f.Target, f.For, f.Amount)
+	return fmt.Sprintf("%6.3f %s %d for %v amount %d", f.At.Seconds(), f.Kind, f.Target, f.Duration, f.Amount)
 }
 
 // Plan describes a run: the size of the deployment, and how many faults are injected into it.
@@ -73,11 +73,11 @@
 	hourSeconds           = 3600
 )
 
-var workerFaults = []FaultKind{WorkerSilent, WorkerSilent, WorkerNeverUp, WorkerNeverUp, WorkerRefuses, WorkerLate,
-	WorkerMuted, WorkerMuted,
+var workerFaults = []FaultKind{WorkerSilent, WorkerSilent, WorkerUnreachable, WorkerUnreachable, WorkerRefuses, WorkerDelayed,
+	WorkerOpenSilent, WorkerOpenSilent,
 	WorkerResets, WorkerStopped, WorkerStopped, WorkerKilled, WorkerDrains}
 
-var routerFaults = []FaultKind{DiscoverySilent, DiscoveryResets, RouterEnds, RouterEnds, RouterKilled, RouterReloads,
+var routerFaults = []FaultKind{DiscoverySilent, DiscoveryResets, RouterTerminated, RouterTerminated, RouterKilled, RouterReloads,
 	ClockStepped, ClockStepped}
 
 // Schedule returns the faults of the plan, ordered by their time. They depend on nothing but the plan.
@@ -91,12 +91,12 @@
 			if f.At < busyUntil[key] {
 				continue
 			}
-			busyUntil[key] = f.At + f.For + maxRestartTime
+			busyUntil[key] = f.At + f.Duration + maxRestartTime
 		}
 		faults = append(faults, f)
 	}
 	if p.Seed%3 == 0 {
-		faults = append(faults, Fault{Kind: Crowd, At: faultFreeStart, For: p.Length, Target: int(p.Seed) % p.Routers, Amount: 400})
+		faults = append(faults, Fault{Kind: IdleConnections, At: faultFreeStart, Duration: p.Length, Target: int(p.Seed) % p.Routers, Amount: 400})
 	}
 	slices.SortStableFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return faults
@@ -108,16 +108,16 @@
 // randomFault draws one fault.
 func (p Plan) randomFault(random *rand.Rand) Fault {
 	f := Fault{At: faultFreeStart + time.Duration(random.Int64N(int64(p.Length-faultFreeStart))),
-		For: minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))}
+		Duration: minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))}
 	if random.IntN(3) > 0 {
 		f.Kind, f.Target = workerFaults[random.IntN(len(workerFaults))], random.IntN(p.Readers+p.Writers)
 	} else {
 		f.Kind, f.Target = routerFaults[random.IntN(len(routerFaults))], random.IntN(p.Routers)
 	}
 	switch f.Kind {
-	case WorkerSilent, WorkerNeverUp:
+	case WorkerSilent, WorkerUnreachable:
 		f.Amount = random.IntN(maxBytesBeforeSilence)
-	case WorkerLate:
+	case WorkerDelayed:
 		f.Amount = int(time.Duration(random.Int64N(int64(maxConnectDelay))).Milliseconds())
 	case RouterReloads:
 		f.Amount = 1 + random.IntN(5)
@@ -131,11 +131,11 @@
 // "" for faults that may overlap on one target.
 func (f Fault) exclusiveKey() string {
 	switch f.Kind {
-	case RouterEnds, RouterKilled:
+	case RouterTerminated, RouterKilled:
 		return fmt.Sprint("router ", f.Target)
 	case WorkerStopped, WorkerKilled:
 		return fmt.Sprint("worker ", f.Target)
-	case WorkerSilent, WorkerNeverUp, WorkerRefuses, WorkerLate: // a proxy has one fault at a time
+	case WorkerSilent, WorkerUnreachable, WorkerRefuses, WorkerDelayed: // a proxy has one fault at a time
 		return fmt.Sprint("network ", f.Target)
 	case DiscoverySilent:
 		return fmt.Sprint("discovery ", f.Target)
--- a/internal/scale/soak/soak_test.go
+++ b/internal/scale/soak/soak_test.go
@@ -45,7 +45,7 @@
 				t.Errorf("seed %d: %v", seed, err)
 				return
 			}
-			if len(report.Broken) > 0 || report.Served == 0 {
+			if len(report.Violations) > 0 || report.Served == 0 {
 				t.Errorf("%s", report)
 			} else {
 				t.Log(report)
@@ -101,8 +101,8 @@
 
 // Each check detects a violation of its invariant, and none reports one for a run without faults.
 func TestChecksDetectViolations(t *testing.T) {
-	rules := map[Rule]func(*records) []Broken{Answered: checkAnswers, Once: checkEffects, Pinned: checkStates, Drained: checkDrains,
-		Gone: checkDisconnects, Told: checkDeadlines, Guarded: checkRouters, Alive: checkRouters, Ready: checkRouters, Bounded: checkRouters}
+	rules := map[Rule]func(*records) []Violation{RuleAnsweredOnce: checkAnswers, RuleAtMostOnce: checkEffects, RuleStateReleased: checkStates, RuleDrainRespected: checkDrains,
+		RuleDisconnectRespected: checkDisconnects, RuleDeadlinePropagated: checkDeadlines, RuleNoInvariantViolation: checkRouters, RuleNoCrash: checkRouters, RuleReadyInTime: checkRouters, RuleResourcesBounded: checkRouters}
 	for rule, check := range rules {
 		if found := check(newRecords().withEvents(normalEvents()...)); len(found) > 0 {
 			t.Errorf("%s: found %v", rule, found)
@@ -112,39 +112,39 @@
 		rule    Rule
 		violate func(rec *records)
 	}{
-		"no response":     {Answered, func(rec *records) { rec.requests[0].status = 0 }},
-		"a late response": {Answered, func(rec *records) { rec.requests[0].status, rec.requests[0].ended = 502, recordTime(1800) }},
-		"a second run of a non-idempotent request": {Once, func(rec *records) {
+		"no response":     {RuleAnsweredOnce, func(rec *records) { rec.requests[0].status = 0 }},
+		"a late response": {RuleAnsweredOnce, func(rec *records) { rec.requests[0].status, rec.requests[0].ended = 502, recordTime(1800) }},
+		"a second run of a non-idempotent request": {RuleAtMostOnce, func(rec *records) {
 			rec.withEvents(append(normalEvents(), event{kind: effectRan, id: "a", host: "x", at: recordTime(50)})...)
 		}},
-		"state held while no write has arrived": {Pinned, func(rec *records) {
+		"state held while no write has arrived": {RuleStateReleased, func(rec *records) {
 			rec.eventsByID = make(map[string][]event)
 			rec.withEvents(append(normalEvents()[:3], event{kind: stateReleased, id: "a", at: recordTime(1000)})...)
 		}},
-		"state never released": {Pinned, func(rec *records) {
+		"state never released": {RuleStateReleased, func(rec *records) {
 			rec.eventsByID = make(map[string][]event)
 			rec.withEvents(normalEvents()[:3]...)
 		}},
-		"an attempt at a draining worker": {Drained, func(rec *records) {
+		"an attempt at a draining worker": {RuleDrainRespected, func(rec *records) {
 			rec.healthChanges = []healthChange{{recordTime(-1000), "w", "draining"}}
 		}},
-		"an attempt for a disconnected client": {Gone, func(rec *records) {
+		"an attempt for a disconnected client": {RuleDisconnectRespected, func(rec *records) {
 			rec.requests[0].disconnectedAt = recordTime(-4000)
 			rec.routers[0].log = []logLine{{recordTime(0), "msg=send txn=a n=0"}}
 		}},
-		"deadline too long for a late attempt": {Told, func(rec *records) {
+		"deadline too long for a late attempt": {RuleDeadlinePropagated, func(rec *records) {
 			rec.routers[0].log = []logLine{{recordTime(0), "msg=send txn=a n=0 worker=r "}, {recordTime(600), "msg=send txn=a n=1 worker=w "}}
 			rec.eventsByID["a"][3].at = recordTime(610)
 		}},
-		"deadline too long": {Told, func(rec *records) {
+		"deadline too long": {RuleDeadlinePropagated, func(rec *records) {
 			rec.events[0].deadline = 2 * time.Second
 			rec.eventsByID["a"][0].deadline = 2 * time.Second
 		}},
-		"invariant violation in the log": {Guarded,
+		"invariant violation in the log": {RuleNoInvariantViolation,
 			func(rec *records) { rec.routers[0].Write([]byte("msg=\"invariant violated\" step=closing\n")) }},
-		"a process that exits by itself": {Alive, func(rec *records) { rec.routers[0].crashed = []string{"exit status 2"} }},
-		"a process that is not ready":    {Ready, func(rec *records) { rec.routers[0].notReady = 1 }},
-		"memory over the limit":          {Bounded, func(rec *records) { rec.routers[0].peak.Resident = 1 << 30 }},
+		"a process that exits by itself": {RuleNoCrash, func(rec *records) { rec.routers[0].crashed = []string{"exit status 2"} }},
+		"a process that is not ready":    {RuleReadyInTime, func(rec *records) { rec.routers[0].notReady = 1 }},
+		"memory over the limit":          {RuleResourcesBounded, func(rec *records) { rec.routers[0].peak.Resident = 1 << 30 }},
 	} {
 		rec := newRecords().withEvents(normalEvents()...)
 		x.violate(rec)
--- a/internal/scale/toyserver/toyserver.go
+++ b/internal/scale/toyserver/toyserver.go
@@ -34,23 +34,23 @@
 	queue *Queue
 	unit  int
 	// Start is when service would begin if no other request takes the unit first.
-	Begins time.Duration
+	Start time.Duration
 }
 
 // Peek returns the slot that a request arriving now would get. It does not reserve it.
-func (q *Queue) Next(now time.Duration) Slot {
+func (q *Queue) Peek(now time.Duration) Slot {
 	unit := 0
 	for i := range q.freeAt {
 		if q.freeAt[i] < q.freeAt[unit] {
 			unit = i
 		}
 	}
-	return Slot{queue: q, unit: unit, Begins: max(q.freeAt[unit], now)}
+	return Slot{queue: q, unit: unit, Start: max(q.freeAt[unit], now)}
 }
 
 // Take reserves the slot for the given service time and returns when the service ends.
 func (s Slot) Take(duration time.Duration) (ends time.Duration) {
-	s.queue.freeAt[s.unit] = s.Begins + duration
+	s.queue.freeAt[s.unit] = s.Start + duration
 	return s.queue.freeAt[s.unit]
 }
 
@@ -93,7 +93,7 @@
 }
 
 // Get returns the number of tokens cached under a key, and marks the entry as used.
-func (c *Cache) Kept(key uint64) int {
+func (c *Cache) Get(key uint64) int {
 	e := c.entries[key]
 	if e == nil {
 		return 0
@@ -103,7 +103,7 @@
 }
 
 // Put caches a number of tokens under a key, replacing an earlier entry.
-func (c *Cache) Keep(key uint64, tokens int) {
+func (c *Cache) Put(key uint64, tokens int) {
 	if e := c.entries[key]; e != nil {
 		c.used -= e.Value.(*cacheEntry).tokens
 		c.recency.Remove(e)
--- a/internal/scale/toyserver/toyserver_test.go
+++ b/internal/scale/toyserver/toyserver_test.go
@@ -8,15 +8,15 @@
 func TestQueue(t *testing.T) {
 	q := NewQueue(2, time.Second)
 	for i, want := range []time.Duration{4, 4, 7, 7, 10} {
-		if ends := q.Next(time.Second).Take(3 * time.Second); ends != want*time.Second {
+		if ends := q.Peek(time.Second).Take(3 * time.Second); ends != want*time.Second {
 			t.Errorf("request %d ends at %v, want %v", i, ends, want*time.Second)
 		}
 	}
 	if got := q.Backlog(5 * time.Second); got != 7*time.Second { // 10 and 7
 		t.Errorf("%v of work left", got)
 	}
-	if s := q.Next(20 * time.Second); s.Begins != 20*time.Second {
-		t.Errorf("idle queue starts at %v", s.Begins)
+	if s := q.Peek(20 * time.Second); s.Start != 20*time.Second {
+		t.Errorf("idle queue starts at %v", s.Start)
 	}
 	if got := q.Backlog(20 * time.Second); got != 0 {
 		t.Errorf("%v of work left: Peek must not reserve a unit", got)
@@ -33,21 +33,21 @@
 
 func TestCache(t *testing.T) {
 	c := NewCache(10)
-	c.Keep(1, 4)
-	c.Keep(2, 4)
-	if c.Kept(1) != 4 || c.Kept(3) != 0 {
-		t.Errorf("%d and %d", c.Kept(1), c.Kept(3))
-	}
-	c.Keep(3, 4) // 2 was used longest ago
-	if c.Kept(2) != 0 || c.Kept(1) != 4 || c.Kept(3) != 4 {
-		t.Errorf("%d, %d, %d", c.Kept(1), c.Kept(2), c.Kept(3))
-	}
-	c.Keep(1, 5)
-	if c.Kept(1) != 5 || c.Kept(3) != 4 {
-		t.Errorf("%d, %d: the longer entry must replace the shorter one", c.Kept(1), c.Kept(3))
-	}
-	c.Keep(9, 11)
-	if c.Kept(9) != 0 || c.used != 0 {
-		t.Errorf("%d tokens cached of an entry that does not fit, %d used", c.Kept(9), c.used)
+	c.Put(1, 4)
+	c.Put(2, 4)
+	if c.Get(1) != 4 || c.Get(3) != 0 {
+		t.Errorf("%d and %d", c.Get(1), c.Get(3))
+	}
+	c.Put(3, 4) // 2 was used longest ago
+	if c.Get(2) != 0 || c.Get(1) != 4 || c.Get(3) != 4 {
+		t.Errorf("%d, %d, %d", c.Get(1), c.Get(2), c.Get(3))
+	}
+	c.Put(1, 5)
+	if c.Get(1) != 5 || c.Get(3) != 4 {
+		t.Errorf("%d, %d: the longer entry must replace the shorter one", c.Get(1), c.Get(3))
+	}
+	c.Put(9, 11)
+	if c.Get(9) != 0 || c.used != 0 {
+		t.Errorf("%d tokens cached of an entry that does not fit, %d used", c.Get(9), c.used)
 	}
 }
--- a/internal/scale/virtualclock/virtualclock.go
+++ b/internal/scale/virtualclock/virtualclock.go
@@ -46,7 +46,7 @@
 }
 
 // RunUntil runs all events up to and including the time end. Afterwards Now is the time of the last event that ran.
-func (c *Clock) Until(end time.Duration) {
+func (c *Clock) RunUntil(end time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		e := heap.Pop(&c.events).(event)
 		c.Now = e.at
--- a/internal/scale/virtualclock/virtualclock_test.go
+++ b/internal/scale/virtualclock/virtualclock_test.go
@@ -19,11 +19,11 @@
 		c.After(-time.Second, note("b"))
 	})
 	c.After(3*time.Second, note("late"))
-	c.Until(2 * time.Second)
+	c.RunUntil(2 * time.Second)
 	if want := []string{"a", "b", "c", "d"}; !slices.Equal(got, want) || c.Now != 2*time.Second {
 		t.Errorf("%v at %v, want %v", got, c.Now, want)
 	}
-	c.Until(time.Minute)
+	c.RunUntil(time.Minute)
 	if got[len(got)-1] != "late" || c.Now != 3*time.Second {
 		t.Errorf("%v at %v", got, c.Now)
 	}
--- a/internal/scale/watchers/watchers_test.go
+++ b/internal/scale/watchers/watchers_test.go
@@ -23,7 +23,7 @@
 	}
 	r := registry.New(list)
 	defer r.Close()
-	endpoint, err := r.Open()
+	endpoint, err := r.AddEndpoint()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
 	for i := range 5 {
-		if _, err := g.Wait(ctx, r.Change(entry(i, "draining"))); err != nil {
+		if _, err := g.Wait(ctx, r.Update(entry(i, "draining"))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -42,7 +42,7 @@
 		}
 	}
 	before := g.Bytes()
-	last := r.Change(entry(0, "removed"))
+	last := r.Update(entry(0, "removed"))
 	g.Restart()
 	if _, err := g.Wait(ctx, last); err != nil {
 		t.Fatal(err)
