--- a/cmd/rowanyard/commands.go
+++ b/cmd/rowanyard/commands.go
@@ -66,7 +66,7 @@
 		if err != nil {
 			return err
 		}
-		site, err := wire.ParseSite(cfg.Settings)
+		site, err := wire.ParseRouterSettings(cfg.Settings)
 		if err != nil {
 			return fmt.Errorf("%s: settings: %w", k.Config, err)
 		}
--- a/cmd/rowanyard/config.go
+++ b/cmd/rowanyard/config.go
@@ -52,9 +52,9 @@
 }
 
 // loadConfig reads and validates the configuration, with environment variables taking precedence over the file.
-func loadConfig() (config, wire.Site, uint64, error) {
+func loadConfig() (config, wire.RouterSettings, uint64, error) {
 	c, err := readConfig()
-	fail := func(err error) (config, wire.Site, uint64, error) { return c, wire.Site{}, 0, err }
+	fail := func(err error) (config, wire.RouterSettings, uint64, error) { return c, wire.RouterSettings{}, 0, err }
 	if err != nil {
 		return fail(err)
 	}
@@ -73,7 +73,7 @@
 	if err != nil {
 		return fail(fmt.Errorf("%s: seed: %q is not a hexadecimal number", path, c.Seed))
 	}
-	site, err := wire.ParseSite(c.Settings)
+	site, err := wire.ParseRouterSettings(c.Settings)
 	if err != nil {
 		return fail(fmt.Errorf("%s: settings: %w", path, err))
 	}
--- a/cmd/rowanyard/incident_test.go
+++ b/cmd/rowanyard/incident_test.go
@@ -120,7 +120,7 @@
 	for name, fault := range map[string]faultproxy.Fault{"silent": faultproxy.Silent, "never up": faultproxy.Unreachable} {
 		t.Run(name, func(t *testing.T) {
 			writers, states := &proxies{t: t}, newHeldStates()
-			_, p := startRouter(t, standin.Options{Readers: 2, Writers: 3, Via: writers.wrap, Seen: states.record}, "")
+			_, p := startRouter(t, standin.Options{Readers: 2, Writers: 3, ListedAddress: writers.wrap, OnEvent: states.record}, "")
 			const requests = 8
 			startRequests(t, p, "a", requests).Wait() // opens connections to the writers
 			writers.set(fault)
@@ -145,7 +145,7 @@
 	for name, seconds := range map[string]int{"back": -3600, "forward": 3600} {
 		t.Run(name, func(t *testing.T) {
 			states := newHeldStates()
-			fleet, err := standin.Start(standin.Options{Seen: states.record})
+			fleet, err := standin.Start(standin.Options{OnEvent: states.record})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/rowanyard/main_test.go
+++ b/cmd/rowanyard/main_test.go
@@ -163,7 +163,7 @@
 }
 
 func TestStreamEndsAfterDrainAndSIGTERM(t *testing.T) {
-	fleet, p := startRouter(t, standin.Options{Writers: 2, Tokens: 40, TokenTime: 10 * time.Millisecond}, "")
+	fleet, p := startRouter(t, standin.Options{Writers: 2, Tokens: 40, TokenInterval: 10 * time.Millisecond}, "")
 	if res, err := http.Get(p.http + "/health/ready"); err != nil || res.StatusCode != 200 {
 		t.Fatal(res, err)
 	}
@@ -197,8 +197,8 @@
 	if err := p.cmd.Wait(); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
-	if fleet.Effects()["send-message a1"] != 1 || fleet.Held() != 0 {
-		t.Errorf("effects %v, %d held", fleet.Effects(), fleet.Held())
+	if fleet.Effects()["send-message a1"] != 1 || fleet.HeldStates() != 0 {
+		t.Errorf("effects %v, %d held", fleet.Effects(), fleet.HeldStates())
 	}
 }
 
@@ -221,7 +221,7 @@
 		t.Fatal(err)
 	}
 	defer silentDiscovery.Close()
-	config := bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.Discovery), []byte(silentDiscovery.Addr().String()))
+	config := bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.DiscoveryAddress), []byte(silentDiscovery.Addr().String()))
 	p = startProgram(t, config, "")
 	p.waitLog(t, `(`+noAnswer+`)`)
 	p.http = "http://" + p.waitLog(t, serving+`(\S+)`)
@@ -280,7 +280,7 @@
 					go func() { respond(c); c.Close() }()
 				}
 			}()
-			p := startProgram(t, bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.Discovery), []byte(l.Addr().String())), "")
+			p := startProgram(t, bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.DiscoveryAddress), []byte(l.Addr().String())), "")
 			p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 			if res, err := http.Get(p.http + "/health/ready"); err != nil || res.StatusCode != 200 {
 				t.Errorf("not ready: %v %v", res, err)
@@ -305,7 +305,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Close)
-	t.Setenv("ROUTER_DISCOVERY", old.Discovery)
+	t.Setenv("ROUTER_DISCOVERY", old.DiscoveryAddress)
 	p := startProgram(t, old.Config("127.0.0.1:0"), "")
 	p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
 	p.waitLog(t, `msg="worker list" .*entries=(2)`)
@@ -340,7 +340,7 @@
 func TestStandbyDrainsRouterAndActiveRestoresIt(t *testing.T) {
 	t.Setenv("ROUTER_OPERATOR", "127.0.0.1:0")
 	t.Setenv("TMPDIR", t.TempDir())
-	fleet, err := standin.Start(standin.Options{Tokens: 40, TokenTime: 10 * time.Millisecond})
+	fleet, err := standin.Start(standin.Options{Tokens: 40, TokenInterval: 10 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -449,13 +449,13 @@
 		}
 	}
 	old.waitLog(t, "msg=(ended)")
-	if n := fleet.CallsAt("writer-1"); n != 0 {
+	if n := fleet.CallsTo("writer-1"); n != 0 {
 		t.Errorf("%d requests to a worker in maintenance", n)
 	}
 	if code := next.callOperator(t, "POST", "/maintenance/exit?who=writer-1"); code != 200 {
 		t.Errorf("maintenance exit: %d", code)
 	}
-	for i := 0; fleet.CallsAt("writer-1") == 0; i++ {
+	for i := 0; fleet.CallsTo("writer-1") == 0; i++ {
 		if i == 200 {
 			t.Fatal("a worker gets no request after maintenance")
 		}
@@ -467,7 +467,7 @@
 // at the workers.
 func TestStreamContinuesInNextProcess(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	fleet, err := standin.Start(standin.Options{Tokens: 80, TokenTime: 50 * time.Millisecond})
+	fleet, err := standin.Start(standin.Options{Tokens: 80, TokenInterval: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -738,7 +738,7 @@
 // descriptor limits.
 func TestAThousandWorkersAndRouters(t *testing.T) {
 	const memory, sockets = 96, 512
-	fleet, err := standin.Start(standin.Options{Readers: 2, Writers: 2, Listed: 1024})
+	fleet, err := standin.Start(standin.Options{Readers: 2, Writers: 2, ListedWorkers: 1024})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -839,14 +839,14 @@
 // ones are not.
 func TestIdleClientsYieldDescriptors(t *testing.T) {
 	const descriptorLimit, clients = 80, 150
-	fleet, err := standin.Start(standin.Options{Readers: 2, Tokens: 40, TokenTime: 100 * time.Millisecond})
+	fleet, err := standin.Start(standin.Options{Readers: 2, Tokens: 40, TokenInterval: 100 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	g := newGatedProxy(t, fleet.Discovery)
+	g := newGatedProxy(t, fleet.DiscoveryAddress)
 	t.Setenv("ROUTER_OPERATOR", "127.0.0.1:0")
-	config := bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.Discovery), []byte(g.Addr().String()))
+	config := bytes.ReplaceAll(fleet.Config("127.0.0.1:0"), []byte(fleet.DiscoveryAddress), []byte(g.Addr().String()))
 	p := startCommand(t, exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", descriptorLimit, binary)), config, "")
 	p.operatorURL = "http://" + p.waitLog(t, `msg=serving .*front=operator listen=(\S+)`)
 	p.http = "http://" + p.waitLog(t, `msg=serving .*front=http listen=(\S+)`)
--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -36,7 +36,7 @@
 
 	// Configuration, fixed at the start.
 	config       config
-	site         wire.Site
+	site         wire.RouterSettings
 	seed         uint64
 	classes      httpfront.Classes
 	operatorFile *setup.File
@@ -105,9 +105,9 @@
 
 // assemble creates the core, the clients of the workers and the optional services.
 func (p *process) assemble() error {
-	p.workers = httpfront.NewWorkers(p.site.ConnectTimeout, p.site.ConnIdle, int(workerDescriptorShare*float64(p.descriptors)), p.log)
+	p.workers = httpfront.NewWorkers(p.site.ConnectTimeout, p.site.ConnIdleTimeout, int(workerDescriptorShare*float64(p.descriptors)), p.log)
 	p.workers.Resume = p.site.Resume
-	p.grpcWorkers = grpcfront.NewWorkers(p.site.ConnectTimeout, p.site.ConnIdle)
+	p.grpcWorkers = grpcfront.NewWorkers(p.site.ConnectTimeout, p.site.ConnIdleTimeout)
 	p.onClose(p.grpcWorkers.Close)
 	var err error
 	if p.core, err = core.New(p.site.Settings, p.seed, grpcfront.Prober{HTTP: p.workers, GRPC: p.grpcWorkers}, p.log); err != nil {
--- a/cmd/rowanyard/reload.go
+++ b/cmd/rowanyard/reload.go
@@ -28,10 +28,10 @@
 	classExists func(class string) bool // reports whether the settings define a class
 	log         *slog.Logger
 
-	settingsReload  bool         // settings may change without a restart
-	grantsEnabled   bool         // attempts are granted to callers, on terms that are derived from the settings at the start
-	active          wire.Site    // the settings in force
-	longestDeadline atomic.Int64 // nanoseconds; the longest deadline of any class so far
+	settingsReload  bool                // settings may change without a restart
+	grantsEnabled   bool                // attempts are granted to callers, on terms that are derived from the settings at the start
+	active          wire.RouterSettings // the settings in force
+	longestDeadline atomic.Int64        // nanoseconds; the longest deadline of any class so far
 }
 
 // handleSignals reloads the files on each signal.
@@ -62,7 +62,7 @@
 	if !r.settingsReload {
 		return
 	}
-	next, err := wire.ParseSite(text)
+	next, err := wire.ParseRouterSettings(text)
 	if err == nil && reflect.DeepEqual(next, r.active) {
 		return
 	}
@@ -79,7 +79,7 @@
 }
 
 // apply passes settings to the core. It fails if they change something that needs a restart.
-func (r *configReloader) apply(next wire.Site) error {
+func (r *configReloader) apply(next wire.RouterSettings) error {
 	if err := r.active.NeedsRestart(next); err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 }
 
 // setActive records the settings in force.
-func (r *configReloader) setActive(active wire.Site) {
+func (r *configReloader) setActive(active wire.RouterSettings) {
 	r.active = active
 	longestDeadline := time.Duration(r.longestDeadline.Load())
 	for _, class := range active.Classes {
--- a/cmd/rowanyard/reload_test.go
+++ b/cmd/rowanyard/reload_test.go
@@ -53,7 +53,7 @@
 // effect: requests that arrive after a reload follow the new settings, the one in flight does not.
 func TestSIGHUPReloadsSettings(t *testing.T) {
 	atWriter, resume := make(chan struct{}), make(chan struct{})
-	fleet, p := startRouter(t, standin.Options{Writers: 4, Tokens: 3, Behave: func(stage, key string, n int) standin.Fault {
+	fleet, p := startRouter(t, standin.Options{Writers: 4, Tokens: 3, FaultFor: func(stage, key string, n int) standin.Fault {
 		if stage != "write" || n > 0 {
 			return standin.None
 		}
@@ -61,7 +61,7 @@
 			close(atWriter)
 			<-resume
 		}
-		return standin.ResetEarly
+		return standin.ResetBeforeFirstToken
 	}}, reloadEnabled)
 	answer := func(id string) int {
 		t.Helper()
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -35,7 +35,7 @@
 		for _, ev := range batch.Events {
 			h.handle(batch.Now, ev)
 		}
-		if _, err := out.Write(h.writer.Take(batch.Seq)); err != nil {
+		if _, err := out.Write(h.writer.EndBatch(batch.Seq)); err != nil {
 			return fmt.Errorf("batch %d: write reply: %w", batch.Seq, err)
 		}
 	}
@@ -51,23 +51,23 @@
 func (h *host) handle(now time.Duration, ev wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.writer.BailOut(ev.Front, fmt.Sprint(p))
+			h.writer.ReportFailure(ev.InstanceName, fmt.Sprint(p))
 		}
 	}()
 	switch e := ev.Body.(type) {
-	case wire.Hello:
-		r, err := decide.New(e.Settings, e.Seed, h.writer.Instance(ev.Front))
+	case wire.InstanceStarted:
+		r, err := decide.New(e.Settings, e.Seed, h.writer.Instance(ev.InstanceName))
 		if err != nil {
-			h.writer.BailOut(ev.Front, err.Error())
+			h.writer.ReportFailure(ev.InstanceName, err.Error())
 			return
 		}
-		h.routers[ev.Front] = r
+		h.routers[ev.InstanceName] = r
 		return
-	case wire.Exit:
-		delete(h.routers, ev.Front)
+	case wire.InstanceStopped:
+		delete(h.routers, ev.InstanceName)
 		return
 	}
-	if r := h.routers[ev.Front]; r != nil {
+	if r := h.routers[ev.InstanceName]; r != nil {
 		dispatch(r, now, ev.Body)
 	}
 }
@@ -85,9 +85,9 @@
 		r.Outcome(now, e)
 	case decide.Probed:
 		r.Probed(now, e)
-	case wire.Left:
+	case wire.ClientLeft:
 		r.ClientLeft(now, e.ID)
-	case wire.Ring:
+	case wire.TimerFired:
 		r.Timer(now, e.Token)
 	}
 }
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -26,9 +26,9 @@
 	proxy := flag.String("proxy", "", "address on which to run a toy proxy that calls the router's external processor; none if empty")
 	processor := flag.String("processor", "127.0.0.1:9091", "address of the router's external processor")
 	flag.Parse()
-	options := standin.Options{Readers: 2, Writers: 3, Tokens: 20, TokenTime: 50 * time.Millisecond, ReadTime: 50 * time.Millisecond, GRPC: *grpc}
+	options := standin.Options{Readers: 2, Writers: 3, Tokens: 20, TokenInterval: 50 * time.Millisecond, ReadDuration: 50 * time.Millisecond, GRPC: *grpc}
 	if *resetShare > 0 {
-		options.Behave = standin.Random(1, *resetShare, standin.ResetLate)
+		options.FaultFor = standin.RandomFaults(1, *resetShare, standin.ResetMidStream)
 	}
 	fleet, err := standin.Start(options)
 	if err == nil {
@@ -39,7 +39,7 @@
 		os.Exit(1)
 	}
 	defer fleet.Close()
-	fmt.Printf("deployment up, discovery at %s; start the router with ROUTER_CONFIG=%s\n", fleet.Discovery, *config)
+	fmt.Printf("deployment up, discovery at %s; start the router with ROUTER_CONFIG=%s\n", fleet.DiscoveryAddress, *config)
 	if *proxy != "" {
 		conn, err := rpc.NewClient("passthrough:///"+*processor, rpc.WithTransportCredentials(insecure.NewCredentials()))
 		if err != nil {
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -73,9 +73,9 @@
 	fleet, err := standin.Start(o)
 	must(err)
 	t.Cleanup(fleet.Close)
-	site, err := wire.ParseSite(standin.Settings())
+	site, err := wire.ParseRouterSettings(standin.Settings())
 	must(err)
-	hw := httpfront.NewWorkers(site.ConnectTimeout, site.ConnIdle, 400, log)
+	hw := httpfront.NewWorkers(site.ConnectTimeout, site.ConnIdleTimeout, 400, log)
 	c, err := core.New(site.Settings, 1, hw, coreLog)
 	must(err)
 	coordinator, err := decisions.NewCoordinator(c, hw, terms, seen, log)
@@ -176,8 +176,8 @@
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	b.core.Wait(ctx)
-	if ctx.Err() != nil || b.fleet.Held() > 0 {
-		b.t.Errorf("requests did not end, or %d states are still held", b.fleet.Held())
+	if ctx.Err() != nil || b.fleet.HeldStates() > 0 {
+		b.t.Errorf("requests did not end, or %d states are still held", b.fleet.HeldStates())
 	}
 }
 
@@ -283,8 +283,8 @@
 	write, err := c.Choose(c.ctx(), &pb.ChooseRequest{Request: "q1", Class: "send-message", PromptTokens: 100, ReadHere: true,
 		Body: []byte(`{"model":"chat","messages":[{"role":"user","content":"k"}]}`)})
 	c.must(write, err)
-	if write.Stage != pb.Stage_STAGE_WRITE || b.fleet.Held() != 1 {
-		t.Errorf("%v, %d states held", write, b.fleet.Held())
+	if write.Stage != pb.Stage_STAGE_WRITE || b.fleet.HeldStates() != 1 {
+		t.Errorf("%v, %d states held", write, b.fleet.HeldStates())
 	}
 	if err := c.report(write, pb.Fate_FATE_TURNED_AWAY); err != nil {
 		t.Fatal(err)
@@ -365,7 +365,7 @@
 	hold(forgets, "q1")
 	last := time.Now()
 	kept := hold(keeps, "q2")
-	for b.fleet.Held() > 1 {
+	for b.fleet.HeldStates() > 1 {
 		if _, err := keeps.Renew(keeps.ctx(), &pb.RenewRequest{Grants: []uint64{kept.Grant}}); err != nil {
 			t.Fatal(err)
 		}
@@ -374,7 +374,7 @@
 		}
 	}
 	t.Logf("released %v after the last sign", time.Since(last))
-	if b.fleet.Held() != 1 {
+	if b.fleet.HeldStates() != 1 {
 		t.Error("the renewed state was released too")
 	}
 	reply, err := keeps.Renew(keeps.ctx(), &pb.RenewRequest{Grants: []uint64{kept.Grant, 999}})
--- a/internal/decisions/rough_test.go
+++ b/internal/decisions/rough_test.go
@@ -153,8 +153,8 @@
 	d := &eventLog{start: time.Now()}
 	kinds := map[string]rules.Kind{"out": rules.Opened, "in": rules.Closed, "held": rules.Held, "freed": rules.Released, "effect": rules.Effect}
 	b := start(t, standin.Options{Readers: 3, Writers: 4, Tokens: 2,
-		Behave: standin.Random(5, 0.04, standin.TurnAway, standin.Error, standin.ResetEarly, standin.ResetLate),
-		Seen:   func(what, id, class, host string) { d.add(kinds[what], id, host, 0, class == "send-message") }})
+		FaultFor: standin.RandomFaults(5, 0.04, standin.Reject, standin.Error, standin.ResetBeforeFirstToken, standin.ResetMidStream),
+		OnEvent:  func(what, id, class, host string) { d.add(kinds[what], id, host, 0, class == "send-message") }})
 	var drained sync.Map
 	var begun atomic.Int64
 	done := make(chan struct{})
--- a/internal/extproc/bench_test.go
+++ b/internal/extproc/bench_test.go
@@ -25,11 +25,11 @@
 	t := b
 	e := start(t, standin.Options{Readers: 2, Writers: 2}, nil)
 	log := slog.New(slog.DiscardHandler)
-	site, err := wire.ParseSite(standin.Settings())
+	site, err := wire.ParseRouterSettings(standin.Settings())
 	if err != nil {
 		b.Fatal(err)
 	}
-	hw := httpfront.NewWorkers(site.ConnectTimeout, site.ConnIdle, 400, log)
+	hw := httpfront.NewWorkers(site.ConnectTimeout, site.ConnIdleTimeout, 400, log)
 	c, err := core.New(site.Settings, 1, hw, log)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/extproc/extproc_test.go
+++ b/internal/extproc/extproc_test.go
@@ -54,9 +54,9 @@
 	fleet, err := standin.Start(o)
 	must(err)
 	t.Cleanup(fleet.Close)
-	site, err := wire.ParseSite(standin.Settings())
+	site, err := wire.ParseRouterSettings(standin.Settings())
 	must(err)
-	hw := httpfront.NewWorkers(site.ConnectTimeout, site.ConnIdle, 400, log)
+	hw := httpfront.NewWorkers(site.ConnectTimeout, site.ConnIdleTimeout, 400, log)
 	c, err := core.New(site.Settings, 1, hw, log)
 	must(err)
 	var list httpfront.List
@@ -86,8 +86,8 @@
 	ctx, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	b.core.Wait(ctx)
-	if ctx.Err() != nil || b.fleet.Held() > 0 {
-		t.Errorf("requests did not end, or %d states are still held", b.fleet.Held())
+	if ctx.Err() != nil || b.fleet.HeldStates() > 0 {
+		t.Errorf("requests did not end, or %d states are still held", b.fleet.HeldStates())
 	}
 }
 
@@ -136,11 +136,11 @@
 		fault        standin.Fault
 		want         int
 	}{
-		{"read", "send-message", standin.TurnAway, 503}, {"write", "send-message", standin.TurnAway, 503},
-		{"write", "send-message", standin.Error, 502}, {"write", "send-message", standin.ResetEarly, 502},
+		{"read", "send-message", standin.Reject, 503}, {"write", "send-message", standin.Reject, 503},
+		{"write", "send-message", standin.Error, 502}, {"write", "send-message", standin.ResetBeforeFirstToken, 502},
 		{"write", "send-message", standin.Hang, 502}, {"read", "none", standin.None, 400},
 	} {
-		b := start(t, standin.Options{Behave: func(stage, _ string, _ int) standin.Fault {
+		b := start(t, standin.Options{FaultFor: func(stage, _ string, _ int) standin.Fault {
 			if stage == c.stage {
 				return c.fault
 			}
@@ -159,7 +159,7 @@
 
 func TestRandomResetsRepeatNoEffect(t *testing.T) {
 	b := start(t, standin.Options{Readers: 3, Writers: 4, Tokens: 4,
-		Behave: standin.Random(11, 0.06, standin.ResetEarly, standin.ResetLate, standin.Error, standin.TurnAway)}, nil)
+		FaultFor: standin.RandomFaults(11, 0.06, standin.ResetBeforeFirstToken, standin.ResetMidStream, standin.Error, standin.Reject)}, nil)
 	var served, broken atomic.Int64
 	var all sync.WaitGroup
 	for c := range 12 {
--- a/internal/grpcfront/bench_test.go
+++ b/internal/grpcfront/bench_test.go
@@ -18,7 +18,7 @@
 // in ms, and the difference of gRPC from HTTP/1.1 in per cent. It is not part of CI:
 // go test -run - -bench Fronts -benchtime 300x ./internal/grpcfront
 func BenchmarkFronts(b *testing.B) {
-	o := standin.Options{Readers: 2, Writers: 2, Tokens: 20, TokenTime: 5 * time.Millisecond, ReadTime: 40 * time.Millisecond}
+	o := standin.Options{Readers: 2, Writers: 2, Tokens: 20, TokenInterval: 5 * time.Millisecond, ReadDuration: 40 * time.Millisecond}
 	plain := start(b, o)
 	o.GRPC = true
 	tokens := start(b, o)
--- a/internal/grpcfront/front_test.go
+++ b/internal/grpcfront/front_test.go
@@ -54,10 +54,10 @@
 	fleet, err := standin.Start(o)
 	must(err)
 	t.Cleanup(fleet.Close)
-	site, err := wire.ParseSite(standin.Settings())
+	site, err := wire.ParseRouterSettings(standin.Settings())
 	must(err)
-	hw := httpfront.NewWorkers(site.ConnectTimeout, site.ConnIdle, 400, log)
-	gw := grpcfront.NewWorkers(site.ConnectTimeout, site.ConnIdle)
+	hw := httpfront.NewWorkers(site.ConnectTimeout, site.ConnIdleTimeout, 400, log)
+	gw := grpcfront.NewWorkers(site.ConnectTimeout, site.ConnIdleTimeout)
 	t.Cleanup(gw.Close)
 	c, err := core.New(site.Settings, 1, grpcfront.Prober{HTTP: hw, GRPC: gw}, log)
 	must(err)
@@ -139,7 +139,7 @@
 	if ctx.Err() != nil {
 		t.Fatal("requests do not end")
 	}
-	if n := r.fleet.Held(); n > 0 {
+	if n := r.fleet.HeldStates(); n > 0 {
 		t.Errorf("%d states are still held", n)
 	}
 }
@@ -177,7 +177,7 @@
 }
 
 func TestRefusalCarriesRetryInfo(t *testing.T) {
-	r := start(t, standin.Options{GRPC: true, Behave: func(stage, _ string, _ int) standin.Fault { return standin.TurnAway }})
+	r := start(t, standin.Options{GRPC: true, FaultFor: func(stage, _ string, _ int) standin.Fault { return standin.Reject }})
 	_, err := r.complete(context.Background(), r.request("send-message", "k", 300*time.Millisecond))
 	st := status.Convert(err)
 	if st.Code() != codes.Unavailable {
@@ -194,8 +194,8 @@
 // A client must not be told to retry a request that may have run.
 func TestFailureThatMayHaveRunInvitesNoRetry(t *testing.T) {
 	forEachWire(t, func(t *testing.T, grpc bool) {
-		for _, f := range []standin.Fault{standin.ResetEarly, standin.Error, standin.Hang} {
-			r := start(t, standin.Options{GRPC: grpc, Writers: 2, Behave: func(stage, _ string, _ int) standin.Fault {
+		for _, f := range []standin.Fault{standin.ResetBeforeFirstToken, standin.Error, standin.Hang} {
+			r := start(t, standin.Options{GRPC: grpc, Writers: 2, FaultFor: func(stage, _ string, _ int) standin.Fault {
 				if stage == "write" {
 					return f
 				}
@@ -233,7 +233,7 @@
 
 func TestClientCancellingMidStreamGetsOneFinalStatus(t *testing.T) {
 	forEachWire(t, func(t *testing.T, grpc bool) {
-		r := start(t, standin.Options{GRPC: grpc, Tokens: 4, Behave: func(stage, _ string, _ int) standin.Fault { return standin.Stop }})
+		r := start(t, standin.Options{GRPC: grpc, Tokens: 4, FaultFor: func(stage, _ string, _ int) standin.Fault { return standin.StallMidStream }})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		s, err := r.grpc.Complete(ctx, r.request("send-message", "k", time.Second))
@@ -265,7 +265,7 @@
 func TestRandomResetsRepeatNoEffect(t *testing.T) {
 	forEachWire(t, func(t *testing.T, grpc bool) {
 		r := start(t, standin.Options{GRPC: grpc, Readers: 3, Writers: 4, Tokens: 4,
-			Behave: standin.Random(7, 0.06, standin.ResetEarly, standin.ResetLate, standin.Error, standin.TurnAway)})
+			FaultFor: standin.RandomFaults(7, 0.06, standin.ResetBeforeFirstToken, standin.ResetMidStream, standin.Error, standin.Reject)})
 		const clients, each, tries = 16, 25, 3
 		var served, refused, failed, finals atomic.Int64
 		var all sync.WaitGroup
@@ -352,7 +352,7 @@
 // A stream that would still run at the kill after SIGTERM breaks, after some chunks, with a status that lets its client ask
 // another router for the rest.
 func TestStreamsAreHandedOver(t *testing.T) {
-	r := start(t, standin.Options{GRPC: true, Tokens: 1000, TokenTime: 20 * time.Millisecond})
+	r := start(t, standin.Options{GRPC: true, Tokens: 1000, TokenInterval: 20 * time.Millisecond})
 	ctx, stop := context.WithTimeout(context.Background(), 15*time.Second)
 	defer stop()
 	s, err := r.grpc.Complete(ctx, r.request("draft-reply", "k", 4*time.Second))
--- a/internal/grpcfront/silence_test.go
+++ b/internal/grpcfront/silence_test.go
@@ -15,7 +15,7 @@
 // one use a new connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	var proxy *faultproxy.Proxy
-	fleet, err := standin.Start(standin.Options{GRPC: true, Via: func(host, address string) string {
+	fleet, err := standin.Start(standin.Options{GRPC: true, ListedAddress: func(host, address string) string {
 		if host != "writer-1" {
 			return address
 		}
--- a/internal/reports/reports_test.go
+++ b/internal/reports/reports_test.go
@@ -49,9 +49,9 @@
 		}
 	}
 	log := slog.New(slog.DiscardHandler)
-	settings, err := wire.ParseSite(enginehost.Settings())
+	settings, err := wire.ParseRouterSettings(enginehost.Settings())
 	must(err)
-	hw := httpfront.NewWorkers(settings.ConnectTimeout, settings.ConnIdle, 400, log)
+	hw := httpfront.NewWorkers(settings.ConnectTimeout, settings.ConnIdleTimeout, 400, log)
 	c, err := core.New(settings.Settings, 1, hw, log)
 	must(err)
 	listener, err := reports.New(c, kvindex.Settings{MaxBlocks: 1 << 16, MaxWorkers: 16, MaxStaleness: 2 * time.Second, MaxBuffered: 64, ChangesPerSecond: 1e5, Burst: 1e5}, log)
--- a/internal/scale/soak/worker.go
+++ b/internal/scale/soak/worker.go
@@ -74,10 +74,10 @@
 		return err
 	}
 	r := &ledgerClient{client: client, host: os.Getenv(envHost), incarnation: incarnation}
-	fleet, err := standin.Start(standin.Options{Only: os.Getenv(envKind), Tokens: responseTokens, TokenTime: tokenInterval,
-		ReadTime: readDuration, States: r,
-		Told: func(id, _ string, left time.Duration) { r.call(callDeadline, id, left) },
-		Seen: func(what, id, _, _ string) {
+	fleet, err := standin.Start(standin.Options{OnlyKind: os.Getenv(envKind), Tokens: responseTokens, TokenInterval: tokenInterval,
+		ReadDuration: readDuration, StateStore: r,
+		OnAttemptTimeout: func(id, _ string, left time.Duration) { r.call(callDeadline, id, left) },
+		OnEvent: func(what, id, _, _ string) {
 			if what == callArrived || what == callEnded || what == callEffect {
 				r.call(what, id, 0)
 			}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -30,13 +30,13 @@
 
 // The faults. After each but None and Reject the router may not know whether the call has run.
 const (
-	None       Fault = iota
-	TurnAway         // 503 or UNAVAILABLE, marked as turned away: the call has not run
-	Error            // 500 or INTERNAL
-	ResetEarly       // a reset before the first token; a write has had its effect
-	ResetLate        // a reset after half of the tokens
-	Hang             // no response until the caller cancels
-	Stop             // no more data after half of the tokens, the connection stays open
+	None                  Fault = iota
+	Reject                      // 503 or UNAVAILABLE, marked as turned away: the call has not run
+	Error                       // 500 or INTERNAL
+	ResetBeforeFirstToken       // a reset before the first token; a write has had its effect
+	ResetMidStream              // a reset after half of the tokens
+	Hang                        // no response until the caller cancels
+	StallMidStream              // no more data after half of the tokens, the connection stays open
 )
 
 // Options configure a Fleet. The zero value gives one healthy reader and one healthy writer.
@@ -44,31 +44,31 @@
 	Readers, Writers int
 	// ListedWorkers is the number of workers that discovery lists. Where it exceeds the number of workers that run, several
 	// entries share an address.
-	Listed    int
-	GRPC      bool          // the workers speak gRPC
-	Tokens    int           // tokens of each answer
-	TokenTime time.Duration // time between two tokens
-	ReadTime  time.Duration // time that a read takes
+	ListedWorkers int
+	GRPC          bool          // the workers speak gRPC
+	Tokens        int           // tokens of each answer
+	TokenInterval time.Duration // time between two tokens
+	ReadDuration  time.Duration // time that a read takes
 	// FaultFor returns the fault of the n-th call, counted from 0, of a stage ("read" or "write") for a message. If it is
 	// nil, there are no faults.
-	Behave func(stage, message string, n int) Fault
+	FaultFor func(stage, message string, n int) Fault
 	// ListedAddress returns the address under which discovery lists a worker, such as that of a proxy in front of it. If it
 	// is nil, workers are listed under their own addresses.
-	Via func(host, address string) string
+	ListedAddress func(host, address string) string
 	// OnlyKind restricts the workers to one kind, "reader" or "writer". If it is empty, both are started.
-	Only string
+	OnlyKind string
 	// StateStore keeps the states, for workers in several processes. If it is nil, the Fleet keeps them in memory.
-	States States
+	StateStore StateStore
 	// OnAttemptTimeout, if not nil, is called with the time that a router says it will wait for an attempt.
-	Told func(id, host string, timeout time.Duration)
+	OnAttemptTimeout func(id, host string, timeout time.Duration)
 	// OnEvent, if not nil, is called with what happens at a worker, while the Fleet's lock is held: "out" when an attempt
 	// begins, "in" when it ends over HTTP, "held" and "freed" for a state, "effect" for a write.
-	Seen func(event, id, class, host string)
+	OnEvent func(event, id, class, host string)
 }
 
 // StateStore keeps the states that readers hold for writers, by request id. Hold reports whether it has stored the state,
 // Fetch and Release whether there was one, which they remove.
-type States interface {
+type StateStore interface {
 	Hold(id, host string) bool
 	Fetch(id, host string) bool
 	Release(id string) bool
@@ -77,7 +77,7 @@
 // Fleet is a running deployment of fake workers.
 type Fleet struct {
 	Options
-	Discovery        string // the address of the discovery service
+	DiscoveryAddress string // the address of the discovery service
 	mu               sync.Mutex
 	hosts            []Host
 	listVersion      int
@@ -108,15 +108,15 @@
 	o.Readers, o.Writers, o.Tokens = max(1, o.Readers), max(1, o.Writers), max(1, o.Tokens)
 	f := &Fleet{Options: o, watchers: make(map[chan struct{}]bool), held: make(map[string]bool),
 		callsByMessage: make(map[string]int), callsByWorker: make(map[string]int), effectsByMessage: make(map[string]int), writesByRequest: make(map[string]int), stop: make(chan struct{}), listVersion: 1}
-	if f.States == nil {
-		f.States = memoryStates{f}
+	if f.StateStore == nil {
+		f.StateStore = memoryStates{f}
 	}
 	for i := range o.Readers + o.Writers {
 		kind := "reader"
 		if i >= o.Readers {
 			kind = "writer"
 		}
-		if o.Only != "" && kind != o.Only {
+		if o.OnlyKind != "" && kind != o.OnlyKind {
 			continue
 		}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,8 +124,8 @@
 			return nil, err
 		}
 		h := Host{Host: fmt.Sprintf("%s-%d", kind, i), Dial: l.Addr().String(), Site: "here", Class: kind, Block: 1, Health: "up", Share: 1}
-		if o.Via != nil {
-			h.Dial = o.Via(h.Host, h.Dial)
+		if o.ListedAddress != nil {
+			h.Dial = o.ListedAddress(h.Host, h.Dial)
 		}
 		f.hosts = append(f.hosts, h)
 		w := &worker{fleet: f, name: h.Host, reader: kind == "reader"}
@@ -140,7 +140,7 @@
 		go s.Serve(l)
 		f.closers = append(f.closers, func() { s.Close() })
 	}
-	for i := len(f.hosts); i < o.Listed; i++ {
+	for i := len(f.hosts); i < o.ListedWorkers; i++ {
 		h := f.hosts[i%(o.Readers+o.Writers)]
 		h.Host, h.Block = fmt.Sprintf("%s-%d", h.Class, i), i/5
 		f.hosts = append(f.hosts, h)
@@ -149,7 +149,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.Discovery = l.Addr().String()
+	f.DiscoveryAddress = l.Addr().String()
 	s := &http.Server{Handler: http.HandlerFunc(f.serveDiscovery)}
 	go s.Serve(l)
 	f.closers = append(f.closers, func() { s.Close() })
@@ -182,7 +182,7 @@
 func (f *Fleet) Config(listen string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	text, _ := json.MarshalIndent(map[string]any{"name": "toy", "listen": listen, "discovery": f.Discovery,
+	text, _ := json.MarshalIndent(map[string]any{"name": "toy", "listen": listen, "discovery": f.DiscoveryAddress,
 		"seed": "1", "limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known": map[string]any{"seq": f.listVersion, "whole": true, "hosts": f.hosts}, "settings": Settings()}, "", "  ")
 	return text
@@ -232,14 +232,14 @@
 }
 
 // CallsTo returns how many reads and writes a worker has received.
-func (f *Fleet) CallsAt(host string) int {
+func (f *Fleet) CallsTo(host string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.callsByWorker[host]
 }
 
 // HeldStates returns how many states the Fleet holds. States in another StateStore are not counted.
-func (f *Fleet) Held() int {
+func (f *Fleet) HeldStates() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.held)
@@ -279,7 +279,7 @@
 
 // RandomFaults returns an Options.FaultFor that picks the fault by a hash of the seed and the call, so that equal messages
 // meet equal faults in every run. Each of the faults has probability share.
-func Random(seed uint64, share float64, faults ...Fault) func(string, string, int) Fault {
+func RandomFaults(seed uint64, share float64, faults ...Fault) func(string, string, int) Fault {
 	return func(stage, message string, n int) Fault {
 		h := fnv.New64a()
 		fmt.Fprint(h, seed, stage, message, n)
@@ -316,8 +316,8 @@
 	f.notify("out", id, class, w.name)
 	f.mu.Unlock()
 	c := call{id: id, class: class, message: message}
-	if f.Behave != nil {
-		c.fault = f.Behave(stage, message, n)
+	if f.FaultFor != nil {
+		c.fault = f.FaultFor(stage, message, n)
 	}
 	return c
 }
@@ -325,14 +325,14 @@
 // readPrompt takes ReadDuration and stores the state, unless the call is cancelled first.
 func (w *worker) readPrompt(ctx context.Context, c call) {
 	select {
-	case <-time.After(w.fleet.ReadTime):
+	case <-time.After(w.fleet.ReadDuration):
 	case <-ctx.Done():
 		return
 	}
 	if ctx.Err() != nil { // the state that a cancelled read leaves expires by itself
 		return
 	}
-	if w.fleet.States.Hold(c.id, w.name) {
+	if w.fleet.StateStore.Hold(c.id, w.name) {
 		w.fleet.mu.Lock()
 		defer w.fleet.mu.Unlock()
 		w.fleet.notify("held", c.id, c.class, w.name)
@@ -364,15 +364,15 @@
 
 // notify calls OnEvent. The caller holds f.mu.
 func (f *Fleet) notify(event, id, class, host string) {
-	if f.Seen != nil {
-		f.Seen(event, id, class, host)
+	if f.OnEvent != nil {
+		f.OnEvent(event, id, class, host)
 	}
 }
 
 // takeState fetches the state of a write, which has its effect from then on, and reports whether there was one.
 func (w *worker) takeState(c call) bool {
 	f := w.fleet
-	if !f.States.Fetch(c.id, w.name) {
+	if !f.StateStore.Fetch(c.id, w.name) {
 		return false
 	}
 	f.mu.Lock()
@@ -386,7 +386,7 @@
 
 // releaseState discards the state of a request.
 func (w *worker) releaseState(id string) {
-	if w.fleet.States.Release(id) {
+	if w.fleet.StateStore.Release(id) {
 		w.fleet.mu.Lock()
 		defer w.fleet.mu.Unlock()
 		w.fleet.notify("freed", id, "", w.name)
@@ -396,16 +396,16 @@
 // streamTokens sends the tokens of the answer up to the fault, if any, and reports whether it has sent them all.
 func (w *worker) streamTokens(ctx context.Context, c call, send func(i int, last bool) error) bool {
 	for i := range w.fleet.Tokens {
-		if c.fault == ResetLate && i == (w.fleet.Tokens+1)/2 {
+		if c.fault == ResetMidStream && i == (w.fleet.Tokens+1)/2 {
 			return false
 		}
-		if c.fault == Stop && i == (w.fleet.Tokens+1)/2 {
+		if c.fault == StallMidStream && i == (w.fleet.Tokens+1)/2 {
 			<-ctx.Done()
 			return false
 		}
-		if i > 0 && w.fleet.TokenTime > 0 {
+		if i > 0 && w.fleet.TokenInterval > 0 {
 			select {
-			case <-time.After(w.fleet.TokenTime):
+			case <-time.After(w.fleet.TokenInterval):
 			case <-ctx.Done():
 				return false
 			}
@@ -438,14 +438,14 @@
 		rw.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if remaining, err := strconv.Atoi(r.Header.Get("X-Remaining-Ms")); err == nil && w.fleet.Told != nil {
-		w.fleet.Told(r.Header.Get("X-Txn"), w.name, time.Duration(remaining)*time.Millisecond)
+	if remaining, err := strconv.Atoi(r.Header.Get("X-Remaining-Ms")); err == nil && w.fleet.OnAttemptTimeout != nil {
+		w.fleet.OnAttemptTimeout(r.Header.Get("X-Txn"), w.name, time.Duration(remaining)*time.Millisecond)
 	}
 	c := w.startCall(r.Header.Get("X-Txn"), r.Header.Get("X-Lane"), payload.Messages[len(payload.Messages)-1].Content)
 	defer func() { w.fleet.mu.Lock(); w.fleet.notify("in", c.id, c.class, w.name); w.fleet.mu.Unlock() }()
 	reject := func(code int) { rw.Header().Set("X-Turned-Away", "1"); rw.WriteHeader(code) }
 	switch c.fault {
-	case TurnAway:
+	case Reject:
 		reject(http.StatusServiceUnavailable)
 		return
 	case Error:
@@ -457,7 +457,7 @@
 	}
 	if w.reader {
 		w.readPrompt(r.Context(), c)
-		if c.fault == ResetEarly {
+		if c.fault == ResetBeforeFirstToken {
 			resetConnection(rw)
 			return
 		}
@@ -469,7 +469,7 @@
 		reject(http.StatusGone)
 		return
 	}
-	if c.fault == ResetEarly {
+	if c.fault == ResetBeforeFirstToken {
 		resetConnection(rw)
 		return
 	}
@@ -517,7 +517,7 @@
 	}
 	c := w.startCall(r.Request.Id, r.Request.Class, messages[len(messages)-1].Content)
 	switch c.fault {
-	case TurnAway:
+	case Reject:
 		return c, rejectCall(ctx, codes.Unavailable)
 	case Error:
 		return c, status.Error(codes.Internal, "error")
@@ -540,7 +540,7 @@
 		return nil, status.Error(codes.Unimplemented, "a writer")
 	}
 	w.readPrompt(ctx, c)
-	if c.fault == ResetEarly {
+	if c.fault == ResetBeforeFirstToken {
 		return nil, errReset
 	}
 	return &pb.ReadReply{}, nil
@@ -556,7 +556,7 @@
 	if w.reader || !w.takeState(c) {
 		return rejectCall(ctx, codes.FailedPrecondition)
 	}
-	if c.fault == ResetEarly {
+	if c.fault == ResetBeforeFirstToken {
 		return errReset
 	}
 	complete := w.streamTokens(ctx, c, func(i int, last bool) error {
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -24,22 +24,22 @@
 // Event is an input to one router instance. Body is one of InstanceStarted, InstanceStopped, ClientLeft, TimerFired,
 // Ignored, decide.ServerList, decide.Request, decide.Started, decide.Outcome or decide.Probed.
 type Event struct {
-	Front string
-	Body  any
+	InstanceName string
+	Body         any
 }
 
 type (
 	// InstanceStarted starts a router instance. An instance of the same name is replaced.
-	Hello struct {
+	InstanceStarted struct {
 		Seed     uint64
 		Settings decide.Settings
 	}
 	// InstanceStopped ends a router instance.
-	Exit struct{}
+	InstanceStopped struct{}
 	// ClientLeft reports that the client of a request has gone away.
-	Left struct{ ID decide.RequestID }
+	ClientLeft struct{ ID decide.RequestID }
 	// TimerFired reports that a timer is due.
-	Ring struct{ Token uint64 }
+	TimerFired struct{ Token uint64 }
 	// Ignored stands for a well-formed event that the router doesn't use.
 	Ignored struct{}
 )
@@ -113,8 +113,8 @@
 	if !ok {
 		return false, fmt.Errorf("field message: unknown message %q", name)
 	}
-	ev := Event{Front: f.word("front")}
-	if ev.Front == "" {
+	ev := Event{InstanceName: f.word("front")}
+	if ev.InstanceName == "" {
 		f.fail("front", "missing")
 	}
 	if f.err == nil {
@@ -146,10 +146,10 @@
 
 // parsers maps the name of each message to the function that reads its fields.
 var parsers = map[string]func(*fieldParser, *Reader) any{
-	"hello": parseHello, "exit": func(*fieldParser, *Reader) any { return Exit{} },
+	"hello": parseHello, "exit": func(*fieldParser, *Reader) any { return InstanceStopped{} },
 	"roster_change": parseServerList, "inbound": parseRequest, "head_received": parseStarted, "reply": parseOutcome,
-	"left": func(f *fieldParser, _ *Reader) any { return Left{f.requestID("handle")} },
-	"ring": func(f *fieldParser, _ *Reader) any { return Ring{f.uint("key_back")} },
+	"left": func(f *fieldParser, _ *Reader) any { return ClientLeft{f.requestID("handle")} },
+	"ring": func(f *fieldParser, _ *Reader) any { return TimerFired{f.uint("key_back")} },
 	"pong": parseProbeResult, "whisper": skipFields(2), "place_note": skipFields(5),
 }
 
@@ -198,7 +198,7 @@
 }
 
 func parseHello(f *fieldParser, _ *Reader) any {
-	h := Hello{Seed: f.seed("entropy")}
+	h := InstanceStarted{Seed: f.seed("entropy")}
 	s, err := parseSettings(f.remainder())
 	if err != nil {
 		f.fail("config", err.Error())
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -53,13 +53,13 @@
 }
 
 type limits struct {
-	Cancelling     bool    `json:"cancelling"`
-	SendCap        float64 `json:"send_cap"`
-	Probing        bool    `json:"probing"`
-	ConnIdle       float64 `json:"conn_idle"`
-	ConnectTimeout float64 `json:"connect_timeout"`
-	MaxRetryAfter  float64 `json:"max_retry_after"`
-	RetryAfter     bool    `json:"retry_after"`
+	Cancelling      bool    `json:"cancelling"`
+	SendCap         float64 `json:"send_cap"`
+	Probing         bool    `json:"probing"`
+	ConnIdleTimeout float64 `json:"conn_idle"`
+	ConnectTimeout  float64 `json:"connect_timeout"`
+	MaxRetryAfter   float64 `json:"max_retry_after"`
+	RetryAfter      bool    `json:"retry_after"`
 }
 
 type report struct {
@@ -84,17 +84,17 @@
 // RouterSettings are the settings of a router outside the simulator: those of package decide, the names that clients,
 // workers and discovery use for classes, kinds and zones, and the limits of connections. Package decide refers to a
 // class, kind or zone by its index in these lists.
-type Site struct {
+type RouterSettings struct {
 	decide.Settings
 	ClassNames, KindNames, ZoneNames []string
-	ConnIdle                         time.Duration
+	ConnIdleTimeout                  time.Duration
 	Resume                           bool // clients may ask for the rest of a stream that broke
 }
 
 // NeedsRestart returns a *decide.RestartError that names the first setting in which next differs from s and which a
 // running process can't change: parameters with which its sockets were created, and the lists of names, whose indices
 // are in use. It returns nil where there is none. Changes of decide.Settings are checked by decide.Router.Apply.
-func (s Site) NeedsRestart(next Site) error {
+func (s RouterSettings) NeedsRestart(next RouterSettings) error {
 	for _, setting := range []struct {
 		key       string
 		unchanged bool
@@ -102,7 +102,7 @@
 		{"request_classes: names", slices.Equal(s.ClassNames, next.ClassNames)},
 		{"host_types", slices.Equal(s.KindNames, next.KindNames)},
 		{"zones", slices.Equal(s.ZoneNames, next.ZoneNames)},
-		{"limits.conn_idle", s.ConnIdle == next.ConnIdle},
+		{"limits.conn_idle", s.ConnIdleTimeout == next.ConnIdleTimeout},
 		{"domain.resume", s.Resume == next.Resume},
 	} {
 		if !setting.unchanged {
@@ -113,14 +113,14 @@
 }
 
 // ParseRouterSettings parses the settings JSON for a router outside the simulator.
-func ParseSite(text []byte) (Site, error) {
+func ParseRouterSettings(text []byte) (RouterSettings, error) {
 	var c config
 	if err := json.Unmarshal(text, &c); err != nil {
-		return Site{}, err
+		return RouterSettings{}, err
 	}
 	base, err := toSettings(c)
-	s := Site{Settings: base, KindNames: c.HostTypes, ZoneNames: c.Zones,
-		ConnIdle: micros(c.Limits.ConnIdle), Resume: c.Domain.Resume}
+	s := RouterSettings{Settings: base, KindNames: c.HostTypes, ZoneNames: c.Zones,
+		ConnIdleTimeout: micros(c.Limits.ConnIdleTimeout), Resume: c.Domain.Resume}
 	for _, class := range c.Classes {
 		s.ClassNames = append(s.ClassNames, class.Name)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Now != 5*time.Millisecond || b.Seq != 7 || len(b.Events) != 1 || b.Events[0].Front != "front_2" {
+	if b.Now != 5*time.Millisecond || b.Seq != 7 || len(b.Events) != 1 || b.Events[0].InstanceName != "front_2" {
 		t.Fatalf("batch %+v", b)
 	}
 	return b.Events[0].Body
@@ -43,9 +43,9 @@
 		lines []string
 		want  any
 	}{
-		{[]string{"exit front_2"}, Exit{}},
-		{[]string{"left front_2 41"}, Left{41}},
-		{[]string{"ring front_2 9"}, Ring{9}},
+		{[]string{"exit front_2"}, InstanceStopped{}},
+		{[]string{"left front_2 41"}, ClientLeft{41}},
+		{[]string{"ring front_2 9"}, TimerFired{9}},
 		{[]string{"whisper front_2 1 ab"}, Ignored{}},
 		{[]string{"pong front_2 900 GOOD engine.a svc_ms:4.5"}, Ignored{}},
 		{[]string{"pong front_2 900 GOOD engine.a -"}, Ignored{}},
@@ -76,7 +76,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	h := readSingleEvent(t, "hello front_2 77 "+exampleConfig).(Hello)
+	h := readSingleEvent(t, "hello front_2 77 "+exampleConfig).(InstanceStarted)
 	want := decide.Settings{RouterIndex: 1, RouterCount: 3, Zone: 1, ClockStep: 2 * time.Millisecond, PollServerList: true, OverQuotaFactor: 0.1,
 		Classes: []decide.Class{{TTFTTarget: 1500 * time.Millisecond, TTFTTargetPer1000: 40 * time.Millisecond, Deadline: 9 * time.Second,
 			TPOTTarget: 60 * time.Millisecond, Value: 3, LateValueShare: 0.2, Effect: decide.Keyed, Scope: decide.ScopeCell,
@@ -125,14 +125,14 @@
 	instance.SetTimer(9, 6*time.Millisecond)
 	instance.RequestServerList(true)
 	instance.RequestServerList(false)
-	w.BailOut("front_2", "two\nlines")
+	w.ReportFailure("front_2", "two\nlines")
 	want := "relay front_2 41 engine.a 1500\ndrop_attempt front_2 41 1\ndeny front_2 42 1000000\nabort front_2 43\n" +
 		"give_up_hold front_2 41\nset_alarm front_2 9 6000\ntail front_2 1\nrefresh front_2\n" +
 		"bail_out front_2 two lines\nnext 3\n"
-	if got := string(w.Take(3)); got != want {
+	if got := string(w.EndBatch(3)); got != want {
 		t.Errorf("got\n%swant\n%s", got, want)
 	}
-	if got := string(w.Take(4)); got != "next 4\n" {
+	if got := string(w.EndBatch(4)); got != "next 4\n" {
 		t.Errorf("second batch repeats the first: %q", got)
 	}
 }
@@ -143,7 +143,7 @@
 		request := readSingleEvent(t, fmt.Sprintf("inbound front_2 %d 0 0 01 5000 - - 10 0 8 0", id)).(decide.Request)
 		var w Writer
 		w.Instance("front_2").Send(request.ID, "engine.a", request.TimeLeft)
-		if got, want := string(w.Take(1)), fmt.Sprintf("relay front_2 %d engine.a 5000\nnext 1\n", id); got != want {
+		if got, want := string(w.EndBatch(1)), fmt.Sprintf("relay front_2 %d engine.a 5000\nnext 1\n", id); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -13,7 +13,7 @@
 type Writer struct{ buf bytes.Buffer }
 
 // EndBatch returns the lines written since the last call, followed by the line that ends batch seq, and empties the buffer.
-func (w *Writer) Take(seq uint64) []byte {
+func (w *Writer) EndBatch(seq uint64) []byte {
 	w.line("next", strconv.FormatUint(seq, 10))
 	out := bytes.Clone(w.buf.Bytes())
 	w.buf.Reset()
@@ -21,7 +21,7 @@
 }
 
 // ReportFailure reports that the named router instance has failed. The message is folded into one line.
-func (w *Writer) BailOut(instanceName, message string) {
+func (w *Writer) ReportFailure(instanceName, message string) {
 	w.line("bail_out", instanceName, strings.Join(strings.Fields(message), " "))
 }
 
