--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -170,7 +170,7 @@
 		if previous != nil {
 			previous(ids)
 		}
-		p.cacheReports.Moved(ids)
+		p.cacheReports.OnAvailabilityChange(ids)
 	}
 	if p.metrics != nil {
 		p.metrics.CollectCacheReports(p.cacheReports.Stats)
@@ -222,7 +222,7 @@
 	if !p.shared.Alone() {
 		p.restoreLearned()
 	}
-	go p.control.Watch(ctx, func() any { return p.core.Learned() })
+	go p.control.Watch(ctx, func() any { return p.core.Estimates() })
 	go p.budget.followOverlap(ctx, p.control, p.log)
 }
 
@@ -232,7 +232,7 @@
 	if ok, err := p.shared.LoadLearned(&learned); err != nil {
 		p.log.Error("can't read the learned state of the other process", "err", err)
 	} else if ok {
-		if err := p.core.Learn(learned); err != nil {
+		if err := p.core.Restore(learned); err != nil {
 			p.log.Error("learned state of the other process is not taken", "err", err)
 		}
 	}
--- a/cmd/rowanyard/serve.go
+++ b/cmd/rowanyard/serve.go
@@ -107,7 +107,7 @@
 // drain shuts all fronts down gracefully: open requests are answered, streams still running when the time is up are cut.
 func (p *process) drain() {
 	drainTime := max(guaranteedDrain, time.Duration(p.reloader.longestDeadline.Load()))
-	defer time.AfterFunc(p.untilKilled()-finalAnswerMargin, p.core.End).Stop()
+	defer time.AfterFunc(p.untilKilled()-finalAnswerMargin, p.core.Shutdown).Stop()
 	successor, hasSuccessor := p.control.Successor()
 	if !hasSuccessor {
 		successor = ""
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -59,11 +59,11 @@
 
 // Result reports how an attempt ended, or that its answer has begun to stream.
 type Result struct {
-	Status  decide.Status // 0: the answer has begun and Stream is set
-	Kept    int           // prompt tokens that the worker found in its cache
-	NoState bool          // with Full: the writer found no state to fetch
-	Stream  any           // opaque to the core: the transport's stream, relayed by the front that receives the Answer
-	Err     error         // for the log
+	Status       decide.Status // 0: the answer has begun and Stream is set
+	CachedTokens int           // prompt tokens that the worker found in its cache
+	NoState      bool          // with Full: the writer found no state to fetch
+	Stream       any           // opaque to the core: the transport's stream, relayed by the front that receives the Answer
+	Err          error         // for the log
 }
 
 // Transport carries out the attempts of one request.
@@ -140,8 +140,8 @@
 	Found(worker string, predicted, kept int)
 }
 
-// Kept returns, by worker id, how many tokens of a prompt workers report to keep, nil where there are no reports.
-func (c *Core) Kept(prompt func() []byte) map[string]int {
+// CachedTokens returns, by worker id, how many tokens of a prompt workers report to keep, nil where there are no reports.
+func (c *Core) CachedTokens(prompt func() []byte) map[string]int {
 	if c.CacheReports == nil {
 		return nil
 	}
@@ -254,23 +254,23 @@
 	return <-req.answer
 }
 
-// End is called before the process exits. It has every open request answered at once, so that the state that workers hold
+// Shutdown is called before the process exits. It has every open request answered at once, so that the state that workers hold
 // for it is released while this process can still do so. Requests that come later are refused.
-func (c *Core) End() {
+func (c *Core) Shutdown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopping = true
 	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Shutdown(now) })
 }
 
-// Learned returns what the module has learned so far.
-func (c *Core) Learned() (learned decide.Estimates) {
+// Estimates returns what the module has learned so far.
+func (c *Core) Estimates() (learned decide.Estimates) {
 	c.dispatch(func(now time.Duration, r *decide.Router) { learned = r.Estimates(now) })
 	return learned
 }
 
-// Learn passes what the previous process had learned to the module.
-func (c *Core) Learn(learned decide.Estimates) (err error) {
+// Restore passes what the previous process had learned to the module.
+func (c *Core) Restore(learned decide.Estimates) (err error) {
 	c.dispatch(func(now time.Duration, r *decide.Router) { err = r.Restore(now, learned) })
 	return err
 }
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -189,7 +189,7 @@
 func TestStartingGuard(t *testing.T) {
 	s := &scriptedTransport{try: func(context.Context, Attempt) Result { return Result{Status: decide.Read} }}
 	c := newTestCore(t, s, "w")
-	c.End()
+	c.Shutdown()
 	if a := c.Serve(t.Context(), newRequest(unsafeClass, time.Minute), s); a.Verdict != Refused {
 		t.Errorf("got answer %+v, want a refusal", a)
 	}
--- a/internal/core/life.go
+++ b/internal/core/life.go
@@ -398,7 +398,7 @@
 		req.heldSince, req.releasedAtLimit = time.Now(), false
 		req.successfulReads.Add(1)
 		if predicted, ok := req.CachedTokens[a.To.ID]; ok && req.core.CacheReports != nil {
-			req.core.CacheReports.Found(a.To.ID, predicted, e.Kept)
+			req.core.CacheReports.Found(a.To.ID, predicted, e.CachedTokens)
 		}
 	case e.NoState:
 		req.stateWaiting = false
@@ -416,7 +416,7 @@
 		level = slog.LevelDebug
 	}
 	req.core.log.Log(context.Background(), level, "attempt", "id", req.ID, "txn", req.Label, "n", e.attemptNumber, "worker", a.To.ID, "status", statusName(e.Status),
-		"took_ms", time.Since(a.began).Milliseconds(), "read", a.Read, "no_state", e.NoState, "kept", e.Kept,
+		"took_ms", time.Since(a.began).Milliseconds(), "read", a.Read, "no_state", e.NoState, "kept", e.CachedTokens,
 		"prompt", req.PromptLength, "held_ms", req.heldFor().Milliseconds(), "err", e.Err)
 	req.reportOutcome(e.attemptNumber, e.Result)
 }
@@ -427,6 +427,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := decide.Outcome{ID: req.ID, Attempt: n, Server: a.To.ID, Status: res.Status, Elapsed: time.Since(a.began),
-		Final: req.verdict != Pending, CachedTokens: res.Kept, NoState: res.NoState}
+		Final: req.verdict != Pending, CachedTokens: res.CachedTokens, NoState: res.NoState}
 	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Outcome(now, o) })
 }
--- a/internal/decisions/server.go
+++ b/internal/decisions/server.go
@@ -128,7 +128,7 @@
 	head := http.Header{"Content-Type": {"application/json"}, "X-Txn": {r.Request}, "X-Lane": {s.Names[class]},
 		"X-Labels": {fmt.Sprintf("prompt_len=%d,max_out=%d", r.PromptTokens, r.MaxOutputTokens)}}
 	if len(r.Body) > 0 {
-		q.CachedTokens = s.Coordinator.core.Kept(func() []byte { return httpfront.Prompt(r.Body) })
+		q.CachedTokens = s.Coordinator.core.CachedTokens(func() []byte { return httpfront.Prompt(r.Body) })
 	}
 	q.Leased = true // state is held for as long as the caller renews; see grant.Config
 	path := r.Path
@@ -270,7 +270,7 @@
 	case pb.Fate_FATE_TURNED_AWAY:
 		return grant.TurnedAway, core.Result{Status: decide.Rejected, NoState: r.NoState}, true
 	case pb.Fate_FATE_READ:
-		return grant.Read, core.Result{Status: decide.Read, Kept: int(r.CachedTokens)}, true
+		return grant.Read, core.Result{Status: decide.Read, CachedTokens: int(r.CachedTokens)}, true
 	case pb.Fate_FATE_BEGUN:
 		return grant.Begun, core.Result{}, true
 	case pb.Fate_FATE_RAN:
--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -328,7 +328,7 @@
 		c.Log.Info("bad request", "status", code, "err", err)
 		return true, c.sendImmediate(code, nil, err.Error())
 	}
-	q.CachedTokens = c.Core.Kept(func() []byte { return httpfront.Prompt(c.body) })
+	q.CachedTokens = c.Core.CachedTokens(func() []byte { return httpfront.Prompt(c.body) })
 	id := c.header.Get("X-Txn")
 	q.Label = id
 	g, worker, err := c.Coordinator.Choose(ctx, decisions.ChooseCall{Called: called, Query: q, ReadHere: true, Attached: true, SingleWrite: true,
--- a/internal/grpcfront/front.go
+++ b/internal/grpcfront/front.go
@@ -99,7 +99,7 @@
 		return status.Errorf(codes.AlreadyExists, "id: %q is open already", req.Id)
 	}
 	defer releaseID()
-	q.CachedTokens = s.core.Kept(func() (text []byte) {
+	q.CachedTokens = s.core.CachedTokens(func() (text []byte) {
 		for _, m := range req.Messages {
 			text = append(text, m.Content...)
 		}
--- a/internal/grpcfront/workers.go
+++ b/internal/grpcfront/workers.go
@@ -196,7 +196,7 @@
 			return x.failedResult(ctx, a, stop, call, err)
 		}
 		stop(nil)
-		return core.Result{Status: decide.Read, Kept: int(min(max(0, reply.CachedTokens), maxTokens))}
+		return core.Result{Status: decide.Read, CachedTokens: int(min(max(0, reply.CachedTokens), maxTokens))}
 	}
 	first := new(pb.Chunk)
 	if err := call.RecvMsg(first); err != nil {
--- a/internal/httpfront/calledoff_test.go
+++ b/internal/httpfront/calledoff_test.go
@@ -110,7 +110,7 @@
 	w.then <- func(c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 202 X\r\nContent-Length: 20\r\n\r\n{\"cached_tokens\": 7}")
 	}
-	if res := <-done; res.Status != decide.Read || res.Kept != 7 {
+	if res := <-done; res.Status != decide.Read || res.CachedTokens != 7 {
 		t.Errorf("%+v", res)
 	}
 	w = newScriptedWorker(t)
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -174,7 +174,7 @@
 	}
 	q.Label = r.Header.Get(headerTxn)
 	q.TimeLeft = max(0, q.TimeLeft-timeSinceArrival(r.Context()))
-	q.CachedTokens = f.core.Kept(func() []byte { return Prompt(body) })
+	q.CachedTokens = f.core.CachedTokens(func() []byte { return Prompt(body) })
 	f.forward(w, r, q, body, reservation)
 }
 
@@ -251,7 +251,7 @@
 				res.Header.Set(name, v)
 			}
 		}
-		res.Body = &relay{Stream: s, onEnd: a.StreamEnded, client: parsed.client, writeTimeout: t.front.writeTimeout, cutCtx: t.front.cutCtx, heirs: &t.front.successorPath, log: t.front.log}
+		res.Body = &relay{Stream: s, onEnd: a.StreamEnded, client: parsed.client, writeTimeout: t.front.writeTimeout, cutCtx: t.front.cutCtx, successorPath: &t.front.successorPath, log: t.front.log}
 		if out.ProtoAtLeast(1, 1) {
 			res.Body.(*relay).conn = conn
 		}
--- a/internal/httpfront/relay.go
+++ b/internal/httpfront/relay.go
@@ -32,16 +32,16 @@
 // the proxy closes the client's connection without the last chunk.
 type relay struct {
 	Stream
-	onEnd        func(decide.Status)
-	client       *http.ResponseController
-	writeTimeout time.Duration
-	cutCtx       context.Context // ends when streams are to be cut; a stream is not cut before some of it has passed
-	stopCutting  func() bool
-	cut          atomic.Bool
-	heirs        *successor
-	conn         *clientConn // nil if the answer is not chunked
-	handedOver   bool        // the next Read returns errHanded
-	log          *slog.Logger
+	onEnd         func(decide.Status)
+	client        *http.ResponseController
+	writeTimeout  time.Duration
+	cutCtx        context.Context // ends when streams are to be cut; a stream is not cut before some of it has passed
+	stopCutting   func() bool
+	cut           atomic.Bool
+	successorPath *successor
+	conn          *clientConn // nil if the answer is not chunked
+	handedOver    bool        // the next Read returns errHanded
+	log           *slog.Logger
 }
 
 func (r *relay) Read(p []byte) (int, error) {
@@ -59,7 +59,7 @@
 	}
 	if r.stopCutting == nil && n > 0 {
 		r.stopCutting = context.AfterFunc(r.cutCtx, func() {
-			if s, ok := r.Stream.(*stream); ok && r.conn != nil && r.heirs.get() != "" && s.requestHandOver() {
+			if s, ok := r.Stream.(*stream); ok && r.conn != nil && r.successorPath.get() != "" && s.requestHandOver() {
 				return
 			}
 			// Cut streams make their clients request the rest, prompts included; all at once would overload the other
@@ -93,7 +93,7 @@
 		defer syscall.Close(client)
 		position := streamPositionOf(s.conn.chunks, s.events)
 		position.Behind = int(r.conn.pipelined.Load())
-		err = transfer(r.heirs.get(), position, client, s.conn.handOverFD)
+		err = transfer(r.successorPath.get(), position, client, s.conn.handOverFD)
 	}
 	if err != nil {
 		r.log.Warn("a stream was not handed on", "err", err)
--- a/internal/httpfront/workers.go
+++ b/internal/httpfront/workers.go
@@ -306,7 +306,7 @@
 	if err != nil { // the state is there nevertheless
 		w.log.Warn("malformed answer of a reader", "worker", a.To.ID, "err", err)
 	}
-	return core.Result{Status: decide.Read, Kept: kept}
+	return core.Result{Status: decide.Read, CachedTokens: kept}
 }
 
 // ClassifyStatus returns the result of a write that was answered with this status code. turnedAway says that the
--- a/internal/reports/reports.go
+++ b/internal/reports/reports.go
@@ -77,9 +77,9 @@
 	return g
 }
 
-// Moved is told which workers have started or stopped taking new work. It forgets those that are no longer listed and
+// OnAvailabilityChange is told which workers have started or stopped taking new work. It forgets those that are no longer listed and
 // ends their streams.
-func (l *Listener) Moved(ids []string) {
+func (l *Listener) OnAvailabilityChange(ids []string) {
 	for _, id := range ids {
 		if l.core.Known(id) {
 			continue
--- a/internal/reports/reports_test.go
+++ b/internal/reports/reports_test.go
@@ -56,7 +56,7 @@
 	must(err)
 	listener, err := reports.New(c, kvindex.Settings{MaxBlocks: 1 << 16, MaxWorkers: 16, MaxStaleness: 2 * time.Second, MaxBuffered: 64, ChangesPerSecond: 1e5, Burst: 1e5}, log)
 	must(err)
-	c.CacheReports, c.OnAvailabilityChange = listener, listener.Moved
+	c.CacheReports, c.OnAvailabilityChange = listener, listener.OnAvailabilityChange
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
 	g := listener.GRPC()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -14,7 +14,7 @@
 	Me        float64  `json:"me"`
 	Instances float64  `json:"n_instances"`
 	Zone      float64  `json:"zone"`
-	Tick      float64  `json:"granularity"`
+	ClockStep float64  `json:"granularity"`
 	Discovery string   `json:"discovery"`
 	OverShare float64  `json:"over_share_worth"`
 	Classes   []class  `json:"request_classes"`
@@ -43,13 +43,13 @@
 }
 
 type domain struct {
-	AimPer1000  []float64 `json:"aim_us_per_1000_prompt_tokens"`
-	KindRole    []string  `json:"kind_role"`
-	KVTokens    []float64 `json:"kv_tokens"`
-	PinLimit    float64   `json:"pin_limit"`
-	Resume      bool      `json:"resume"`
-	TokenAim    []float64 `json:"token_aim"`
-	WritersRead bool      `json:"writers_read"`
+	TTFTTargetPer1000 []float64 `json:"aim_us_per_1000_prompt_tokens"`
+	KindRole          []string  `json:"kind_role"`
+	KVTokens          []float64 `json:"kv_tokens"`
+	PinLimit          float64   `json:"pin_limit"`
+	Resume            bool      `json:"resume"`
+	TPOTTarget        []float64 `json:"token_aim"`
+	WritersCanRead    bool      `json:"writers_read"`
 }
 
 type limits struct {
@@ -67,8 +67,8 @@
 }
 
 type rules struct {
-	AskEvery       float64 `json:"ask_every"`
-	ColdFrom       float64 `json:"cold_from"`
+	PollInterval   float64 `json:"ask_every"`
+	ColdCapacity   float64 `json:"cold_from"`
 	Fall           float64 `json:"fall"`
 	OverloadFactor float64 `json:"overload_factor"`
 	RampTime       float64 `json:"ramp_time"`
@@ -140,13 +140,13 @@
 	s := decide.Settings{
 		RouterIndex: int(c.Me), RouterCount: int(c.Instances), Zone: int(c.Zone),
 		OverQuotaFactor: c.OverShare,
-		ClockStep:       micros(c.Tick), MaxAttempts: int(c.Limits.SendCap),
+		ClockStep:       micros(c.ClockStep), MaxAttempts: int(c.Limits.SendCap),
 		CanCancel:      c.Limits.Cancelling,
 		CanProbe:       c.Limits.Probing && (slices.Contains(c.Report.Names, "x1") || slices.Contains(c.Report.Names, "pending")),
-		WritersCanRead: c.Domain.WritersRead,
-		PollServerList: c.Discovery == "on_request", PollInterval: micros(c.Rules.AskEvery),
+		WritersCanRead: c.Domain.WritersCanRead,
+		PollServerList: c.Discovery == "on_request", PollInterval: micros(c.Rules.PollInterval),
 		PinLimit: micros(c.Domain.PinLimit), ConnectTimeout: micros(c.Limits.ConnectTimeout),
-		ColdCapacity: c.Rules.ColdFrom, WarmUpTime: micros(c.Rules.RampTime),
+		ColdCapacity: c.Rules.ColdCapacity, WarmUpTime: micros(c.Rules.RampTime),
 		ColdOverloadFactor: c.Rules.OverloadFactor, ColdOverloadWindow: micros(c.Rules.Fall),
 	}
 	if c.Limits.RetryAfter {
@@ -175,8 +175,8 @@
 			return nil, fmt.Errorf("request_classes[%d].dedup_scope: unknown word %q", i, class.DedupScope)
 		}
 		converted = append(converted, decide.Class{
-			TTFTTarget: micros(class.Target), TTFTTargetPer1000: micros(elementOrZero(c.Domain.AimPer1000, i)),
-			Deadline: micros(class.HardLimit), TPOTTarget: micros(elementOrZero(c.Domain.TokenAim, i)),
+			TTFTTarget: micros(class.Target), TTFTTargetPer1000: micros(elementOrZero(c.Domain.TTFTTargetPer1000, i)),
+			Deadline: micros(class.HardLimit), TPOTTarget: micros(elementOrZero(c.Domain.TPOTTarget, i)),
 			Value: class.Credit, LateValueShare: class.LateValue, Effect: effect, Scope: scope,
 			RepeatWindow: micros(class.Window),
 		})
