--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -16,8 +16,8 @@
 
 // Batch holds the events of one moment, in order of arrival.
 type Batch struct {
-	Now    time.Duration
-	Seq    uint64
+	Now    time.Duration // time of the events
+	Seq    uint64        // identifies the batch in the reply, see Writer.EndBatch
 	Events []Event
 }
 
@@ -66,8 +66,8 @@
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16)}
 }
 
-// Next reads one batch. It returns io.EOF where the input ends between two batches. Any other error says where in the
-// batch it occurred; it is not io.EOF, even where the input ends inside the batch.
+// Next reads one batch. It returns io.EOF where the input ends between two batches. Any other error includes its
+// position and does not wrap io.EOF, even where the input ends inside the batch.
 func (r *Reader) Next() (Batch, error) {
 	var b Batch
 	r.lineNumber = 0
@@ -264,9 +264,9 @@
 
 // Bits of the state_bits field of an inbound message.
 const (
-	flagHint    = 1
-	flagRepeat  = 2
-	flagResumed = 16
+	flagHint        = 1
+	flagClientRetry = 2
+	flagResumed     = 16
 )
 
 func parseRequest(f *fieldParser, _ *Reader) any {
@@ -282,7 +282,7 @@
 	if bits&flagHint != 0 {
 		request.DurationHint = hint
 	}
-	request.ClientRetry = bits&flagRepeat != 0
+	request.ClientRetry = bits&flagClientRetry != 0
 	request.Resumed = bits&flagResumed != 0
 	return request
 }
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -25,7 +25,7 @@
 	w.line("bail_out", instanceName, strings.Join(strings.Fields(message), " "))
 }
 
-// Instance returns a decide.Front that writes the actions of the named router instance to w.
+// Instance returns a decide.Executor that writes the actions of the named router instance to w.
 func (w *Writer) Instance(instanceName string) decide.Executor { return &instance{w, instanceName} }
 
 func (w *Writer) line(words ...string) {
@@ -38,7 +38,7 @@
 	w.buf.WriteByte('\n')
 }
 
-// instance implements decide.Front.
+// instance implements decide.Executor.
 type instance struct {
 	writer *Writer
 	name   string
