--- a/decide/api.go
+++ b/decide/api.go
@@ -14,17 +14,17 @@
 // RequestID identifies a client request within one router process. IDs are never reused.
 type RequestID uint64
 
-// Role says which stages of a request the servers of a kind can run.
+// Role is the set of stages of a request that the servers of a kind can run.
 type Role int
 
 // The roles of a kind of server.
 const (
-	Reader Role = iota + 1 // prefill: reads prompts and holds the resulting state
+	Reader Role = iota + 1 // prefill: reads prompts and holds the resulting state (KV cache)
 	Writer                 // decode: fetches a state and streams the answer
 	Mixed                  // both stages
 )
 
-// Effect says how far a request may be repeated.
+// Effect determines whether a request may be repeated.
 type Effect int
 
 // The effects of a class of requests.
@@ -51,7 +51,7 @@
 	Deadline          time.Duration // total time that a client waits
 	TPOTTarget        time.Duration // target mean time per output token (TPOT)
 	Value             float64       // value of an answer in time
-	LateValueShare    float64       // share of Value that an answer after TTFTTarget is worth
+	LateValueShare    float64       // share of Value that an answer after TTFTTarget is worth; not used by the Router
 	Effect            Effect
 	Scope             Scope         // keyed classes: the servers that drop repeats
 	RepeatWindow      time.Duration // keyed classes: how long repeats are dropped
@@ -65,7 +65,7 @@
 // Kind describes the servers of one kind.
 type Kind struct {
 	Role         Role
-	MemoryTokens int // 0 = unknown
+	MemoryTokens int // KV cache memory in tokens, 0 = unknown
 }
 
 // Settings configures a Router. A zero duration disables its limit unless the field says otherwise.
@@ -79,12 +79,12 @@
 	ClockStep                time.Duration // shortest step between the clocks of two events
 	MaxAttempts              int           // attempts per request, 0 = unlimited
 	ConnectTimeout           time.Duration // an attempt reaches its server within this time or not at all
-	MaxRetryAfter            time.Duration // longest retry advice to refused clients, 0 = give none
+	MaxRetryAfter            time.Duration // longest retry delay suggested to refused clients, 0 = none
 	CanCancel                bool
 	CanProbe                 bool          // servers report their load to probes
 	WritersCanRead           bool          // a writer without a state reads the prompt itself
 	PollServerList           bool          // the server list arrives only on request
-	PollInterval             time.Duration // PollServerList: longest time between two requests for it
+	PollInterval             time.Duration // PollServerList: longest time between two requests for it; not used by the Router
 	PinLimit                 time.Duration // a held state must be taken or released within this time
 	PinSlack                 time.Duration // added to PinLimit where the write has probably reached its server
 	ColdCapacity             float64       // share of full capacity right after a start
@@ -133,7 +133,7 @@
 	DurationHint time.Duration // estimate of the answer's duration at TPOTTarget, 0 = none
 	ClientRetry  bool          // known to be a further try of a client
 	Resumed      bool          // sent again after its stream broke
-	// Leased says that the transport releases held states by itself once their router shows no sign of life.
+	// Leased means that the transport itself releases held states once their router shows no sign of life.
 	Leased bool
 	// CachedTokens is the number of prompt tokens that servers report as cached, by server ID. A report overrides the
 	// Router's own record; for a server without an entry nothing is reported. It is nil where there are no reports.
@@ -199,9 +199,9 @@
 	ID        string
 	State     ServerState
 	Kind      int
-	Cell      int
+	Cell      int // group of servers that share a network link
 	Zone      int
-	Weight    float64       // relative to servers of the same role
+	Weight    float64       // relative to servers of the same role; not used by the Router
 	StartedAt time.Duration // clock time of its last start, 0 = long ago
 }
 
--- a/decide/coldfleet_test.go
+++ b/decide/coldfleet_test.go
@@ -266,7 +266,7 @@
 
 // worstWindow returns the window of a cold server with the most work relative to what is allowed: the work sent, the
 // work allowed, and the end of the window in seconds since the start. It considers only windows in which more than two
-// thirds of the work came from routers that knew of the start.
+// thirds of the work came from routers that had received a list with the start.
 func (d *deployment) worstWindow(srv *simServer) (sent, allowed, at float64) {
 	worst, from := 0.0, 0
 	full := toySlots / srv.serviceTime.Seconds()
@@ -340,7 +340,7 @@
 const safeBudgetShare = 0.9
 
 // minColdShare is the minimum load of cold servers as a share of the safe load. The lower minColdShareOverloaded
-// applies if the deployment is overloaded, because what warm servers still finish then says little about their
+// applies if the deployment is overloaded, because what warm servers still finish then is a poor measure of their
 // capacity.
 const minColdShare, minColdShareOverloaded = 0.33, 0.1
 
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,6 +1,6 @@
 package decide
 
-// The decisions of a Router. Its interface is in api.go, its state in state.go.
+// The decisions of a Router; its interface is in api.go, its state in state.go. "Own" means of this router.
 
 import (
 	"cmp"
@@ -22,7 +22,7 @@
 	prefixTTL           = 60 * time.Second // a prefix that was not sent for this long counts as evicted
 	maxPrefixes         = 4096             // prefixes remembered per reader
 	minCachedShare      = 0.9              // a record is wrong if less than this share of it was cached
-	minLostAge          = 15 * time.Second // a lost prefix says nothing of prefixes sent within this time
+	minLostAge          = 15 * time.Second // a loss does not drop prefixes sent within this time
 	maxWriterFill       = 0.5              // a writer is passed over above this own share of its memory
 	peerWeight          = 4.0              // weight of the kind's mean, in own requests at one server
 	slowLinkFactor      = 2.0              // links are slow if far transfers take this many times as long
@@ -35,7 +35,7 @@
 	// Attempts and final answers.
 	attemptTimeShare   = 0.9                    // longest attempt, as a share of the time that is left
 	farTransferShare   = 0.5                    // longest transfer out of the cell, of the TTFT target
-	minRetryAfter      = 50 * time.Millisecond  // least retry advice to refused clients
+	minRetryAfter      = 50 * time.Millisecond  // shortest retry delay suggested to refused clients
 	finalAnswerSteps   = 2                      // clock steps before the deadline at which to answer
 	probeTimeout       = 10 * time.Millisecond  // wait for the answers to probes of readers ...
 	probeValidFor      = 500 * time.Millisecond // ... which count for this long
@@ -47,9 +47,9 @@
 	pinWaitShare       = 0.7                    // wait for a writer, as a share of the pin limit
 	writeCheckDelay    = 120 * time.Millisecond // a server silent for this long after a write is probed ...
 	writeCheckTimeout  = 60 * time.Millisecond  // ... and counts as silent after this without an answer
-	contactValidFor    = 500 * time.Millisecond // no probe before a write to a server heard within this
-	silenceAlertSpan   = 10 * time.Second       // others may be silent this long after one was found so
-	staleWriterProbes  = 2                      // writers checked during a read where routers are few
+	contactValidFor    = 500 * time.Millisecond // no probe before a write to a server heard from within this
+	silenceAlertSpan   = 10 * time.Second       // after a silence, writers are probed for this long ...
+	staleWriterProbes  = 2                      // ... during reads, this many, where routers are few
 	retryInterval      = 50 * time.Millisecond  // between tries while no server can be used
 	listRetryInterval  = time.Second            // between failed requests for the server list
 	listTimerToken     = 1 << 62                // timer of that retry; other tokens are request IDs
@@ -87,7 +87,7 @@
 	coldBudgetShare        = 0.9              // used share of the budget if split by session
 	coldRetryFactor        = 0.1              // applied to that for retries by clients
 	coldSpread             = 1.5              // a prefix may use this multiple of its share of the servers
-	coldKindFactor         = 0.7              // acceptance of a kind without warm servers, of its peers'
+	coldKindFactor         = 0.7              // kind without warm servers: share of its peers' accepted rate
 	acceptedRatioSmoothing = 4.0              // accepted and sent requests added to the ratio of the two
 	minAcceptedRatio       = 0.25             // lower ratios, as in floods, count as this
 
@@ -103,7 +103,7 @@
 // New returns a Router that acts through exec. Equal seeds and events give equal decisions.
 func New(cfg Settings, seed uint64, exec Executor) (*Router, error) {
 	if exec == nil {
-		return nil, errors.New("decide: no front")
+		return nil, errors.New("decide: no executor")
 	}
 	if err := check(cfg); err != nil {
 		return nil, fmt.Errorf("decide: %w", err)
@@ -169,9 +169,9 @@
 	r.dispatch(p)
 }
 
-// wouldOverload reports whether p, read at s, would only be late or delay others; the less it is worth for
-// its work, the earlier. It prevents congestion collapse: readers that fall behind lose their cached prefixes
-// to waiting states and then read everything anew. A short stall may cause refusals.
+// wouldOverload reports whether p, read at s, would only be late or delay others. The threshold is lower for
+// requests of little value or little cached. It prevents congestion collapse: readers that fall behind lose
+// their cached prefixes to waiting states and then read everything anew. A short stall may cause refusals.
 func (r *Router) wouldOverload(p *request, s *server) bool {
 	fill := float64(r.requestTokens) * r.routerWeight() / (r.answerMemory[Writer] + r.answerMemory[Mixed])
 	if len(p.attempts) == 0 && fill > shedFill*r.shedTolerance(p, s) {
@@ -371,8 +371,8 @@
 	r.release(p)
 }
 
-// mayRefuse reports whether the client may be told that a retry is harmless. Repeats of a keyed request must
-// be dropped for longer than any retry can take: the whole deadline of the class and the connect time.
+// mayRefuse reports whether p may be refused, because a retry is harmless. Repeats of a keyed request must
+// be dropped for longer than any retry can take: the deadline of the class plus the connect timeout.
 func (r *Router) mayRefuse(p *request) bool {
 	if p.class.Effect == Safe || p.mayHaveRun == nil && !p.awaitsOutcome() {
 		return true
@@ -438,7 +438,7 @@
 		min(max(factor, 1/maxMixedFactor), maxMixedFactor)
 }
 
-// rank selects a server by longest known prefix match, then fewest own requests in flight, then rendezvous
+// rank selects a server by longest recorded prefix match, then fewest own requests in flight, then rendezvous
 // order for the shared prefix; or for the session if the prefix is the smaller part of the prompt, because
 // one server would otherwise read the rest of all of them. All routers agree on that order, so the first
 // server in it that admits p is assumed to have cached the prefix. Others are passed over while one admits p.
@@ -562,7 +562,7 @@
 
 // fill returns the own tokens at s relative to this router's share of its memory, and the weight of the
 // server's own count in that. The fewer requests the share holds, the more the estimate relies on the fill of
-// the whole pool: among many routers a single request says little.
+// the whole pool: among many routers a single request is weak evidence.
 func (r *Router) fill(s *server) (fill, own float64) {
 	share := r.memory(s) / r.routerWeight()
 	prior := peerWeight * float64(r.writeTokens[s.role]) / float64(max(1, r.streams[s.role]))
@@ -626,8 +626,8 @@
 }
 
 // trusted reports whether s may be used as far as its health goes. A suspect server gets one attempt at a
-// time once its backoff is over. Callers ignore suspicion that covers more than half of the servers, because
-// that points to the load or the network.
+// time once its backoff is over. candidates ignores suspicion that covers more than half of the servers,
+// because that points to the load or the network.
 func (r *Router) trusted(s *server) bool {
 	return !s.suspect || r.now >= s.backoff.until && s.inFlight == 0
 }
@@ -787,7 +787,7 @@
 
 // isColdOpen reports whether p is in the part of the sessions that may use cold servers, and s is open to it;
 // all routers agree on both. A rare prefix may use any cold server, a popular one so few that each gets about
-// an even share of the load, because no router knows the total demand for a cold home. For a write, only
+// an even share of the load, because no router sees the total demand for a cold home. For a write, only
 // coldWriter is open. The load over all routers thus follows from that of all requests, whatever their number
 // and however uneven their traffic.
 func (r *Router) isColdOpen(p *request, s *server, budgetFactor float64) bool {
@@ -814,7 +814,7 @@
 }
 
 // manyRouters reports whether there are too many routers to split the budget of a cold server: most of them
-// use it less than once per window, and what one of them sees tells nothing of the others.
+// use it less than once per window, and the traffic of one is no measure of that of the others.
 func (r *Router) manyRouters() bool { return r.routerWeight() < float64(r.cfg.RouterCount) }
 
 // budgetOffset returns this router's position among all routers, evenly spaced over [0, 1), in an order that
@@ -938,7 +938,7 @@
 			r.recordUnreachable(s, a.sentAt, partialMiss)
 		}
 	case TimedOut, Cancelled:
-		if a.streaming { // a client that left its stream says nothing about waits
+		if a.streaming { // the client left its stream, which is no evidence of a wait
 			break
 		}
 		if !a.read {
@@ -960,7 +960,7 @@
 	}
 }
 
-// ClientGone handles a client that has disconnected.
+// ClientLeft handles a client that has disconnected.
 func (r *Router) ClientLeft(now time.Duration, id RequestID) {
 	r.now = now
 	if p := r.requests[id]; p != nil {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -36,7 +36,7 @@
 func (rec *recorder) Fail(id RequestID)            { rec.record("fail %d", id) }
 func (rec *recorder) Release(id RequestID)         { rec.record("release %d", id) }
 func (rec *recorder) Probe(s string)               { rec.record("probe %s", s) }
-func (rec *recorder) RequestServerList(watch bool) { rec.record("ask %v", watch) }
+func (rec *recorder) RequestServerList(watch bool) { rec.record("list %v", watch) }
 func (rec *recorder) SetTimer(token uint64, at time.Duration) {
 	rec.timers[token] = append(rec.timers[token], at)
 }
@@ -532,8 +532,8 @@
 	r, rec := newTestRouter(t, cfg, nil)
 	r.Servers(0, ServerList{Failed: true})
 	r.Timer(listRetryInterval, listTimerToken)
-	if rec.countCalls("ask true") != 2 {
-		t.Errorf("server list requested %d times, want 2", rec.countCalls("ask true"))
+	if rec.countCalls("list true") != 2 {
+		t.Errorf("server list requested %d times, want 2", rec.countCalls("list true"))
 	}
 }
 
@@ -792,7 +792,7 @@
 	next.now = now
 	next.servers["w00"].tokens = 1
 	if mean := next.meanAnswerRatio(Writer); !next.slow(next.servers["w00"], mean) || next.slow(next.servers["w01"], mean) {
-		t.Error("the next process does not know the slow writer")
+		t.Error("the next process does not restore which writer is slow")
 	}
 	run(40*time.Second, 2*time.Second)
 	if got := run(50*time.Second, 2*time.Second); got["w00"] < got["w01"]/2 {
@@ -1117,7 +1117,7 @@
 	}
 }
 
-// The retry advice is the time after which the excess wait is over, at most what the client honours.
+// The retry delay suggested is the time after which the excess wait is over, at most what the client honours.
 func TestRefusalAdvisesRetryAfterExcessWait(t *testing.T) {
 	cfg := testSettings()
 	cfg.MaxRetryAfter = 500 * time.Millisecond
@@ -1133,7 +1133,7 @@
 		}
 		r.Request(time.Second, testRequest(1))
 		if !rec.called("refuse 1") || rec.retryAfter < c.least || rec.retryAfter > c.most {
-			t.Errorf("wait %v s: %v, retry advice %v", c.wait, rec.calls, rec.retryAfter)
+			t.Errorf("wait %v s: %v, retry delay %v", c.wait, rec.calls, rec.retryAfter)
 		}
 	}
 }
@@ -1310,9 +1310,9 @@
 	}
 }
 
-// One of many routers cannot tell from its own counts that the writers near a reader are full. It must probe them while
-// the prompt is being read, and pass over those that report a queue or full memory or leave the probe unanswered. Few
-// routers know the load of writers, and probe them only for reachability after a server has recently gone silent.
+// A router among many cannot detect from its own counts that the writers near a reader are full. It must probe them while
+// the prompt is being read, and pass over those that report a queue or full memory or leave the probe unanswered. Where
+// routers are few, own counts are enough, and writers are probed only for reachability after a recent silence.
 func TestSaturatedWritersArePassedOver(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -1402,9 +1402,10 @@
 	}
 }
 
-// Hundreds of routers, each of which sends to a cold server at most once in minutes, must use it, but together send no
-// more than its safe even share. This holds even if all have just started and know no rates, and if all requests share
-// one prefix whose home it is. A request is not sent there if the server has reported a queue, nor twice.
+// Hundreds of routers, each of which sends to a cold server at most once in minutes, must use it, but together send
+// no more than its safe even share. This holds even if all have just started and have no rates yet, and if all
+// requests share one prefix whose home it is. A request is not sent there if the server has reported a queue, nor
+// twice.
 func TestManyRoutersShareColdServer(t *testing.T) {
 	sessions, used := 0, 0
 	cfg := testSettings()
@@ -1480,7 +1481,7 @@
 		t.Errorf("%d prefixes kept, want maxPrefixes", len(work.byPrefix))
 	}
 	if work.workShare(9, 1, 10*loadSpan); len(work.byPrefix) != maxPrefixes {
-		t.Errorf("%d prefixes kept: a known prefix needs no room", len(work.byPrefix))
+		t.Errorf("%d prefixes kept: a recorded prefix needs no room", len(work.byPrefix))
 	}
 	if work.workShare(1<<40, 1, 10*loadSpan); len(work.byPrefix) > 2 {
 		t.Errorf("%d prefixes kept though nearly all counts are negligible", len(work.byPrefix))
--- a/decide/estimates.go
+++ b/decide/estimates.go
@@ -16,7 +16,7 @@
 	warmWindowSends float64 // see Router.warmWindowSends
 }
 
-// warmLoad returns the estimate for a kind, computed once for all servers that one choice looks at.
+// warmLoad returns the estimate for a kind, computed once for all servers that one decision considers.
 func (r *Router) warmLoad(kind int) *warmLoad {
 	k := &r.kinds[kind]
 	if k.warmLoad.at != r.now || k.warmLoad.loadVersion != r.loadVersion {
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -25,7 +25,7 @@
 	serviceTime time.Duration   // of a request of work 1 while the server is warm
 	silent      bool            // answers neither requests nor probes
 	sentAt      []time.Duration // of each attempt
-	startKnown  []bool          // of each attempt: its router knew of the latest start
+	startKnown  []bool          // of each attempt: its router had received the latest start
 	work        []float64       // of each attempt, relative to the mean of all requests
 }
 
@@ -544,7 +544,7 @@
 // restarting meanwhile. Probes of writers that give no sign of life are included.
 const callsHash = "d0e8439abc1f4b11fe43033afb543c0c7c6ab34d78ee46fe1639244342f13f6d"
 
-// Without cache reports, decisions must be exactly those of a Router that knows no reports.
+// Without cache reports, decisions must be exactly those of a Router that does not support them.
 func TestDecisionsWithoutReportsAreUnchanged(t *testing.T) {
 	sum := sha256.New()
 	sim := newSimulation(12, 10, 34)
--- a/decide/heldstate.go
+++ b/decide/heldstate.go
@@ -117,7 +117,7 @@
 
 // updateHeldState decides what the end of an attempt means for the held state. The pin limit starts anew only
 // if the end shows that the attempt had arrived; an attempt that never connected, or was cancelled without a
-// sign of life, took nothing. The reachable argument says whether the server has responded to anything since
+// sign of life, took nothing. The reachable argument is whether the server has responded to anything since
 // the attempt was sent, not counting this end.
 func (r *Router) updateHeldState(p *request, a *attempt, o Outcome, reachable bool) {
 	arrivalUnknown := o.Status == TimedOut || o.Status == Cancelled || o.Status == Reset
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -9,7 +9,7 @@
 // Export and import of a Router's estimates, for the process that takes over from this one. The decisions are in
 // decide.go.
 
-// Estimates is what a Router has learned about all servers, in a form that can be stored as text. Each triple of
+// Estimates holds what a Router has learned about all servers, in a form that can be stored as text. Each triple of
 // numbers is a running mean (value, weight, age) or a rate (count, 0, age). Ages are in seconds and not points in
 // time, because two processes share no clock: a wall clock may be stepped.
 type Estimates struct {
@@ -26,7 +26,7 @@
 // maxEstimateAge is the highest age that Restore accepts.
 const maxEstimateAge = 100 * 365 * 24 * time.Hour
 
-// KindEstimates is what is known about the servers of one kind.
+// KindEstimates holds what a Router has learned about the servers of one kind.
 type KindEstimates struct {
 	Accepted [3]float64 `json:"took"`  // requests per warm server
 	Demand   [3]float64 `json:"asked"` // requests for which its servers were ranked
--- a/decide/lookup.go
+++ b/decide/lookup.go
@@ -70,10 +70,10 @@
 	}
 }
 
-func (r *Router) recordAnswerEnd(s *server, first, hint time.Duration) {
-	s.streams.end(first, hint, r.now)
+func (r *Router) recordAnswerEnd(s *server, firstTokenAt, hint time.Duration) {
+	s.streams.end(firstTokenAt, hint, r.now)
 	if s.State == Ready {
-		r.answers[s.role].end(first, hint, r.now)
+		r.answers[s.role].end(firstTokenAt, hint, r.now)
 	}
 }
 
--- a/decide/prefixes.go
+++ b/decide/prefixes.go
@@ -41,8 +41,8 @@
 // match returns the length of the longest prefix of q that the reader has probably cached, and when it was last sent.
 // The reader's own report, if there is one, overrides the record.
 func (t *prefixes) match(q *Request, now time.Duration) (tokens int, since time.Duration) {
-	if kept, reported := q.CachedTokens[t.serverID]; reported {
-		return kept, now
+	if cached, reported := q.CachedTokens[t.serverID]; reported {
+		return cached, now
 	}
 	for _, k := range []prefixKey{{false, q.Prefix}, {true, q.Session}} {
 		e := t.entries[k]
@@ -124,9 +124,9 @@
 // prefixes first, so everything sent before the lost one counts as lost too, unless it is younger than minLostAge: a
 // single loss may concern that prefix alone. This keeps sessions from being pinned to a reader that has lost its
 // cache in a flush, in a restart that is not yet listed, or for lack of memory.
-func (t *prefixes) reconcile(a *attempt, kept int, now time.Duration) {
+func (t *prefixes) reconcile(a *attempt, cached int, now time.Duration) {
 	threshold := min(a.since, now-minLostAge)
-	for float64(kept) < minCachedShare*float64(a.match) && t.order.Len() > 0 {
+	for float64(cached) < minCachedShare*float64(a.match) && t.order.Len() > 0 {
 		if t.order.Back().Value.(*prefix).at > threshold {
 			return
 		}
--- a/decide/running.go
+++ b/decide/running.go
@@ -12,7 +12,7 @@
 // mean is a running mean in which newer values weigh more.
 type mean struct {
 	value float64
-	n     float64
+	n     float64       // number of values it stands for, at most 1/latestWaitWeight
 	at    time.Duration // of the latest value
 }
 
--- a/decide/state.go
+++ b/decide/state.go
@@ -33,7 +33,7 @@
 	zones           map[int]*zone
 	prefixWork      workByPrefix
 	sends           [Mixed + 1]rate          // attempts by role, while a server of the role was warm
-	reads           rate                     // states produced
+	reads           rate                     // completed reads
 	readerCount     float64                  // ready readers
 	answerMemory    [Mixed + 1]float64       // memory of the ready servers for answers by role, in tokens
 	writeTokens     [Mixed + 1]int           // expected tokens of own writes in flight by role
@@ -97,14 +97,14 @@
 type cell struct {
 	readerCount float64 // ready readers
 	memory      float64 // of its ready writers, in tokens
-	reads       rate    // states produced there
+	reads       rate    // reads completed there
 	transfers   mean    // time to first token of those states
 }
 
 // zone is this router's view of the network path to a zone.
 type zone struct {
 	aliveAt    time.Duration // last sign of life from any of its servers
-	misses     float64       // attempts since then that met no sign of life
+	misses     float64       // weighted number of attempts since then without a sign of life
 	lastMissAt time.Duration
 	backoff    backoff
 }
@@ -372,8 +372,8 @@
 	return spent / max(done, 1)
 }
 
-// loadKnown reports whether a recent probe tells the load of s better than this router's own counts. With few routers
-// the own counts are the better source, and probes of writers only show that they are reachable.
+// loadKnown reports whether a recent probe is a better measure of the load of s than this router's own counts. With few
+// routers the own counts are better, and probes of writers only show that they are reachable.
 func (r *Router) loadKnown(s *server) bool {
 	return r.manyRouters() && s.loadAt > 0 && r.now-s.loadAt < writerLoadValidFor
 }
@@ -418,12 +418,12 @@
 	s.warmAt = r.cfg.warmAt(e.StartedAt)
 }
 
-// warmAt returns the time from which a server is warm that started at since, 0 = long ago.
-func (s Settings) warmAt(since time.Duration) time.Duration {
-	if since == 0 {
+// warmAt returns the time from which a server is warm that started at startedAt, 0 = long ago.
+func (s Settings) warmAt(startedAt time.Duration) time.Duration {
+	if startedAt == 0 {
 		return math.MinInt64
 	}
-	return since + s.WarmUpTime
+	return startedAt + s.WarmUpTime
 }
 
 // Probed records the load that a server reported in answer to a probe.
