--- a/internal/httpfront/calledoff_test.go
+++ b/internal/httpfront/calledoff_test.go
@@ -60,21 +60,21 @@
 	return w
 }
 
-// cancelAttempt starts an attempt at w and cancels it once w has received all of it. limit stands in for the settle
-// timeout.
-func cancelAttempt(t *testing.T, w *scriptedWorker, read bool, limit <-chan time.Time) <-chan core.Result {
+// cancelAttempt starts an attempt at w and cancels it once w has received all of it. The cancel grace ends when
+// graceEnd is closed.
+func cancelAttempt(t *testing.T, w *scriptedWorker, read bool, graceEnd <-chan time.Time) <-chan core.Result {
 	t.Helper()
 	x, a := newAttempt(w.addr)
 	a.CancelGrace, a.Read = time.Hour, read
-	settling := make(chan struct{})
-	x.Workers.after = func(time.Duration) <-chan time.Time { close(settling); return limit }
+	graceBegun := make(chan struct{})
+	x.Workers.after = func(time.Duration) <-chan time.Time { close(graceBegun); return graceEnd }
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan core.Result, 1)
 	go func() { done <- x.Try(ctx, a) }()
 	<-w.received
 	stop()
 	select {
-	case <-settling:
+	case <-graceBegun:
 	case res := <-done:
 		t.Fatalf("returned %+v before its worker ended the attempt", res)
 	}
@@ -91,12 +91,12 @@
 	}
 }
 
-// An unreachable worker never closes its side: the attempt ends when the settle timeout expires.
-func TestCancelledAttemptReturnsAtSettleTimeout(t *testing.T) {
+// An unreachable worker never closes its side: the attempt ends when the cancel grace is over.
+func TestCancelledAttemptReturnsAfterCancelGrace(t *testing.T) {
 	w := newScriptedWorker(t)
-	limit := make(chan time.Time)
-	done := cancelAttempt(t, w, false, limit)
-	close(limit)
+	graceEnd := make(chan time.Time)
+	done := cancelAttempt(t, w, false, graceEnd)
+	close(graceEnd)
 	if res := <-done; res.Status != decide.Cancelled {
 		t.Errorf("%+v", res)
 	}
@@ -148,8 +148,8 @@
 	}
 }
 
-// If the cancellation comes as the answer ends, the connection may already serve another request, which must not be
-// disturbed.
+// If the cancellation comes as the answer ends, the connection may already serve another request. The cancellation must
+// not affect that one.
 func TestLateCancellationLeavesNextRequestAlone(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
--- a/internal/httpfront/deadline_test.go
+++ b/internal/httpfront/deadline_test.go
@@ -17,18 +17,18 @@
 	"rowanyard/internal/core"
 )
 
-// A worker is told the time left when the request is written, not when the attempt began: the connection may have taken
-// long to come up.
+// A request carries the time left when it is written, not when its attempt began: the connection may have taken long to
+// come up.
 func TestRemainingTimeIsSetWhenRequestIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const dialDelay, wait = 240 * time.Millisecond, time.Second
 		w := NewWorkers(time.Second, 15*time.Second, 10, discardLogger)
 		defer w.transport.CloseIdleConnections()
-		told := make(chan time.Duration, 1)
+		remaining := make(chan time.Duration, 1)
 		w.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
 			time.Sleep(dialDelay)
 			here, there := net.Pipe()
-			go serveOneRead(there, told)
+			go serveOneRead(there, remaining)
 			return here, nil
 		}
 		x := &Exchange{Workers: w, Method: http.MethodPost, URI: PathChat, Head: requestHeader(), Body: []byte(requestBody)}
@@ -37,8 +37,8 @@
 		if res.Status != decide.Read {
 			t.Fatalf("%+v", res)
 		}
-		if got := <-told; got != wait-dialDelay {
-			t.Errorf("the worker was told %v, want %v", got, wait-dialDelay)
+		if got := <-remaining; got != wait-dialDelay {
+			t.Errorf("the request carried %v, want %v", got, wait-dialDelay)
 		}
 	})
 }
@@ -69,7 +69,7 @@
 				t.Fatal(err)
 			}
 			if got := timeSinceArrival(ctx); got != want {
-				t.Errorf("%v on its way, want %v", got, want)
+				t.Errorf("%v since its arrival, want %v", got, want)
 			}
 			peeked := make(chan struct{}) // net/http reads ahead while a request is answered
 			go func() {
@@ -85,15 +85,15 @@
 	})
 }
 
-// The time that a request took to arrive is subtracted from the time that its worker is told.
+// The time that a request took to arrive is subtracted from the remaining time that its worker receives.
 func TestSlowClientReducesRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const slow, aim = 700 * time.Millisecond, time.Second
-		f, c := newFrontWithTarget(t, "worker:1", aim)
-		told := make(chan time.Duration, 9)
+		const slow, target = 700 * time.Millisecond, time.Second
+		f, c := newFrontWithTarget(t, "worker:1", target)
+		remaining := make(chan time.Duration, 9)
 		f.workers.transport.DialContext = func(context.Context, string, string) (net.Conn, error) {
 			here, there := net.Pipe()
-			go serveOneRead(there, told)
+			go serveOneRead(there, remaining)
 			return here, nil
 		}
 		conn := &clientConn{owner: newClientListener(nil, 1, 0, discardLogger)}
@@ -103,16 +103,16 @@
 		r.Header = requestHeader()
 		r.Header.Set(headerRemaining, "1000")
 		f.ServeHTTP(httptest.NewRecorder(), r)
-		if got := <-told; got > time.Second-slow {
-			t.Errorf("the worker was told %v, want at most %v", got, time.Second-slow)
+		if got := <-remaining; got > time.Second-slow {
+			t.Errorf("the request carried %v, want at most %v", got, time.Second-slow)
 		}
 		c.Wait(t.Context())
 		time.Sleep(time.Minute) // for the timers of package decide
 	})
 }
 
-// serveOneRead answers one request as a reader and sends the remaining time that the request carried to told.
-func serveOneRead(c net.Conn, told chan<- time.Duration) {
+// serveOneRead answers one request as a reader and sends the remaining time that the request carried to remaining.
+func serveOneRead(c net.Conn, remaining chan<- time.Duration) {
 	defer c.Close()
 	r, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
@@ -120,6 +120,6 @@
 	}
 	io.Copy(io.Discard, r.Body)
 	left, _ := strconv.Atoi(r.Header.Get(headerRemaining))
-	told <- time.Duration(left) * time.Millisecond
+	remaining <- time.Duration(left) * time.Millisecond
 	io.WriteString(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 19\r\nConnection: close\r\n\r\n{\"cached_tokens\":1}")
 }
--- a/internal/httpfront/discovery_test.go
+++ b/internal/httpfront/discovery_test.go
@@ -98,7 +98,7 @@
 }
 
 // Whatever discovery sends instead of a list, the last good list stays in use, the reason is logged, and discovery is
-// asked again until it sends a good one.
+// called again until it sends a good one.
 func TestLastGoodListIsKeptOnBadAnswers(t *testing.T) {
 	good := listJSON(7, true, "a", "b")
 	for name, respond := range map[string]func(http.ResponseWriter, *http.Request){
--- a/internal/httpfront/due_test.go
+++ b/internal/httpfront/due_test.go
@@ -1,7 +1,7 @@
 package httpfront
 
-// How soon news from discovery is applied. A scripted discovery, reached over pipes on a virtual clock, fails in every
-// way before it becomes reachable. These tests use neither the network nor the real clock.
+// Tests of how soon changes from discovery are applied. A scripted discovery, reached over pipes on a virtual clock,
+// fails in every way before it becomes reachable. These tests use neither the network nor the real clock.
 
 import (
 	"bufio"
@@ -79,7 +79,7 @@
 	return ""
 }
 
-// dial stands in for the network.
+// dial takes the place of the network.
 func (a *fakeDiscovery) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if b := a.other.Load(); b != nil && addr == "other:1" {
 		return b.dial(ctx, network, addr)
@@ -123,8 +123,8 @@
 	chunk := func(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 	status := func(line string) { fmt.Fprintf(c, "HTTP/1.1 %s\r\nContent-Length: 0\r\n\r\n", line) }
 	watch := req.URL.Query().Has("watch")
-	if said, ok := strings.CutPrefix(mode, "503 in "); ok {
-		status("503 X\r\nRetry-After: " + map[string]string{"a second": "1", "30 s": "30", "an hour": "3600"}[said])
+	if delay, ok := strings.CutPrefix(mode, "503 in "); ok {
+		status("503 X\r\nRetry-After: " + map[string]string{"a second": "1", "30 s": "30", "an hour": "3600"}[delay])
 		return
 	}
 	switch mode {
@@ -197,7 +197,7 @@
 		io.WriteString(c, "0\r\n\r\n")
 		return
 	}
-	for mode != "sends the list and closes" { // a line every 2 s, or as soon as there is news
+	for mode != "sends the list and closes" { // a line every 2 s, or as soon as there is a change
 		next := time.Since(a.started) + 2*time.Second
 		if mode == "sends the list and stalls" {
 			<-closed
@@ -225,9 +225,9 @@
 	time.Sleep(2 * discoveryDialTimeout)
 }
 
-// follow returns a Discovery that follows a, for one of that many routers, and its core.
-func (a *fakeDiscovery) follow(fronts int) (*Discovery, *core.Core) {
-	c, err := core.New(decide.Settings{RouterCount: fronts, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, discardLogger)
+// follow returns a Discovery that follows a, for one of the given number of routers, and its core.
+func (a *fakeDiscovery) follow(routers int) (*Discovery, *core.Core) {
+	c, err := core.New(decide.Settings{RouterCount: routers, Kinds: []decide.Kind{{Role: decide.Reader}}}, 1, nil, discardLogger)
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -245,8 +245,8 @@
 	for seed := range uint64(600) {
 		synctest.Test(t, func(t *testing.T) {
 			a := newFakeDiscovery(t, seed)
-			fronts := []int{1, 3, 20, 350, 1024}[a.rng.IntN(5)]
-			d, c := a.follow(fronts)
+			routers := []int{1, 3, 20, 350, 1024}[a.rng.IntN(5)]
+			d, c := a.follow(routers)
 			defer closeAndWait(d)
 			due := max(a.changedAt, a.reachableAt)
 			time.Sleep(due)
@@ -258,7 +258,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took > changeDeadline {
-				t.Errorf("seed %d, %d routers: not applied %v after %v; %v", seed, fronts, took, due, a.phases)
+				t.Errorf("seed %d, %d routers: not applied %v after %v; %v", seed, routers, took, due, a.phases)
 			}
 			if took > worst {
 				worst, by = took, fmt.Sprint(seed, a.phases)
@@ -295,12 +295,12 @@
 func TestCallsOfManyRoutersAreSpread(t *testing.T) {
 	for _, mode := range []string{"503", "503 in an hour", "503 in a second", "503 with Retry-After 0", "resets"} {
 		synctest.Test(t, func(t *testing.T) {
-			const fronts, long = 350, 60 * time.Second
+			const routers, long = 350, 60 * time.Second
 			var all []*fakeDiscovery
 			var followers []*Discovery
-			for range fronts {
+			for range routers {
 				a := &fakeDiscovery{t: t, started: time.Now(), changedAt: time.Hour, reachableAt: long, phases: []failurePhase{{mode, long}}}
-				d, _ := a.follow(fronts)
+				d, _ := a.follow(routers)
 				all, followers = append(all, a), append(followers, d)
 			}
 			time.Sleep(long)
@@ -314,11 +314,11 @@
 			}
 			slices.Sort(calls)
 			per := make([]int, long/(100*time.Millisecond)+1)
-			for _, at := range calls[fronts:] { // each router's first call is made at once
+			for _, at := range calls[routers:] { // each router's first call is made at once
 				per[at/(100*time.Millisecond)]++
 			}
-			even := float64(fronts) * 0.1 / ((changeDeadline - answerAllowance) / 2).Seconds()
-			if most := slices.Max(per); float64(most) > 3*even || len(calls) > fronts*int(long/(2*time.Second)) {
+			even := float64(routers) * 0.1 / ((changeDeadline - answerAllowance) / 2).Seconds()
+			if most := slices.Max(per); float64(most) > 3*even || len(calls) > routers*int(long/(2*time.Second)) {
 				t.Errorf("%s: %d calls in a tenth of a second, %.0f expected; %d in all", mode, most, even, len(calls))
 			}
 		})
--- a/internal/httpfront/flush_test.go
+++ b/internal/httpfront/flush_test.go
@@ -84,9 +84,9 @@
 	// A client that reads nothing delays none of the others.
 	slow, large := open("slow", event(0))
 	defer slow.Close()
-	full := make(chan struct{})
+	slowClientDone := make(chan struct{})
 	go func() {
-		defer close(full)
+		defer close(slowClientDone)
 		for {
 			select {
 			case large <- strings.Repeat(event(1), 1<<10):
@@ -122,7 +122,7 @@
 	}
 	all.Wait()
 	stop()
-	receive(t, full, "the end of the slow client")
+	receive(t, slowClientDone, "the end of the slow client")
 	slow.Close()
 	waitForCore(t, c)
 }
--- a/internal/httpfront/front_test.go
+++ b/internal/httpfront/front_test.go
@@ -33,7 +33,7 @@
 	return h
 }
 
-// startFront serves a front whose core knows one reader and one writer, both served by worker.
+// startFront serves a front whose core has one reader and one writer, both served by worker.
 func startFront(t *testing.T, worker http.HandlerFunc) (*httptest.Server, *core.Core) {
 	t.Helper()
 	s := httptest.NewServer(worker)
@@ -44,21 +44,21 @@
 	return front, c
 }
 
-// newFront returns a front whose core knows one reader and one writer, both at addr.
+// newFront returns a front whose core has one reader and one writer, both at addr.
 func newFront(t *testing.T, addr string) (*Front, *core.Core) {
 	t.Helper()
 	return newFrontWithTarget(t, addr, time.Second)
 }
 
-// newFrontWithTarget is like newFront, with aim as the target for the first token. No request is given up before a good part
-// of it has passed.
-func newFrontWithTarget(t *testing.T, addr string, aim time.Duration) (*Front, *core.Core) {
+// newFrontWithTarget is like newFront, with the given target for the time to the first token. No request is abandoned
+// before a good part of it has passed.
+func newFrontWithTarget(t *testing.T, addr string, target time.Duration) (*Front, *core.Core) {
 	t.Helper()
 	w := NewWorkers(250*time.Millisecond, 15*time.Second, 100, discardLogger)
 	c, err := core.New(decide.Settings{RouterCount: 1, ClockStep: 2 * time.Millisecond, MaxAttempts: 4, CanCancel: true, PinLimit: 300 * time.Millisecond,
 		MaxRetryAfter: 500 * time.Millisecond,
 		Kinds:         []decide.Kind{{Role: decide.Reader, MemoryTokens: 1e5}, {Role: decide.Writer, MemoryTokens: 1e5}},
-		Classes:       []decide.Class{{TTFTTarget: aim, Deadline: 5 * aim, Value: 1, Effect: decide.Unsafe}}}, 1, w, discardLogger)
+		Classes:       []decide.Class{{TTFTTarget: target, Deadline: 5 * target, Value: 1, Effect: decide.Unsafe}}}, 1, w, discardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 }
 
 // The worker closes the connection after the request's last byte. The HTTP library must not send the request again by
-// itself, and the outcome must tell that the request may have run.
+// itself, and the outcome must show that the request may have run.
 func TestResetAfterTheLastByteIsSentOnce(t *testing.T) {
 	var writes atomic.Int64
 	front, _ := startFront(t, twoStageWorker(func(w http.ResponseWriter, r *http.Request) {
@@ -180,13 +180,13 @@
 	w := NewWorkers(250*time.Millisecond, 15*time.Second, 100, discardLogger)
 	refused := closedPort(t)
 	for _, c := range []struct {
-		name    string
-		read    bool
-		code    int
-		away    string
-		body    string
-		want    decide.Status
-		noState bool
+		name       string
+		read       bool
+		code       int
+		turnedAway string
+		body       string
+		want       decide.Status
+		noState    bool
 	}{
 		{"read", true, 202, "", `{"cached_tokens":7}`, decide.Read, false},
 		{"read, malformed", true, 202, "", `{"cach`, decide.Read, false},
@@ -201,8 +201,8 @@
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body)
-			if c.away != "" {
-				rw.Header().Set("X-Turned-Away", c.away)
+			if c.turnedAway != "" {
+				rw.Header().Set("X-Turned-Away", c.turnedAway)
 			}
 			rw.WriteHeader(c.code)
 			io.WriteString(rw, c.body)
@@ -257,11 +257,11 @@
 
 // A malformed line from discovery must not end the watch or discard the known workers. The full list is requested then.
 func TestWatchSurvivesGarbage(t *testing.T) {
-	var asked atomic.Int64
+	var calls atomic.Int64
 	versions := make(chan string, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		versions <- r.URL.Query().Get("after")
-		if asked.Add(1) == 1 {
+		if calls.Add(1) == 1 {
 			io.WriteString(w, "\n{\"seq\":43,\"whole\":false,\"hosts\":[{\"host\":\"w\",\"dial\":\"127.0.0.1:1\",\"site\":\"a\",\"class\":\"m\",\"health\":\"up\"},{\"host\":\"v\",\"site\":\"?\"}]}\n{\"seq\":4")
 			return
 		}
@@ -327,7 +327,7 @@
 	addDamagedSeeds(f, "util=0.61,queue=2,x0=0.4")
 	f.Fuzz(func(t *testing.T, text string) {
 		if n, err := parseReadAnswer([]byte(text)); err == nil && (n < 0 || n > maxTokens) {
-			t.Errorf("%q: kept %d", text, n)
+			t.Errorf("%q: %d cached tokens", text, n)
 		}
 		if p, err := parseLoadReport(text); err == nil && !(p.QueuedRequests >= -1 && p.QueuedTokens >= -1 && p.QueuedRequests <= maxTokens) {
 			t.Errorf("%q: %+v", text, p)
@@ -355,7 +355,7 @@
 
 // If discovery is overloaded, the requests of all routers together must become fewer and be spread over time, and its
 // Retry-After must be obeyed: otherwise many routers that lost it at once keep it overloaded for good. If it is merely
-// unreachable, it is tried again soon. No wait may reach the time after which a change counts as known to the router,
+// unreachable, it is tried again soon. No wait may reach the deadline by which a router must have applied a change,
 // however many routers there are.
 func TestOverloadedDiscoveryIsBackedOff(t *testing.T) {
 	const interval, maxWait = 20 * overloadBackoffPerRouter, changeDeadline - answerAllowance
@@ -371,21 +371,21 @@
 			t.Errorf("after %d failures %v on average at %d times, want %v", failed, sum/200, len(waits), want)
 		}
 		if w := backoff(io.ErrUnexpectedEOF, failed, interval, maxWait); w > maxBackoff || failed == 0 && w > minBackoff {
-			t.Errorf("unreachable for %d tries: asked again after %v", failed, w)
+			t.Errorf("unreachable, %d failures: called again after %v", failed, w)
 		}
 		for _, err := range []error{busy, syscall.ECONNRESET, statusError{503, time.Hour}} {
 			if w := backoff(err, failed, 1000*overloadBackoffPerRouter, moveDeadline-answerAllowance); w > moveDeadline-answerAllowance {
-				t.Errorf("%v, %d failures, 1000 routers: asked again after %v", err, failed, w)
+				t.Errorf("%v, %d failures, 1000 routers: called again after %v", err, failed, w)
 			}
 		}
 	}
 	if w := backoff(statusError{503, 3 * time.Second}, 0, time.Second, maxWait); w < maxWait/2 || w > 4*time.Second {
-		t.Errorf("told to come back in 3 s: %v", w)
+		t.Errorf("Retry-After of 3 s: called again after %v", w)
 	}
 }
 
-// A router must query discovery as soon as it starts, however many others there are: after some seconds a change counts as
-// known to it, and without the list it would send to workers that are draining or gone.
+// A router must query discovery as soon as it starts, however many others there are: within some seconds it must have
+// applied each change, and without the list it would send to workers that are draining or gone.
 func TestDiscoveryIsQueriedAtOnce(t *testing.T) {
 	requests := make(chan bool, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/httpfront/gone_test.go
+++ b/internal/httpfront/gone_test.go
@@ -135,7 +135,7 @@
 }
 
 // Pipelined requests are kept until their turn. If there is more data than is kept, the connection ends after the answer;
-// the client must not be taken to have left.
+// the client must not count as gone.
 func TestPipelinedRequestWaitsForItsTurn(t *testing.T) {
 	for name, behind := range map[string]string{"a request": requestText("two", contentLength(requestBody), requestBody), "a flood": strings.Repeat("x", 1<<20)} {
 		answers := []string{"202 X\r\nContent-Length: 2\r\n\r\n{}", "200 X\r\nContent-Length: 10\r\n\r\ndata: {}\n\n"}
@@ -263,7 +263,7 @@
 		t.Errorf("%d bytes were read after the close: %v", n, err)
 	}
 	if text, err := io.ReadAll(client); len(text) > 0 || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("%q %v, want a reset: it tells the client that nothing was read", text, err)
+		t.Errorf("%q %v, want a reset, by which the client learns that nothing was read", text, err)
 	}
 
 	client, c = accepted(whole[:9])
--- a/internal/httpfront/guard_test.go
+++ b/internal/httpfront/guard_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// Connections that send nothing, stop in the middle of a request or are idle must be closed soon.
+// Connections that send nothing, stop in the middle of a request or are idle must be closed after their timeouts.
 func TestSilentConnectionsAreClosed(t *testing.T) {
 	f, _ := newFront(t, "127.0.0.1:1")
 	addr := serveOnTCP(t, f, 50)
@@ -210,7 +210,7 @@
 		<-answer
 		return "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"
 	})
-	f, _ := newFrontWithTarget(t, w, time.Hour) // no request may be given up before the next arrives, however slow the machine is
+	f, _ := newFrontWithTarget(t, w, time.Hour) // no request may be abandoned before the next arrives, however slow the machine is
 	states := followStates(f)
 	addr := serveOnTCP(t, f, 2)
 	for range 6 { // none of these has a request in progress
@@ -280,7 +280,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	var asked, conns atomic.Int64
+	var requests, conns atomic.Int64
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -300,7 +300,7 @@
 						io.WriteString(c, "HTTP/1.1 204 X\r\n\r\n")
 						continue
 					}
-					io.WriteString(c, answer(int(asked.Add(1))-1))
+					io.WriteString(c, answer(int(requests.Add(1))-1))
 				}
 			}()
 		}
@@ -417,7 +417,7 @@
 // A second answer that arrives some milliseconds after the first must not be taken for the next request's: a request that
 // ran would count as turned away and could be sent again or refused. The next write waits until it would have arrived.
 func TestLateSecondAnswerIsDiscarded(t *testing.T) {
-	const away = "HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+	const turnedAway = "HTTP/1.1 503 X\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -449,23 +449,23 @@
 					io.WriteString(c, chunkedHead+chunk("data: {}\n\n")+"0\r\n\r\n")
 					return
 				}
-				io.WriteString(c, away)
-				came := make(chan error, 1)
-				go func() { came <- next() }()
+				io.WriteString(c, turnedAway)
+				nextRequest := make(chan error, 1)
+				go func() { nextRequest <- next() }()
 				select {
 				case <-late:
-				case err := <-came: // the next request was sent on this connection and runs
+				case err := <-nextRequest: // the next request was sent on this connection and runs
 					if err == nil {
 						ran.Add(1)
 					}
 				}
-				io.WriteString(c, away)
+				io.WriteString(c, turnedAway)
 			}()
 		}
 	}()
 	x, a := newAttempt(l.Addr().String())
 	var once sync.Once
-	x.Workers.after = func(time.Duration) <-chan time.Time { // time stands still until the second answer has arrived
+	x.Workers.after = func(time.Duration) <-chan time.Time { // the wait ends only once the second answer has arrived
 		once.Do(func() { close(late) })
 		return nil
 	}
@@ -545,25 +545,25 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var atOnce, byteWise chunkScanner
 		n, end, err := atOnce.feed([]byte(text))
-		sum, last, bad := 0, false, error(nil)
-		for i := 0; i < len(text) && !last && bad == nil; i++ {
+		sum, last, byteWiseErr := 0, false, error(nil)
+		for i := 0; i < len(text) && !last && byteWiseErr == nil; i++ {
 			var k int
-			k, last, bad = byteWise.feed([]byte(text[i : i+1]))
+			k, last, byteWiseErr = byteWise.feed([]byte(text[i : i+1]))
 			sum += k
 		}
-		if n != sum || end != last || (err == nil) != (bad == nil) || n > len(text) {
-			t.Errorf("%q: %d %v %v, byte by byte %d %v %v", text, n, end, err, sum, last, bad)
+		if n != sum || end != last || (err == nil) != (byteWiseErr == nil) || n > len(text) {
+			t.Errorf("%q: %d %v %v, byte by byte %d %v %v", text, n, end, err, sum, last, byteWiseErr)
 		}
 		var whole, parts eventScanner
 		n, _, err = whole.feed([]byte(text))
-		sum, bad = 0, nil
-		for i := 0; i < len(text) && bad == nil; i++ {
+		sum, byteWiseErr = 0, nil
+		for i := 0; i < len(text) && byteWiseErr == nil; i++ {
 			var k int
-			k, _, bad = parts.feed([]byte(text[i : i+1]))
+			k, _, byteWiseErr = parts.feed([]byte(text[i : i+1]))
 			sum += k
 		}
-		if n != sum || (err == nil) != (bad == nil) {
-			t.Errorf("%q: events %d %v, byte by byte %d %v", text, n, err, sum, bad)
+		if n != sum || (err == nil) != (byteWiseErr == nil) {
+			t.Errorf("%q: events %d %v, byte by byte %d %v", text, n, err, sum, byteWiseErr)
 		}
 	})
 }
@@ -599,7 +599,7 @@
 		text, err := io.ReadAll(res.Body)
 		res.Body.Close()
 		if string(text) != "data: {}\n\n" || (err != nil) != (after > 0) {
-			t.Errorf("HandOver %v: %q %v", after, text, err)
+			t.Errorf("HandOverAfter %v: %q %v", after, text, err)
 		}
 		c.Wait(ctx)
 	}
@@ -663,9 +663,9 @@
 			var out []byte
 			chunk.onData = func(p []byte) { out = append(out, p...) }
 			_, end, err := chunk.feed([]byte(p))
-			_, _, odd := events.feed(out)
-			if err != nil || odd != nil {
-				t.Fatal(err, odd)
+			_, _, eventErr := events.feed(out)
+			if err != nil || eventErr != nil {
+				t.Fatal(err, eventErr)
 			}
 			return string(out), chunk, events, end
 		}
--- a/internal/httpfront/pipeline_test.go
+++ b/internal/httpfront/pipeline_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// streamingWorker starts a worker that answers reads at once. For a write it sends the first event, reports that on begun,
-// and ends the stream after a receive from goOn.
+// streamingWorker starts a worker that answers reads at once. For a write it sends the first event, reports that on
+// begun, and ends the stream after it has received from goOn.
 func streamingWorker(t *testing.T) (addr string, begun chan struct{}, goOn chan struct{}) {
 	t.Helper()
 	begun, goOn = make(chan struct{}, 9), make(chan struct{}, 9)
--- a/internal/httpfront/silence_test.go
+++ b/internal/httpfront/silence_test.go
@@ -77,7 +77,7 @@
 	return c, nil
 }
 
-// Whatever error accept returns, the front goes on accepting: an error that net/http does not know would end the
+// Whatever error accept returns, the front goes on accepting: an error that net/http does not retry would end the
 // process.
 func TestAcceptErrorsDoNotStopTheListener(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -97,8 +97,8 @@
 	}
 }
 
-// A connection that fails for lack of a local resource says nothing about the worker; one that the network or the
-// worker refuses does. In neither case has the request run.
+// A connection that fails for lack of a local resource must not count against the worker; one that the network or the
+// worker refuses must. In neither case has the request run.
 func TestConnectErrorsAreClassified(t *testing.T) {
 	for errno, want := range map[syscall.Errno]decide.Status{
 		syscall.EADDRNOTAVAIL: decide.Unsent, syscall.ENOBUFS: decide.Unsent, syscall.ENFILE: decide.Unsent, syscall.EMFILE: decide.Unsent,
