--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -241,7 +241,7 @@
 	c.mu.Lock()
 	if c.stopping {
 		c.mu.Unlock()
-		c.Guard.Stopped(invariant.Starting, "shutting down", "txn", q.Label)
+		c.Guard.Stopped(invariant.Starting, "the process ends", "txn", q.Label)
 		return Answer{Verdict: Refused, RetryAfter: c.BusyRetryAfter()}
 	}
 	c.lastID++
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -20,7 +20,7 @@
 	case req.client.Err() != nil:
 		return "client gone"
 	case !req.core.AcceptsWork(a.To.ID):
-		return "worker accepts no new work"
+		return "worker takes nothing new"
 	case a.Remaining() <= 0:
 		return "time is up"
 	case req.answerFixed.Load():
--- a/internal/core/release.go
+++ b/internal/core/release.go
@@ -40,7 +40,7 @@
 	}
 	why := "answered"
 	if unknownReadLeft {
-		why = "read of unknown outcome"
+		why = "read of unknown fate"
 	}
 	req.startRelease(why, req.reader, req.readOutcomeUnknown)
 	req.mayHoldState, req.readOutcomeUnknown, req.stateWaiting = false, false, false
@@ -67,7 +67,7 @@
 // it is about to leave.
 func (req *activeRequest) releaseIfUnreachable(next Worker) {
 	if !req.settings.CanProbe {
-		req.startRelease("read of unknown outcome", Worker{}, false)
+		req.startRelease("read of unknown fate", Worker{}, false)
 		return
 	}
 	successfulReads := req.successfulReads.Load()
@@ -77,7 +77,7 @@
 		ctx, stop := context.WithTimeout(context.Background(), reachProbeTimeout)
 		defer stop()
 		if _, err := req.core.prober.Probe(ctx, next); err != nil && req.successfulReads.Load() == successfulReads {
-			req.startRelease("read of unknown outcome, no sign of the next worker", Worker{}, false)
+			req.startRelease("read of unknown fate, no sign of the next", Worker{}, false)
 		}
 	}()
 }
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -143,7 +143,7 @@
 	reservation, ok := f.reserveBody(r.ContentLength)
 	defer reservation.release()
 	if !ok {
-		f.log.Info("refused", "why", "too many request bodies are held", "txn", r.Header.Get(headerTxn))
+		f.log.Info("refused", "why", "too many bodies are held", "txn", r.Header.Get(headerTxn))
 		setRetryAfter(w.Header(), f.core.BusyRetryAfter())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
