--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -81,7 +81,7 @@
 	})
 }
 
-// Probe implements decide.Front. The module hears nothing of a probe that failed.
+// Probe implements decide.Front. A failed probe is not reported to the module.
 func (x *actions) Probe(server string) {
 	c, w := (*Core)(x), x.workers[server]
 	go func() {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -61,7 +61,7 @@
 type Result struct {
 	Status       decide.Status // 0: the answer has begun and Stream is set
 	CachedTokens int           // prompt tokens that the worker found in its cache
-	NoState      bool          // with Full: the writer found no state to fetch
+	NoState      bool          // with Rejected: the writer found no state to fetch
 	Stream       any           // opaque to the core: the transport's stream, relayed by the front that receives the Answer
 	Err          error         // for the log
 }
@@ -70,7 +70,7 @@
 type Transport interface {
 	// Try sends the request and blocks until the first token or the end of the attempt. When ctx ends it closes the
 	// attempt and returns, within Attempt.CancelGrace: with Cancelled if the attempt may have reached the worker, with
-	// Moot or ConnectFailed if it can't have.
+	// Unsent or ConnectFailed if it can't have.
 	Try(ctx context.Context, a Attempt) Result
 	// Release asks one worker to release all state that is held for the request, at whichever worker.
 	Release(ctx context.Context, at Worker) error
@@ -89,8 +89,8 @@
 	Pending    Verdict = iota // no final answer yet
 	Streaming                 // a worker's answer is streamed
 	Refused                   // nothing ran: the client may safely try again
-	Failed                    // nothing is promised: the request may have run
-	ClientGone                // the client left first and is owed no answer
+	Failed                    // it is not known whether the request ran
+	ClientGone                // the client left first and gets no answer
 )
 
 // Answer is the one final answer to a request.
@@ -120,13 +120,13 @@
 	banned       map[string]bool      // workers that operators have taken out of service, listed or not
 	lastID       decide.RequestID
 	running      inflight.Counter // requests, and releases that outlive their request
-	stopping     bool             // End was called: no new request is started
+	stopping     bool             // Shutdown was called: no new request is started
 
 	// Guard counts violated invariants, and steps that were stopped in time.
 	Guard invariant.Guard
 
 	// OnAvailabilityChange is called with the workers that have begun or ceased to accept new work, after each change.
-	// Calls for concurrent changes may come in either order: AcceptsWork tells the current state. Set before use.
+	// Calls for concurrent changes may come in either order: AcceptsWork returns the current state. Set before use.
 	OnAvailabilityChange func(ids []string)
 	// CacheReports holds what workers report of their caches; nil: there are no reports. Set before use.
 	CacheReports CacheReports
@@ -134,13 +134,14 @@
 
 // CacheReports holds what workers report of the prompts in their caches.
 type CacheReports interface {
-	// Kept returns, by worker id, how many tokens of a prompt workers keep. A worker that does not report is missing.
+	// Kept returns, by worker id, how many tokens of a prompt workers have cached. A worker that does not report is missing.
 	Kept(prompt []byte) map[string]int
-	// Found records how many tokens of a prompt a reader was predicted to keep, according to Kept, and how many it found.
+	// Found records how many tokens of a prompt a reader was predicted to have cached, according to Kept, and how many it
+	// found.
 	Found(worker string, predicted, kept int)
 }
 
-// CachedTokens returns, by worker id, how many tokens of a prompt workers report to keep, nil where there are no reports.
+// CachedTokens returns, by worker id, how many tokens of a prompt workers report as cached, nil where there are no reports.
 func (c *Core) CachedTokens(prompt func() []byte) map[string]int {
 	if c.CacheReports == nil {
 		return nil
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -231,7 +231,7 @@
 
 // A panic of a transport or of the module must fail one request, which is answered once, and not take down the router.
 func TestPanicsFailTheRequest(t *testing.T) {
-	s := &scriptedTransport{try: func(context.Context, Attempt) Result { panic("carrier") }}
+	s := &scriptedTransport{try: func(context.Context, Attempt) Result { panic("transport") }}
 	c := newTestCore(t, s, "w")
 	if a := c.Serve(context.Background(), newRequest(safeClass, 100*time.Millisecond), s); a.Verdict != Refused && a.Verdict != Failed {
 		t.Errorf("transport panicked: got verdict %d", a.Verdict)
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -20,7 +20,7 @@
 	case req.client.Err() != nil:
 		return "client gone"
 	case !req.core.AcceptsWork(a.To.ID):
-		return "worker takes nothing new"
+		return "worker takes nothing new" // it drains or is gone
 	case a.Remaining() <= 0:
 		return "time is up"
 	case req.answerFixed.Load():
@@ -102,8 +102,8 @@
 	return !last.Read && last.inFlight && last.verified.Load()
 }
 
-// checkHeld is the closing guard for states held at workers: it releases a state that is held past the limit, whatever the
-// module knows of it, and counts a violation. States under a lease are left to the transport, which releases them.
+// checkHeld is the closing guard for states held at workers: it releases a state that is held past the limit, whether or not
+// the module has a record of it, and counts a violation. States under a lease are left to the transport, which releases them.
 func (req *activeRequest) checkHeld() {
 	limit := req.settings.PinLimit
 	if limit <= 0 || req.Leased || !req.stateWaiting || req.releasedAtLimit || req.heldFor() < limit+pinLimitGrace || req.hasVerifiedWrite() {
--- a/internal/core/life.go
+++ b/internal/core/life.go
@@ -51,7 +51,7 @@
 	streamAttempt      int          // number of the attempt that streams
 	clientLeft         bool         // the client left while the answer streamed
 	mayHoldState       bool         // a worker may hold a state for the request
-	readOutcomeUnknown bool         // a read ended without telling whether it left a state
+	readOutcomeUnknown bool         // a read ended and it is not known whether it left a state
 	stateWaiting       bool         // a successful read left a state that no write has fetched
 	reader             Worker       // where that state is, or may be
 	successfulReads    atomic.Int32 // reads that left a state
@@ -153,8 +153,8 @@
 		case <-clientGone: // handled at the top of the loop
 		case <-heldTimer.C: // handled below
 		case <-overdueTimer.C:
-			// The module has left the request unanswered past its deadline. The client is owed a final answer, and a failure
-			// is the one that promises nothing.
+			// The module has left the request unanswered past its deadline. The client must get a final answer, and a failure
+			// is the one that leaves open whether the request ran.
 			if req.settleAs(Failed) {
 				c.log.Error("overdue", "id", req.ID, "txn", req.Label, "class", req.Class)
 				c.dispatch(func(now time.Duration, r *decide.Router) { r.ClientLeft(now, req.ID) })
@@ -177,7 +177,7 @@
 	if req.settleAs(ClientGone) {
 		req.core.dispatch(func(now time.Duration, r *decide.Router) { r.ClientLeft(now, req.ID) })
 	} else if req.streaming {
-		// Guards against a stream that goes on, or hangs, with nobody to read it.
+		// Without this the stream would go on, or hang, with nobody to read it.
 		req.clientLeft = true
 		req.attempts[req.streamAttempt].cancel(errCancelled)
 	}
@@ -254,7 +254,7 @@
 }
 
 // startAttempt starts the attempt that the module has chosen. One that a guard stops, or whose worker is not listed any
-// more, ends at once as Moot.
+// more, ends at once as Unsent.
 func (req *activeRequest) startAttempt(cmd command) {
 	c := req.core
 	w, _ := c.Worker(cmd.worker)
--- a/internal/core/starttimes.go
+++ b/internal/core/starttimes.go
@@ -1,6 +1,6 @@
 package core
 
-// This file converts the wall-clock times at which workers say that they started to the core's own clock. The core's clock
+// This file converts the wall-clock times at which workers report that they started to the core's own clock. The core's clock
 // is monotonic; the wall clock of this machine may be wrong or stepped, and those of the workers may disagree with it.
 
 import (
@@ -32,7 +32,7 @@
 // forget drops a worker that is not listed any more.
 func (s *startTimes) forget(id string) { delete(s.byWorker, id) }
 
-// startedAt returns when a worker started on the core's clock, 0 if long ago. unixStart is the start as the worker tells it, 0
+// startedAt returns when a worker started on the core's clock, 0 if long ago. unixStart is the start as the worker reports it, 0
 // if long ago. The result stays the same for as long as unixStart does: another unixStart means another process. now is the
 // time on the core's clock, and wall the one on this machine's wall clock.
 func (s *startTimes) startedAt(now, wall time.Duration, id string, unixStart time.Duration) time.Duration {
--- a/internal/core/workerlist.go
+++ b/internal/core/workerlist.go
@@ -45,14 +45,14 @@
 	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Servers(now, list) })
 }
 
-// ListConfirmed notes that the worker list is complete as of now: discovery has said that nothing changed, or what did.
+// ListConfirmed notes that the worker list is complete as of now: discovery has reported what changed, or that nothing did.
 func (c *Core) ListConfirmed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.workerStarts.confirmComplete(c.clock())
 }
 
-// accepting returns the workers that accept new work, or nil if nobody is to be told of changes.
+// accepting returns the workers that accept new work, or nil if no callback is set for changes.
 func (c *Core) accepting() map[string]bool {
 	if c.OnAvailabilityChange == nil {
 		return nil
