--- a/cmd/rowanyard/commands.go
+++ b/cmd/rowanyard/commands.go
@@ -46,7 +46,7 @@
 
 type serveCommand struct{}
 
-// Run runs the router until it is told to end.
+// Run runs the router until SIGTERM or SIGINT.
 func (serveCommand) Run() error {
 	return run(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
 }
--- a/cmd/rowanyard/incident_test.go
+++ b/cmd/rowanyard/incident_test.go
@@ -36,7 +36,7 @@
 	return &heldStates{since: make(map[string]time.Time), held: make(map[string]time.Duration), freed: make(chan string, 100)}
 }
 
-// record implements standin.Options.Seen.
+// record implements standin.Options.OnEvent.
 func (h *heldStates) record(what, id, _, _ string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -75,7 +75,7 @@
 	all []*faultproxy.Proxy
 }
 
-// wrap implements standin.Options.Via.
+// wrap implements standin.Options.ListedAddress.
 func (p *proxies) wrap(host, address string) string {
 	if host[0] != 'w' {
 		return address
--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// setUpDecisions creates the metrics, the traces and the desk that grants attempts to callers outside the router, as enabled.
+// setUpDecisions creates the metrics, the traces and the Coordinator that grants attempts to callers outside the router, as
+// enabled.
 func (p *process) setUpDecisions() error {
 	seen := decisions.Observer{}
 	if p.operatorFile.Metrics.Listen != "" {
--- a/cmd/rowanyard/serve.go
+++ b/cmd/rowanyard/serve.go
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// drain shuts all fronts down gracefully: open requests are answered, streams still running when the time is up are cut.
+// drain shuts all fronts down gracefully: open requests are answered, streams still running when the time is up are cancelled.
 func (p *process) drain() {
 	drainTime := max(guaranteedDrain, time.Duration(p.reloader.longestDeadline.Load()))
 	defer time.AfterFunc(p.untilKilled()-finalAnswerMargin, p.core.Shutdown).Stop()
--- a/internal/decisions/desk.go
+++ b/internal/decisions/desk.go
@@ -238,7 +238,7 @@
 	case <-t.done:
 	default: // the caller has left; the choice goes on for as long as a caller may be silent
 		if t.waiters == 0 && s.choice == t {
-			// No read may start at the router for a caller that has left, and the caller has not been told of anything yet.
+			// No read may start at the router for a caller that has left, and the caller has not received a grant yet.
 			if s.readHere && d.table.LatestGrant(s.id) == nil {
 				s.cancel(ErrCallerGone)
 			}
@@ -285,7 +285,7 @@
 
 // serve runs a request in the core, from its first call to its final answer.
 func (d *Coordinator) serve(ctx context.Context, s *delegation, a ChooseCall) {
-	answer := d.core.Serve(ctx, a.Query, &carrier{Exchange: a.Exchange, coordinator: d, delegation: s})
+	answer := d.core.Serve(ctx, a.Query, &delegatedTransport{Exchange: a.Exchange, coordinator: d, delegation: s})
 	s.cancel(ErrCallerGone)
 	s.releaseID()
 	d.mu.Lock()
@@ -553,15 +553,15 @@
 	f(d.now(), d.table)
 }
 
-// carrier leaves attempts to the caller, except for reads that the router carries itself.
-type carrier struct {
+// delegatedTransport leaves attempts to the caller, except for reads that the router carries out itself.
+type delegatedTransport struct {
 	*httpfront.Exchange
 	coordinator *Coordinator
 	delegation  *delegation
 }
 
-// Try implements core.Carrier.
-func (c *carrier) Try(ctx context.Context, a core.Attempt) core.Result {
+// Try implements core.Transport.
+func (c *delegatedTransport) Try(ctx context.Context, a core.Attempt) core.Result {
 	_, span := c.coordinator.observer.Tracer.Start(trace.ContextWithSpan(ctx, c.delegation.span), "attempt", trace.WithAttributes(
 		attribute.Int("attempt", a.Number), attribute.String("worker", a.To.ID), attribute.String("stage", stageName(a.Read)),
 		attribute.Bool("here", a.Read && c.delegation.readHere)))
@@ -574,7 +574,7 @@
 	return r
 }
 
-func (c *carrier) try(ctx context.Context, a core.Attempt) core.Result {
+func (c *delegatedTransport) try(ctx context.Context, a core.Attempt) core.Result {
 	d, s := c.coordinator, c.delegation
 	if a.Read && s.readHere {
 		return c.Exchange.Try(ctx, a)
--- a/internal/grpcfront/bridge.go
+++ b/internal/grpcfront/bridge.go
@@ -67,7 +67,7 @@
 	doneEvent   = "[DONE]"
 )
 
-// overHTTP returns a carrier of a gRPC client's request for servers that speak HTTP.
+// overHTTP returns a core.Transport that sends a gRPC client's request to servers that speak HTTP.
 func overHTTP(w *httpfront.Workers, r *pb.CompleteRequest) core.Transport {
 	body := r.Parameters.AsMap()
 	if body == nil {
@@ -95,7 +95,7 @@
 	return chunkDecoder{&httpfront.Exchange{Workers: w, Method: http.MethodPost, URI: httpfront.PathChat, Head: head, Body: text}}
 }
 
-// chunkDecoder is a carrier that decodes the event streams of another carrier into chunks.
+// chunkDecoder is a core.Transport that decodes the event streams of another one into chunks.
 type chunkDecoder struct{ core.Transport }
 
 func (d chunkDecoder) Try(ctx context.Context, a core.Attempt) core.Result {
@@ -149,7 +149,8 @@
 	return c, nil
 }
 
-// Bridge returns a carrier of an HTTP client's request for servers that speak gRPC. It is an httpfront.Bridge.
+// Bridge returns a core.Transport that sends an HTTP client's request to servers that speak gRPC. It is an
+// httpfront.Bridge.
 func (w *Workers) Bridge(q decide.Request, id, class string, body []byte) core.Transport {
 	r := &pb.CompleteRequest{Id: id, Class: class, Session: q.Session, Prefix: q.Prefix, PromptTokens: int64(q.PromptLength),
 		PrefixTokens: int64(q.PrefixLength), MaxOutputTokens: int64(q.MaxOutput), Estimate: durationpb.New(q.DurationHint),
@@ -203,7 +204,7 @@
 	return err
 }
 
-// invalidRequest is the carrier of a request that can't be translated: every attempt fails before anything is sent.
+// invalidRequest is the core.Transport of a request that can't be translated: every attempt fails before anything is sent.
 type invalidRequest struct{ err error }
 
 func (b invalidRequest) Try(context.Context, core.Attempt) core.Result {
--- a/internal/grpcfront/workers.go
+++ b/internal/grpcfront/workers.go
@@ -39,7 +39,7 @@
 	backoffMin        = 100 * time.Millisecond
 	backoffMax        = time.Second
 
-	minWait = time.Millisecond // the least that a server is told
+	minWait = time.Millisecond // the shortest remaining time that a server is given
 )
 
 // Workers holds one connection to each model server that speaks gRPC. It is safe for concurrent use.
@@ -139,7 +139,7 @@
 	Close() error
 }
 
-// exchange is one client's request as it is sent to model servers. It is a core.Carrier.
+// exchange is one client's request as it is sent to model servers. It is a core.Transport.
 type exchange struct {
 	workers *Workers
 	req     *pb.CompleteRequest
@@ -152,7 +152,7 @@
 
 var errConnectTimeout = errors.New("connection not established in time")
 
-// Try implements core.Carrier.
+// Try implements core.Transport.
 func (x *exchange) Try(ctx context.Context, a core.Attempt) core.Result {
 	if a.To.Wire != Wire && x.http != nil {
 		return x.http.Try(ctx, a)
@@ -242,7 +242,7 @@
 	_, _ = x.workers.Probe(ctx, a.To)
 }
 
-// Release implements core.Carrier.
+// Release implements core.Transport.
 func (x *exchange) Release(ctx context.Context, at core.Worker) error {
 	if at.Wire != Wire && x.http != nil {
 		return x.http.Release(ctx, at)
@@ -301,7 +301,7 @@
 	stallTimer *time.Timer
 }
 
-// Recv returns the next chunk. It fails if the server sends nothing for httpfront.StallLimit.
+// Recv returns the next chunk. It fails if the server sends nothing for httpfront.StreamStallTimeout.
 func (s *tokenStream) Recv() (*pb.Chunk, error) {
 	if c := s.first; c != nil {
 		s.first = nil
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -48,7 +48,7 @@
 	return m
 }
 
-// Hooks returns the hooks by which a decisions.Desk reports events to m.
+// Observer returns an observer through which a decisions.Coordinator records its measurements in m.
 func (m *Metrics) Observer() decisions.Observer {
 	return decisions.Observer{
 		Granted: func(stage string, wait time.Duration) { m.choiceTimes.WithLabelValues(stage).Observe(wait.Seconds()) },
@@ -88,8 +88,8 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{MaxRequestsInFlight: 4})
 }
 
-// grantCollector counts the entries of a desk's grant table.
-type grantCollector struct{ desk *decisions.Coordinator }
+// grantCollector counts the entries of a Coordinator's grant table.
+type grantCollector struct{ coordinator *decisions.Coordinator }
 
 var (
 	descGrants   = prometheus.NewDesc("rowanyard_grants", "Grants that are known, by state.", []string{"state"}, nil)
@@ -108,7 +108,7 @@
 // Collect implements prometheus.Collector.
 func (o grantCollector) Collect(to chan<- prometheus.Metric) {
 	var c grant.Counts
-	o.desk.Table(func(_ time.Duration, t *grant.Table) { c = t.Count() })
+	o.coordinator.Table(func(_ time.Duration, t *grant.Table) { c = t.Count() })
 	for s := grant.Offered; s <= grant.Expired; s++ {
 		to <- prometheus.MustNewConstMetric(descGrants, prometheus.GaugeValue, float64(c.States[s]), s.String())
 	}
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -60,9 +60,9 @@
 	seen.Tracer = traces.Tracer("test")
 	f, _, err := setup.Read("", 64<<20, nil)
 	must(err)
-	desk, err := decisions.NewCoordinator(c, hw, f.GrantTerms(time.Second), seen, log)
+	coordinator, err := decisions.NewCoordinator(c, hw, f.GrantTerms(time.Second), seen, log)
 	must(err)
-	m.CollectGrants(desk)
+	m.CollectGrants(coordinator)
 	var l httpfront.List
 	text, _ := json.Marshal(map[string]any{"hosts": fleet.Hosts()})
 	must(json.Unmarshal(text, &l))
@@ -72,9 +72,9 @@
 		ChooseCall: grant.ChooseCall{Caller: "p", Request: "q", Class: 1, NonIdempotent: true},
 		Exchange: &httpfront.Exchange{Workers: hw, Method: http.MethodPost, URI: httpfront.PathChat, Body: []byte(`{"messages":[{"content":"k"}]}`),
 			Head: http.Header{"X-Txn": {"q"}, "X-Lane": {"send-message"}}}}
-	g, _, err := desk.Choose(context.Background(), ask)
+	g, _, err := coordinator.Choose(context.Background(), ask)
 	must(err)
-	if err := desk.Report("p", 999, grant.Read, core.Result{}, false); err == nil {
+	if err := coordinator.Report("p", 999, grant.Read, core.Result{}, false); err == nil {
 		t.Error("a report on an unknown grant was accepted")
 	}
 	page := func() string {
@@ -88,7 +88,7 @@
 			t.Errorf("no %s in %s", want, page())
 		}
 	}
-	must(desk.Report("p", g.ID, grant.NotSent, core.Result{Status: decide.Unsent}, true))
+	must(coordinator.Report("p", g.ID, grant.NotSent, core.Result{Status: decide.Unsent}, true))
 	wait, stop := context.WithTimeout(context.Background(), time.Minute)
 	defer stop()
 	c.Wait(wait)
--- a/internal/reports/reports.go
+++ b/internal/reports/reports.go
@@ -1,4 +1,4 @@
-// Package reports serves the gRPC service to which engines publish their KV cache events, and tells the core how much
+// Package reports serves the gRPC service to which engines publish their KV cache events, and reports to the core how much
 // of a prompt each worker has cached. Package kvindex holds what is known and decides how long it is believed; package
 // kvevents decodes the batches.
 //
@@ -29,7 +29,7 @@
 	"rowanyard/internal/reports/pb"
 )
 
-// Listener implements the KVEvents service and core.Texts. It is safe for concurrent use.
+// Listener implements the KVEvents service and core.CacheReports. It is safe for concurrent use.
 type Listener struct {
 	pb.UnimplementedKVEventsServer
 	core  *core.Core
@@ -77,8 +77,8 @@
 	return g
 }
 
-// OnAvailabilityChange is told which workers have started or stopped taking new work. It forgets those that are no longer listed and
-// ends their streams.
+// OnAvailabilityChange handles the change of workers that have begun or ceased to accept new work: it forgets those that are
+// no longer listed and ends their streams.
 func (l *Listener) OnAvailabilityChange(ids []string) {
 	for _, id := range ids {
 		if l.core.Known(id) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Kept implements core.Texts: it returns the cached prompt tokens of each worker whose cache is completely known or
+// Kept implements core.CacheReports: it returns the cached prompt tokens of each worker whose cache is completely known or
 // that is known to have cached some of the prompt, or nil if there is none.
 func (l *Listener) Kept(prompt []byte) map[string]int {
 	hashes := make(map[int][]uint64)
@@ -118,7 +118,7 @@
 	return out
 }
 
-// Found implements core.Texts: it records how a prediction by Kept compares with what the worker found.
+// Found implements core.CacheReports: it records how a prediction by Kept compares with what the worker found.
 func (l *Listener) Found(_ string, predicted, actual int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scale/soak/worker.go
+++ b/internal/scale/soak/worker.go
@@ -19,7 +19,7 @@
 	envIncarnation = "SOAK_INCARNATION"
 )
 
-// Values of Call.What. Those reported through standin.Options.Seen keep its spelling.
+// Values of Call.What. Those reported through standin.Options.OnEvent keep its spelling.
 const (
 	callHold     = "hold"
 	callFetch    = "fetch"
@@ -50,13 +50,13 @@
 	return accepted
 }
 
-// Hold implements standin.States.
+// Hold implements standin.StateStore.
 func (r *ledgerClient) Hold(id, _ string) bool { return r.call(callHold, id, 0) }
 
-// Fetch implements standin.States.
+// Fetch implements standin.StateStore.
 func (r *ledgerClient) Fetch(id, _ string) bool { return r.call(callFetch, id, 0) }
 
-// Release implements standin.States.
+// Release implements standin.StateStore.
 func (r *ledgerClient) Release(id string) bool { return r.call(callRelease, id, 0) }
 
 // IsWorker reports whether this process was started as a worker of a run.
