--- a/cmd/rowanyard/main_test.go
+++ b/cmd/rowanyard/main_test.go
@@ -292,7 +292,7 @@
 	}
 }
 
-// SIGHUP ends neither the program nor its knowledge of workers. The program follows the discovery address in the file, even
+// SIGHUP neither ends the program nor drops its list of workers. The program follows the discovery address in the file, even
 // if the environment named the old one, and takes the full worker list from there. An unreadable file changes nothing.
 func TestSIGHUPSwitchesDiscovery(t *testing.T) {
 	old, err := standin.Start(standin.Options{})
--- a/cmd/rowanyard/process.go
+++ b/cmd/rowanyard/process.go
@@ -130,10 +130,10 @@
 // setUpDecisions creates the metrics, the traces and the Coordinator that grants attempts to callers outside the router, as
 // enabled.
 func (p *process) setUpDecisions() error {
-	seen := decisions.Observer{}
+	observer := decisions.Observer{}
 	if p.operatorFile.Metrics.Listen != "" {
 		p.metrics = measure.New()
-		seen = p.metrics.Observer()
+		observer = p.metrics.Observer()
 	}
 	if collector := p.operatorFile.Traces; collector.Endpoint != "" {
 		traces, flush, err := measure.NewTracerProvider(context.Background(), collector.Endpoint, collector.Share, p.config.Name)
@@ -141,13 +141,13 @@
 			return fmt.Errorf("traces: %w", err)
 		}
 		p.onClose(flush)
-		seen.Tracer = traces.Tracer("rowanyard")
+		observer.Tracer = traces.Tracer("rowanyard")
 	}
 	if !p.operatorFile.NeedsGrants() {
 		return nil
 	}
 	var err error
-	if p.grants, err = decisions.NewCoordinator(p.core, p.workers, p.operatorFile.GrantTerms(p.site.MaxRetryAfter), seen, p.log); err != nil {
+	if p.grants, err = decisions.NewCoordinator(p.core, p.workers, p.operatorFile.GrantTerms(p.site.MaxRetryAfter), observer, p.log); err != nil {
 		return err
 	}
 	if p.metrics != nil {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -349,7 +349,7 @@
 		tries           int      // attempts before the client leaves
 		initialWorkers  []Worker // listed until the last of these attempts
 		laterWorkers    []Worker // listed from then on until the client has left
-		leaveAfterLast  bool     // it leaves when the last attempt has ended and the module has not been told yet
+		leaveAfterLast  bool     // it leaves when the last attempt has ended and the module has not received that yet
 		leaveDuringLast bool     // it leaves within the last attempt
 		try             func(ctx context.Context, a Attempt) Result
 	}{
@@ -488,7 +488,7 @@
 	}
 }
 
-// An attempt, also a further one, must not tell its worker more time than its client still waits.
+// An attempt, also a further one, must not give its worker more time than its client still waits.
 func TestAttemptsReportTheRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const whole = 3 * time.Second
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// The repeating guard judges by the outcomes of the earlier attempts, whatever the module has chosen.
+// The repeating guard decides by the outcomes of the earlier attempts, whatever the module has chosen.
 func TestRepeatingGuard(t *testing.T) {
 	set := settings
 	for name, x := range map[string]struct {
--- a/internal/core/life.go
+++ b/internal/core/life.go
@@ -71,7 +71,7 @@
 
 	guardChecked atomic.Bool // the sending guard was asked
 	verified     atomic.Bool // the connection was alive right before the write
-	mayHaveRun   bool        // a write that may have taken effect, as far as its outcome tells
+	mayHaveRun   bool        // a write that may have taken effect, as far as its outcome shows
 }
 
 // attemptEvent is the first token (status 0) or the end of an attempt.
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Workers tell their starts by their own wall clocks. Whatever this machine's wall clock says, now or later, a worker that
+// Workers report their starts by their own wall clocks. Whatever this machine's wall clock says, now or later, a worker that
 // has just started must count as new, and one that started long ago as old. The start time must not change while the
 // worker's process is the same.
 func TestStartTimesSurviveWallClockErrors(t *testing.T) {
--- a/internal/core/workerlist.go
+++ b/internal/core/workerlist.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// moduleView returns a listed worker as the module sees it: one that is out for maintenance is draining, whatever the list
-// says.
+// moduleView returns a listed worker as the module sees it: one that is out for maintenance is draining, whatever its
+// listed state.
 func (c *Core) moduleView(w Worker) decide.Server {
 	if c.banned[w.ID] && w.State == decide.Ready {
 		w.State = decide.Draining
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -385,7 +385,7 @@
 	b.waitSettled()
 }
 
-// A watching caller is told of a drain with gapless sequence numbers. A newer stream ends the older one.
+// A watching caller receives revocations after a drain, with gapless sequence numbers. A newer stream ends the older one.
 func TestWatchReportsDrains(t *testing.T) {
 	b := start(t, standin.Options{Readers: 1, Writers: 1})
 	c := b.caller("p1")
--- a/internal/decisions/desk.go
+++ b/internal/decisions/desk.go
@@ -35,13 +35,13 @@
 
 // Coordinator connects grants to the core. All fronts that let callers carry attempts share one.
 type Coordinator struct {
-	core     *core.Core
-	workers  *httpfront.Workers
-	log      *slog.Logger
-	config   grant.Config
-	start    time.Time
-	observer Observer
-	moveMu   sync.Mutex // serializes workersChanged, so that the latest state read from the core wins
+	core           *core.Core
+	workers        *httpfront.Workers
+	log            *slog.Logger
+	config         grant.Config
+	start          time.Time
+	observer       Observer
+	availabilityMu sync.Mutex // serializes workersChanged, so that the latest state read from the core wins
 
 	mu               sync.Mutex
 	table            *grant.Table
@@ -154,12 +154,12 @@
 
 // workersChanged opens and closes workers in the Table after the core has changed whether they may be sent new requests.
 func (d *Coordinator) workersChanged(ids []string) {
-	d.moveMu.Lock()
-	defer d.moveMu.Unlock()
+	d.availabilityMu.Lock()
+	defer d.availabilityMu.Unlock()
 	for _, id := range ids {
-		wanted := d.core.AcceptsWork(id)
+		accepts := d.core.AcceptsWork(id)
 		d.mu.Lock()
-		if wanted {
+		if accepts {
 			d.table.OpenWorker(id)
 		} else {
 			revoked := d.table.CloseWorker(d.now(), id, "takes nothing new")
@@ -357,8 +357,8 @@
 		s.choice = nil
 		t.grant, t.worker, t.err = g, worker, err
 		if g != nil {
-			same := *g
-			t.grant = &same
+			copied := *g
+			t.grant = &copied
 		}
 		close(t.done)
 	}
@@ -417,7 +417,7 @@
 	return nil
 }
 
-// abandon ends a request whose caller wants nothing more.
+// abandon ends a request whose caller needs nothing more.
 func (d *Coordinator) abandon(s *delegation, why error) {
 	if d.delegations[s.id] == s {
 		delete(d.delegations, s.id)
@@ -440,7 +440,7 @@
 	return d.updateGrant(id, func(now time.Duration) error { return d.table.TakeUp(now, caller, id) })
 }
 
-// Renew records that the caller still wants what is held for a grant, and returns the updated grant.
+// Renew records that the caller still needs what is held for a grant, and returns the updated grant.
 func (d *Coordinator) Renew(caller string, id uint64) (grant.Grant, error) {
 	return d.updateGrant(id, func(now time.Duration) error { return d.table.Renew(now, caller, id) })
 }
--- a/internal/decisions/server.go
+++ b/internal/decisions/server.go
@@ -88,13 +88,13 @@
 // statusError converts an error of the Coordinator into a gRPC status with a retry delay where there is one.
 func statusError(err error) error {
 	var busy *grant.BusyError
-	var no *Refused
+	var refused *Refused
 	code, after := statusCode(err), time.Duration(0)
 	switch {
 	case errors.As(err, &busy):
 		code, after = codes.ResourceExhausted, busy.RetryAfter
-	case errors.As(err, &no):
-		code, after = codes.Unavailable, no.RetryAfter
+	case errors.As(err, &refused):
+		code, after = codes.Unavailable, refused.RetryAfter
 	default:
 		return status.Error(code, err.Error())
 	}
@@ -319,8 +319,8 @@
 			}
 		}
 	}()
-	heard := durationpb.New(s.Coordinator.config.WatchTimeout)
-	if err := stream.Send(&pb.Watching{Seq: w.Seq, Heard: heard}); err != nil {
+	watchTimeout := durationpb.New(s.Coordinator.config.WatchTimeout)
+	if err := stream.Send(&pb.Watching{Seq: w.Seq, Heard: watchTimeout}); err != nil {
 		return err
 	}
 	for {
@@ -336,12 +336,12 @@
 		case <-stream.Context().Done():
 			return status.FromContextError(stream.Context().Err()).Err()
 		}
-		told, seq, over := w.Next()
+		revocations, seq, over := w.Next()
 		if over {
 			return status.Error(codes.Aborted, "a newer stream of this caller has begun")
 		}
-		out := &pb.Watching{Seq: seq, Pong: pong, Heard: heard}
-		for _, r := range told {
+		out := &pb.Watching{Seq: seq, Pong: pong, Heard: watchTimeout}
+		for _, r := range revocations {
 			out.Revocations = append(out.Revocations, &pb.Revocation{Seq: r.Seq, Grant: r.Grant, Request: r.Request, Worker: r.Worker, Why: r.Why})
 		}
 		if err := stream.Send(out); err != nil {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,7 +19,7 @@
 	StateReady   bool   // for writers: the state can be fetched, otherwise the request is rejected
 }
 
-// EventKind says what happened to a request.
+// EventKind is what happened to a request.
 type EventKind uint8
 
 // The kinds of events.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -214,7 +214,7 @@
 	}
 }
 
-// A cancel drops a queued request at once. A running one is stopped or runs to its end, as CancelStopsRunning says.
+// A cancel drops a queued request at once. A running one is stopped or runs to its end, depending on CancelStopsRunning.
 func TestCancel(t *testing.T) {
 	for _, stopsRunning := range []bool{true, false} {
 		s := builtInKind(t, "reader").Draw(1)
--- a/internal/engine/settings.go
+++ b/internal/engine/settings.go
@@ -22,7 +22,7 @@
 // Range is the minimum and the maximum of a figure.
 type Range [2]float64
 
-// Kind is what the platform's documentation says of one kind of engine.
+// Kind holds the figures that the platform's documentation gives for one kind of engine.
 type Kind struct {
 	Role                string    `json:"role"` // "read" (prefill) or "write" (decode)
 	Slots               Range     `json:"slots"`
--- a/internal/enginehost/publish.go
+++ b/internal/enginehost/publish.go
@@ -120,7 +120,7 @@
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	lastSent := time.Now()
-	if seq > 0 { // the router may have just started and know nothing: send all batches
+	if seq > 0 { // the router may have just started with an empty index: send all batches
 		seq = 0
 	}
 	for {
--- a/internal/extproc/extproc.go
+++ b/internal/extproc/extproc.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// handle answers one message of the proxy. done reports that the processor has nothing more to say.
+// handle answers one message of the proxy. done reports that the processor is done with the stream.
 func (c *call) handle(ctx context.Context, msg *extprocv3.ProcessingRequest) (done bool, err error) {
 	kind, err := c.sequence.handle(msg)
 	switch {
@@ -232,7 +232,7 @@
 	return false, c.passThrough(kind, msg.GetResponseBody(), c.responseMode)
 }
 
-// reportEnd tells the Coordinator that the response has ended, once it has.
+// reportEnd reports the end of the response to the Coordinator, once it has ended.
 func (c *call) reportEnd() {
 	if c.streaming && c.responseComplete {
 		c.streaming, c.id = false, ""
--- a/internal/grant/callers.go
+++ b/internal/grant/callers.go
@@ -34,7 +34,7 @@
 	q.next, q.prev = nil, nil
 }
 
-// Revocation tells a caller that it may no longer act on a grant.
+// Revocation notifies a caller that it may no longer act on a grant.
 type Revocation struct {
 	Seq     uint64 // numbers the caller's revocations without gaps, unless some were lost
 	Grant   uint64
@@ -223,8 +223,8 @@
 	}
 }
 
-// pruneWorkers removes workers without grants that were closed longer than the effect retention ago. By then, whoever
-// chooses workers no longer knows them or closes them again.
+// pruneWorkers removes workers without grants that were closed longer than the effect retention ago. By then, the
+// user of the Table has dropped them from its list or closes them again.
 func (t *Table) pruneWorkers(now time.Duration) {
 	if len(t.workers) <= t.cfg.MaxOpenRequests {
 		return
--- a/internal/grant/explore_test.go
+++ b/internal/grant/explore_test.go
@@ -219,7 +219,7 @@
 		b.dead = true
 		w.after(w.upTo(2*time.Second), func() { b.dead = false })
 		if w.chance(0.5) {
-			return // and the router is not told
+			return // and the router does not learn of it
 		}
 	}
 	b.state = decide.Draining
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -20,8 +20,8 @@
 // The states of a grant. Reported and Expired are final.
 const (
 	Offered  State = iota + 1 // the caller may act on it
-	TakenUp                   // the caller has said that it is sending
-	Revoked                   // the worker is draining or gone; the caller may have acted before it was told
+	TakenUp                   // the caller has reported that it is sending
+	Revoked                   // the worker is draining or gone; the caller may have acted before it learned of it
 	Reported                  // the caller has reported the result
 	Expired                   // the deadline passed without a report; the caller may have acted on it
 )
@@ -61,8 +61,8 @@
 	ErrClassMismatch  = errors.New("the request began with another class")
 )
 
-// BusyError reports that a limit has been reached. RetryAfter is how long it may
-// take until there is room again.
+// BusyError reports that a limit has been reached. RetryAfter is how long it may take until there is room
+// again.
 type BusyError struct {
 	Err        error
 	RetryAfter time.Duration
@@ -332,11 +332,11 @@
 	return g, nil
 }
 
-// validUntil returns until when, by the router's clock, a caller may begin to act on a grant. A drain can be heard of at
-// any moment. Watching callers are told, and drop their grants when their stream falls silent, so the drain grace does not
-// limit their grants here. Other callers may act for what remains of the grace of a drain that is heard of right now.
-// Unless the caller is attached, the silence limit applies too: it may act while the news of that is lost, and what is held
-// from then on must be released soon after its last sign.
+// validUntil returns until when, by the router's clock, a caller may begin to act on a grant. The router can learn of a
+// drain at any moment. Watching callers are sent a revocation, and drop their grants when their stream falls silent, so
+// the drain grace does not limit their grants here. Other callers may act for what remains of the grace of a drain that
+// the router learns of right now. Unless the caller is attached, the silence limit applies too: it may act while its
+// report of that is lost, and what is held from then on must be released soon after its last sign.
 func (t *Table) validUntil(now time.Duration, w *worker, q *request, deadline time.Duration) time.Duration {
 	if w.closed {
 		return now
@@ -373,7 +373,7 @@
 	return err
 }
 
-// Renew records a sign of the caller for a grant: it still wants what is held for it. While the worker takes new requests,
+// Renew records a sign of the caller for a grant: it still needs what is held for it. While the worker takes new requests,
 // it also extends the time to act, up to the attempt's deadline.
 func (t *Table) Renew(now time.Duration, caller string, id uint64) error {
 	g, err := t.findGrant(caller, id)
@@ -416,7 +416,7 @@
 	}
 }
 
-// Report records what became of a grant. over says that the caller wants nothing more for the request.
+// Report records what became of a grant. over reports that the caller needs nothing more for the request.
 func (t *Table) Report(now time.Duration, caller string, id uint64, fate Fate, over bool) error {
 	g, err := t.findGrant(caller, id)
 	switch {
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// Once a worker is closed, nothing is granted there, open grants are revoked, watching callers are told, and an unreported
+// Once a worker is closed, nothing is granted there, open grants are revoked, watching callers are notified, and an unreported
 // grant counts as one that may have run.
 func TestClosingAWorkerRevokesGrants(t *testing.T) {
 	tab := newTable(t, nil)
--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -34,7 +34,7 @@
 type Settings struct {
 	MaxBlocks        int           // blocks in the index
 	MaxWorkers       int           // workers in the index; beyond 128 of them, larger slot sets leave room for fewer blocks
-	MaxStaleness     time.Duration // how long a worker's blocks are believed while one of its batches is missing
+	MaxStaleness     time.Duration // how long a worker's blocks are still used while one of its batches is missing
 	MaxBuffered      int           // batches per worker kept while an earlier one is missing
 	ChangesPerSecond float64       // block changes that a worker may report per second
 	Burst            float64       // block changes that a worker may report at once
@@ -103,7 +103,7 @@
 	budgetAt    time.Duration // when budget was last updated
 	blockCount  int           // blocks of this worker in the index
 	incomplete  bool          // may hold more than is indexed: blocks were forgotten since its cache was last empty
-	silent      bool          // nothing was heard from its publisher since
+	silent      bool          // its publisher was lost and has sent nothing since
 }
 
 // New returns an empty Index.
@@ -406,7 +406,7 @@
 }
 
 // Heartbeat records that a worker's publisher is alive and which batch it sends next. If that is the next batch to
-// apply, nothing is missing.
+// apply, nothing is missing; otherwise Heartbeat returns the replay to request.
 func (x *Index) Heartbeat(now time.Duration, id string, incarnation, nextSeq uint64) *ReplayRequest {
 	w := x.workers[id]
 	if w == nil {
@@ -477,7 +477,7 @@
 	x.table.useClock++
 	for blockTokens, sameSize := range x.slotsByBlockTokens {
 		depth := 0
-		addKept := func(dropped slotSet) {
+		addPrefixes := func(dropped slotSet) {
 			dropped.each(func(i int) {
 				if depth > 0 {
 					prefixes = append(prefixes, CachedPrefix{x.workerBySlot[i].id, depth * blockTokens})
@@ -493,12 +493,12 @@
 			}
 			x.table.entries[i].lastUsed = x.table.useClock
 			x.matching.intersect(x.table.slots(i), x.dropped)
-			if addKept(x.dropped); x.matching.empty() {
+			if addPrefixes(x.dropped); x.matching.empty() {
 				break
 			}
 			depth++
 		}
-		addKept(x.matching)
+		addPrefixes(x.matching)
 	}
 	for id, w := range x.workers {
 		if w.slot != noSlot && !w.incomplete && !w.silent {
--- a/internal/kvindex/index_test.go
+++ b/internal/kvindex/index_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// A missing batch is requested again, and the worker's blocks are believed for MaxStaleness at most. Once the gap is
+// A missing batch is requested again, and the worker's blocks are used for MaxStaleness at most. Once the gap is
 // filled, all batches count.
 func TestGaps(t *testing.T) {
 	x := newIndex(t, nil)
@@ -207,7 +207,7 @@
 }
 
 // A comparison with a simple model, under loss, reordering, duplicates and restarts. Without loss the index may lag
-// behind a worker only by the delay of messages; with loss no block may be believed for longer than the staleness bound
+// behind a worker only by the delay of messages; with loss no block may be used for longer than the staleness bound
 // and the time that it takes to notice and replay what was lost.
 func TestAgainstANaiveModel(t *testing.T) {
 	for seed := range uint64(150) {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// MarkServing tells older processes that this one has started to serve.
+// MarkServing records for older processes that this one has started to serve.
 func (c *Controller) MarkServing() {
 	c.update(func(st *State) { st.Serving = max(st.Serving, c.number) })
 }
--- a/internal/reports/reports.go
+++ b/internal/reports/reports.go
@@ -1,5 +1,5 @@
 // Package reports serves the gRPC service to which engines publish their KV cache events, and reports to the core how much
-// of a prompt each worker has cached. Package kvindex holds what is known and decides how long it is believed; package
+// of a prompt each worker has cached. Package kvindex holds what was reported and decides how long it is used; package
 // kvevents decodes the batches.
 //
 // A publisher may only report for a worker that is listed at the publisher's own IP address, and a bad batch costs at
--- a/internal/scale/fleetsim/options.go
+++ b/internal/scale/fleetsim/options.go
@@ -1,5 +1,5 @@
 // Package fleetsim simulates a fleet of servers and hundreds of routers on a virtual clock. Each router runs the real
-// decision module and knows nothing of the other routers. The same options give the same results.
+// decision module and has no information about the other routers. The same options give the same results.
 package fleetsim
 
 import (
--- a/internal/scale/onerouter/process.go
+++ b/internal/scale/onerouter/process.go
@@ -95,7 +95,7 @@
 	return lines[len(lines)-1]
 }
 
-// Start starts a router process that knows the given hosts, and waits until it is ready.
+// Start starts a router process with the given hosts in its configuration, and waits until it is ready.
 func Start(ctx context.Context, o Options, fleet *hollow.Fleet, endpoint *registry.Endpoint, hosts []httpfront.Entry) (*Process, error) {
 	r, err := startProcess(o, hosts, endpoint.Address)
 	if err != nil {
--- a/internal/scale/soak/judge.go
+++ b/internal/scale/soak/judge.go
@@ -223,8 +223,8 @@
 	return found
 }
 
-// withAbandonedReads returns the events with the end of each read moved to the time at which the router's log says that it
-// gave the read up, if that is later. The response to such a read was lost: to the router the read was still running, and
+// withAbandonedReads returns the events with the end of each read moved to the time at which, by its log, the router gave the
+// read up, if that is later. The response to such a read was lost: to the router the read was still running, and
 // only after it gave up could it release the state.
 func (rec *records) withAbandonedReads(id string, events []event) []event {
 	all := slices.Clone(events)
--- a/internal/scale/soak/ledger.go
+++ b/internal/scale/soak/ledger.go
@@ -26,7 +26,7 @@
 	at          time.Time
 	id, host    string
 	incarnation int           // of the worker
-	deadline    time.Duration // of attemptArrived: how long the router will wait, as it told the worker
+	deadline    time.Duration // of attemptArrived: how long the router will wait, as sent to the worker
 }
 
 // heldState identifies the reader process that holds a request's state.
--- a/internal/scale/soak/worker.go
+++ b/internal/scale/soak/worker.go
@@ -11,7 +11,7 @@
 	"rowanyard/internal/standin"
 )
 
-// Environment variables that tell a worker process about its run.
+// Environment variables that configure a worker process.
 const (
 	envLedger      = "SOAK_LEDGER"
 	envHost        = "SOAK_HOST"
--- a/internal/scale/watchers/watchers.go
+++ b/internal/scale/watchers/watchers.go
@@ -46,7 +46,7 @@
 	restarted bool
 }
 
-// Start starts count watchers that already know the version after.
+// Start starts count watchers whose first watch begins after the version after.
 func Start(count int, address string, after int64) *Group {
 	ctx, stop := context.WithCancel(context.Background())
 	g := &Group{address: address, stop: stop, updated: make(chan struct{})}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -59,7 +59,8 @@
 	OnlyKind string
 	// StateStore keeps the states, for workers in several processes. If it is nil, the Fleet keeps them in memory.
 	StateStore StateStore
-	// OnAttemptTimeout, if not nil, is called with the time that a router says it will wait for an attempt.
+	// OnAttemptTimeout, if not nil, is called with the time for which a router will wait for an attempt, as sent with an
+	// HTTP request.
 	OnAttemptTimeout func(id, host string, timeout time.Duration)
 	// OnEvent, if not nil, is called with what happens at a worker, while the Fleet's lock is held: "out" when an attempt
 	// begins, "in" when it ends over HTTP, "held" and "freed" for a state, "effect" for a write.
