--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -289,7 +289,7 @@
 // answered recently, then those of the router's own zone, must be asked before others, without waiting for unanswered
 // calls to time out: otherwise the pin limit passes before any worker is reached.
 func TestReleaseReachesAWorkerWhileOthersAreCutOff(t *testing.T) {
-	for _, heard := range []bool{true, false} {
+	for _, recentContact := range []bool{true, false} {
 		s := &scriptedTransport{unreachable: map[string]bool{"r": true}}
 		c := newTestCore(t, s)
 		all := []Worker{{Server: decide.Server{ID: "near", Kind: 1}}}
@@ -299,12 +299,12 @@
 			all = append(all, w)
 		}
 		want := "near"
-		if heard {
+		if recentContact {
 			want = "far7"
 			delete(s.unreachable, want)
 		}
 		c.SetWorkers(false, all)
-		c.recordContact("far7", heard)
+		c.recordContact("far7", recentContact)
 		c.running.Begin()
 		c.release(&activeRequest{core: c, transport: s}, Worker{Server: decide.Server{ID: "r"}}, false, func() bool { return true })
 		if !slices.Equal(s.released, []string{want}) {
@@ -492,10 +492,10 @@
 func TestAttemptsReportTheRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const whole = 3 * time.Second
-		began, told := time.Now(), 0
+		began, attempts := time.Now(), 0
 		s := &scriptedTransport{}
 		s.try = func(_ context.Context, a Attempt) Result {
-			told++
+			attempts++
 			if left := whole - time.Since(began); a.Remaining() > left || a.Remaining() <= 0 {
 				t.Errorf("attempt %d tells its worker %v, the client waits %v", a.Number, a.Remaining(), left)
 			}
@@ -506,8 +506,8 @@
 		c.SetWorkers(false, []Worker{{Server: decide.Server{ID: "r2", Kind: 0}}, {Server: decide.Server{ID: "r3", Kind: 0}}})
 		c.Serve(t.Context(), newRequest(safeClass, whole), s)
 		waitSettled(t, c)
-		if told < 2 {
-			t.Errorf("%d attempts, want at least 2", told)
+		if attempts < 2 {
+			t.Errorf("%d attempts, want at least 2", attempts)
 		}
 		time.Sleep(time.Minute) // until the timers of the module have fired
 	})
--- a/internal/decisions/bench_test.go
+++ b/internal/decisions/bench_test.go
@@ -22,7 +22,7 @@
 		b.Run(fmt.Sprint(callers), func(b *testing.B) {
 			t := b
 			e := start(t, standin.Options{Readers: 1, Writers: 1})
-			heard := make(chan time.Time, callers)
+			received := make(chan time.Time, callers)
 			var names []*caller
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
@@ -43,7 +43,7 @@
 							return
 						}
 						for range m.Revocations {
-							heard <- time.Now()
+							received <- time.Now()
 						}
 					}
 				}()
@@ -71,10 +71,10 @@
 					return
 				}
 				worker = grants[0].Worker
-				told := time.Now()
+				drainedAt := time.Now()
 				e.setWorkers(map[string]bool{worker: true})
 				for range callers {
-					delays = append(delays, (<-heard).Sub(told))
+					delays = append(delays, (<-received).Sub(drainedAt))
 				}
 				e.setWorkers(nil)
 				for i, c := range names {
--- a/internal/decisions/decisions_test.go
+++ b/internal/decisions/decisions_test.go
@@ -407,9 +407,9 @@
 		t.Fatal(pong, err)
 	}
 	b.setWorkers(map[string]bool{g.Worker: true})
-	told, err := watch.Recv()
-	if err != nil || len(told.Revocations) != 1 || told.Revocations[0].Grant != g.Grant || told.Seq != first.Seq+1 || told.Revocations[0].Seq != told.Seq {
-		t.Fatal(told, err)
+	update, err := watch.Recv()
+	if err != nil || len(update.Revocations) != 1 || update.Revocations[0].Grant != g.Grant || update.Seq != first.Seq+1 || update.Revocations[0].Seq != update.Seq {
+		t.Fatal(update, err)
 	}
 	if reply, err := c.Renew(c.ctx(), &pb.RenewRequest{TakenUp: []uint64{g.Grant}}); err != nil || reply.Grants[0].Why == "" {
 		t.Errorf("taking up a revoked grant: %v %v", reply, err)
@@ -423,7 +423,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, err := newer.Recv(); err != nil || m.Seq != told.Seq {
+	if m, err := newer.Recv(); err != nil || m.Seq != update.Seq {
 		t.Error(m, err)
 	}
 	if _, err := watch.Recv(); status.Code(err) != codes.Aborted {
--- a/internal/grant/explore_test.go
+++ b/internal/grant/explore_test.go
@@ -481,12 +481,12 @@
 		if !up {
 			return
 		}
-		told, seq, ended := w.table.Next(p.name, number)
+		revocations, seq, ended := w.table.Next(p.name, number)
 		if ended {
 			return
 		}
-		if len(told) > 0 {
-			send(func() { p.handleRevocations(told, seq) })
+		if len(revocations) > 0 {
+			send(func() { p.handleRevocations(revocations, seq) })
 		}
 		w.after(10*ms, poll)
 	}
@@ -496,9 +496,9 @@
 			if !up {
 				return
 			}
-			told, seq, ended := w.table.Next(p.name, number)
+			revocations, seq, ended := w.table.Next(p.name, number)
 			if !ended {
-				send(func() { p.handleRevocations(told, seq); p.answeredPing = max(p.answeredPing, sent) })
+				send(func() { p.handleRevocations(revocations, seq); p.answeredPing = max(p.answeredPing, sent) })
 			}
 		})
 		if up && w.now < 15*time.Second {
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -142,9 +142,9 @@
 	if sending.State != TakenUp || other.State != Offered {
 		t.Error("a grant that was taken up or is for another worker was revoked")
 	}
-	told, seq, ended := tab.Next("a", number)
-	if len(told) != 1 || told[0].Grant != offered.ID || told[0].Seq != 1 || seq != 1 || ended {
-		t.Errorf("revocations %v up to %d", told, seq)
+	revocations, seq, ended := tab.Next("a", number)
+	if len(revocations) != 1 || revocations[0].Grant != offered.ID || revocations[0].Seq != 1 || seq != 1 || ended {
+		t.Errorf("revocations %v up to %d", revocations, seq)
 	}
 	if offered.ValidUntil > 10*ms+testConfig.DrainGrace-testConfig.MaxDelivery {
 		t.Errorf("the revoked grant is valid until %v", offered.ValidUntil)
@@ -186,9 +186,9 @@
 		mustOffer(t, tab, 0, ChooseCall{Caller: "a", Request: id}, id, true)
 		tab.CloseWorker(ms, id, "drains")
 	}
-	told, seq, _ := tab.Next("a", number)
-	if len(told) == 0 || told[0].Seq == 1 || told[len(told)-1].Seq != seq || seq != 5 {
-		t.Errorf("revocations %v up to %d: no gap, or the last one is missing", told, seq)
+	revocations, seq, _ := tab.Next("a", number)
+	if len(revocations) == 0 || revocations[0].Seq == 1 || revocations[len(revocations)-1].Seq != seq || seq != 5 {
+		t.Errorf("revocations %v up to %d: no gap, or the last one is missing", revocations, seq)
 	}
 	newer, at, err := tab.Watch(0, "a")
 	if err != nil || at != 5 || newer == number {
