--- a/internal/decisions/desk.go
+++ b/internal/decisions/desk.go
@@ -35,13 +35,13 @@
 
 // Coordinator connects grants to the core. All fronts that let callers carry attempts share one.
 type Coordinator struct {
-	core     *core.Core
-	workers  *httpfront.Workers
-	log      *slog.Logger
-	config   grant.Config
-	start    time.Time
-	observer Observer
-	moveMu   sync.Mutex // serializes workersChanged, so that the latest state read from the core wins
+	core           *core.Core
+	workers        *httpfront.Workers
+	log            *slog.Logger
+	config         grant.Config
+	start          time.Time
+	observer       Observer
+	availabilityMu sync.Mutex // serializes workersChanged, so that the latest state read from the core wins
 
 	mu               sync.Mutex
 	table            *grant.Table
@@ -154,12 +154,12 @@
 
 // workersChanged opens and closes workers in the Table after the core has changed whether they may be sent new requests.
 func (d *Coordinator) workersChanged(ids []string) {
-	d.moveMu.Lock()
-	defer d.moveMu.Unlock()
+	d.availabilityMu.Lock()
+	defer d.availabilityMu.Unlock()
 	for _, id := range ids {
-		wanted := d.core.AcceptsWork(id)
+		accepts := d.core.AcceptsWork(id)
 		d.mu.Lock()
-		if wanted {
+		if accepts {
 			d.table.OpenWorker(id)
 		} else {
 			revoked := d.table.CloseWorker(d.now(), id, "takes nothing new")
@@ -238,7 +238,7 @@
 	case <-t.done:
 	default: // the caller has left; the choice goes on for as long as a caller may be silent
 		if t.waiters == 0 && s.choice == t {
-			// No read may start at the router for a caller that has left, and the caller has not been told of anything yet.
+			// No read may start at the router for a caller that has left, and the caller has not received a grant yet.
 			if s.readHere && d.table.LatestGrant(s.id) == nil {
 				s.cancel(ErrCallerGone)
 			}
@@ -285,7 +285,7 @@
 
 // serve runs a request in the core, from its first call to its final answer.
 func (d *Coordinator) serve(ctx context.Context, s *delegation, a ChooseCall) {
-	answer := d.core.Serve(ctx, a.Query, &carrier{Exchange: a.Exchange, coordinator: d, delegation: s})
+	answer := d.core.Serve(ctx, a.Query, &delegatedTransport{Exchange: a.Exchange, coordinator: d, delegation: s})
 	s.cancel(ErrCallerGone)
 	s.releaseID()
 	d.mu.Lock()
@@ -357,8 +357,8 @@
 		s.choice = nil
 		t.grant, t.worker, t.err = g, worker, err
 		if g != nil {
-			same := *g
-			t.grant = &same
+			copied := *g
+			t.grant = &copied
 		}
 		close(t.done)
 	}
@@ -417,7 +417,7 @@
 	return nil
 }
 
-// abandon ends a request whose caller wants nothing more.
+// abandon ends a request whose caller needs nothing more.
 func (d *Coordinator) abandon(s *delegation, why error) {
 	if d.delegations[s.id] == s {
 		delete(d.delegations, s.id)
@@ -440,7 +440,7 @@
 	return d.updateGrant(id, func(now time.Duration) error { return d.table.TakeUp(now, caller, id) })
 }
 
-// Renew records that the caller still wants what is held for a grant, and returns the updated grant.
+// Renew records that the caller still needs what is held for a grant, and returns the updated grant.
 func (d *Coordinator) Renew(caller string, id uint64) (grant.Grant, error) {
 	return d.updateGrant(id, func(now time.Duration) error { return d.table.Renew(now, caller, id) })
 }
@@ -553,15 +553,15 @@
 	f(d.now(), d.table)
 }
 
-// carrier leaves attempts to the caller, except for reads that the router carries itself.
-type carrier struct {
+// delegatedTransport leaves attempts to the caller, except for reads that the router carries out itself.
+type delegatedTransport struct {
 	*httpfront.Exchange
 	coordinator *Coordinator
 	delegation  *delegation
 }
 
-// Try implements core.Carrier.
-func (c *carrier) Try(ctx context.Context, a core.Attempt) core.Result {
+// Try implements core.Transport.
+func (c *delegatedTransport) Try(ctx context.Context, a core.Attempt) core.Result {
 	_, span := c.coordinator.observer.Tracer.Start(trace.ContextWithSpan(ctx, c.delegation.span), "attempt", trace.WithAttributes(
 		attribute.Int("attempt", a.Number), attribute.String("worker", a.To.ID), attribute.String("stage", stageName(a.Read)),
 		attribute.Bool("here", a.Read && c.delegation.readHere)))
@@ -574,7 +574,7 @@
 	return r
 }
 
-func (c *carrier) try(ctx context.Context, a core.Attempt) core.Result {
+func (c *delegatedTransport) try(ctx context.Context, a core.Attempt) core.Result {
 	d, s := c.coordinator, c.delegation
 	if a.Read && s.readHere {
 		return c.Exchange.Try(ctx, a)
--- a/internal/grant/explore_test.go
+++ b/internal/grant/explore_test.go
@@ -219,7 +219,7 @@
 		b.dead = true
 		w.after(w.upTo(2*time.Second), func() { b.dead = false })
 		if w.chance(0.5) {
-			return // and the router is not told
+			return // and the router does not learn of it
 		}
 	}
 	b.state = decide.Draining
@@ -481,12 +481,12 @@
 		if !up {
 			return
 		}
-		told, seq, ended := w.table.Next(p.name, number)
+		revocations, seq, ended := w.table.Next(p.name, number)
 		if ended {
 			return
 		}
-		if len(told) > 0 {
-			send(func() { p.handleRevocations(told, seq) })
+		if len(revocations) > 0 {
+			send(func() { p.handleRevocations(revocations, seq) })
 		}
 		w.after(10*ms, poll)
 	}
@@ -496,9 +496,9 @@
 			if !up {
 				return
 			}
-			told, seq, ended := w.table.Next(p.name, number)
+			revocations, seq, ended := w.table.Next(p.name, number)
 			if !ended {
-				send(func() { p.handleRevocations(told, seq); p.answeredPing = max(p.answeredPing, sent) })
+				send(func() { p.handleRevocations(revocations, seq); p.answeredPing = max(p.answeredPing, sent) })
 			}
 		})
 		if up && w.now < 15*time.Second {
