--- a/internal/scale/soak/schedule.go
+++ b/internal/scale/soak/schedule.go
@@ -2,7 +2,7 @@
 // that the router's invariants held. The same seed gives the same schedule of faults and requests.
 //
 // schedule.go draws the faults, deployment.go and router.go run the processes, worker.go is the code of a worker process,
-// client.go holds the clients, ledger.go records what workers received and did, and judge.go checks these records.
+// client.go holds the clients, ledger.go records what workers received and did, and checks.go checks these records.
 package soak
 
 import (
