--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -80,7 +80,7 @@
 	batch    []prefillChunk  // prompt tokens processed in the running step
 
 	startedAt      time.Duration
-	pausedUntil    time.Duration // no step starts before this
+	pausedUntil    time.Duration // no step starts before this time
 	slowdowns      []slowdown    // current slowdowns, whose factors multiply
 	overloaded     bool
 	crashed        bool
@@ -157,15 +157,15 @@
 		e.emit(Event{Kind: Lost, ID: r.ID, Reason: "dead"})
 		return
 	case e.jobs[r.ID] != nil:
-		reason = "its id is open"
+		reason = "request id already in use"
 	case e.overloaded:
-		reason = "fallen over"
+		reason = "overloaded"
 	case len(e.queue) >= e.settings.QueueLimit+e.settings.Slots-len(e.running): // free slots are filled only when a step starts
 		reason = "full"
 	case !e.settings.Prefill && !r.StateReady:
 		reason = "no state"
 	case (r.PromptTokens+r.OutputTokens+e.settings.BlockTokens-1)/e.settings.BlockTokens > e.settings.MemoryBlocks:
-		reason = "longer than the memory"
+		reason = "request exceeds the memory"
 	case r.PromptTokens < len(r.BlockHashes)*e.settings.BlockTokens || r.PromptTokens < 0 || r.OutputTokens < 0:
 		reason = "a prompt shorter than its blocks"
 	}
@@ -175,7 +175,7 @@
 	}
 	e.checkOverload(r.PromptTokens)
 	if e.overloaded {
-		e.emit(Event{Kind: Lost, ID: r.ID, Reason: "fallen over"})
+		e.emit(Event{Kind: Lost, ID: r.ID, Reason: "overloaded"})
 		return
 	}
 	j := &job{Request: r, prefilling: e.settings.Prefill}
@@ -200,7 +200,7 @@
 		total += s.tokens
 	}
 	if float64(total) > e.settings.ColdOverloadFactor*e.capacity()*e.settings.PrefillTokensPerS*e.settings.ColdOverloadWindow.Seconds() {
-		e.abortAll("fallen over")
+		e.abortAll("overloaded")
 		e.overloaded = true
 	}
 }
@@ -319,7 +319,7 @@
 		if e.settings.Prefill {
 			e.running = slices.DeleteFunc(e.running, func(x *job) bool { return x == j })
 			if j.cancelled { // the engine doesn't stop cancelled work, so it ran to the end for nothing
-				e.finish(j, Stopped, "called off")
+				e.finish(j, Stopped, "cancelled")
 				continue
 			}
 			e.states[j.ID] = j
@@ -403,9 +403,9 @@
 		return
 	}
 	if slices.Contains(e.queue, j) {
-		e.finish(j, Dropped, "called off")
+		e.finish(j, Dropped, "cancelled")
 	} else if j.cancelled = true; e.settings.CancelStopsRunning {
-		e.finish(j, Stopped, "called off")
+		e.finish(j, Stopped, "cancelled")
 	}
 	e.beginStep()
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -53,7 +53,7 @@
 
 // Engines drawn from the built-in kinds must show the documented figures within 10%.
 func TestFiguresWithinDocumentedRanges(t *testing.T) {
-	for name, documented := range map[string]struct{ slots, queue, memory, pace Range }{
+	for name, documented := range map[string]struct{ slots, queue, memory, prefillSpeed Range }{
 		"reader":   {Range{4.4, 11}, Range{26, 64}, Range{150, 290}, Range{17000, 24000}},
 		"writer-a": {Range{60, 120}, Range{22, 43}, Range{130, 210}, Range{5100, 8600}},
 		"writer-b": {Range{59, 110}, Range{15, 43}, Range{110, 190}, Range{5100, 8700}},
@@ -86,7 +86,7 @@
 						}
 					}
 				}
-				within("pace", float64(n*each)/ended.Seconds(), documented.pace)
+				within("prefill speed", float64(n*each)/ended.Seconds(), documented.prefillSpeed)
 			} else { // a preempted answer is recomputed at the documented speed
 				j := &job{Request: Request{PromptTokens: 20000}, prefilling: true}
 				e := New(s, 1)
@@ -102,7 +102,7 @@
 						e.beginStep()
 					}
 				}
-				within("pace", 20000/e.now.Seconds(), documented.pace)
+				within("prefill speed", 20000/e.now.Seconds(), documented.prefillSpeed)
 			}
 			e := New(s, 1)
 			for i := range 400 {
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -142,8 +142,8 @@
 }
 
 // cacheBlocks adds blocks in use to the cache index as the blocks of a prompt, beginning with block number from. If one
-// of them is cached already, the cached block replaces the duplicate in blocks, so that whoever holds a block also
-// holds those before it.
+// of them is cached already, the cached block replaces the duplicate in blocks, so that a job that references a cached
+// block also references the blocks before it.
 func (m *memory) cacheBlocks(chain []Hash, from int, blocks []*block) {
 	var stored []Hash
 	flush := func(end int) {
--- a/internal/enginehost/host.go
+++ b/internal/enginehost/host.go
@@ -2,7 +2,7 @@
 // publishes each reader's cache events to them, and serves the list of engines as discovery does. Tests, the example
 // and cmd/engine use it; the router doesn't.
 //
-// It only moves the engines' clocks and translates between them and the protocols. All decisions are package engine's.
+// It only moves the engines' clocks and translates between them and the protocols. The behavior is that of package engine.
 package enginehost
 
 import (
@@ -154,7 +154,7 @@
 	go inst.server.Serve(l)
 }
 
-// Kill ends the engine's process like a crash: its connections break, and discovery isn't told.
+// Kill ends the engine's process like a crash: its connections break, and discovery isn't notified.
 func (inst *Instance) Kill() {
 	inst.cluster.mu.Lock()
 	inst.engine.Crash(inst.cluster.now())
@@ -364,7 +364,7 @@
 	return hosts
 }
 
-// serveDiscovery serves the list of engines and, to a watch, each change of it.
+// serveDiscovery serves the list of engines. A watch gets the whole list again after each change.
 func (cl *Cluster) serveDiscovery(w http.ResponseWriter, r *http.Request) {
 	wake := make(chan struct{}, 1)
 	cl.mu.Lock()
@@ -412,7 +412,7 @@
 	return text
 }
 
-// Settings returns the "settings" object of that file.
+// Settings returns settings of a router for Config.
 func Settings() json.RawMessage {
 	return json.RawMessage(`{"me":0,"n_instances":1,"granularity":2000,"zone":0,"zones":["here"],
 "host_types":["reader","writer-a","writer-b"],"discovery":"pushed","report":{"names":["util","queue","x0"],"source":"on_probe"},
