--- a/cmd/fleetlog/cold.go
+++ b/cmd/fleetlog/cold.go
@@ -19,7 +19,7 @@
 type send struct {
 	at        time.Duration
 	router    string
-	startedAt time.Duration // start of the worker as that router knew it, 0 where it knew of none
+	startedAt time.Duration // start of the worker according to that router's log, 0 if it has none
 }
 
 // coldSends collects the sends of all routers and compares those to cold workers with the rule's budget. The comparison is an
@@ -53,7 +53,7 @@
 }
 
 // window describes the window in which a cold worker was sent most. Part is Most divided by Allowed, At the number of
-// seconds from the worker's start, Told the percentage of the sends by routers that knew of the start, and All the number
+// seconds from the worker's start to the window's end, Told the percentage of the sends by routers that logged the start, and All the number
 // of sends in the whole ramp.
 type window struct {
 	Worker, Kind  string
@@ -73,7 +73,7 @@
 	var windows []window
 	for worker, sends := range c.byWorker {
 		slices.SortFunc(sends, func(a, b send) int { return cmp.Compare(a.at, b.at) })
-		var startedAt time.Duration // the latest start that any router knew
+		var startedAt time.Duration // the latest start that any router logged
 		for _, s := range sends {
 			if s.startedAt > startedAt+startTolerance {
 				startedAt = s.startedAt
--- a/cmd/fleetlog/cold_test.go
+++ b/cmd/fleetlog/cold_test.go
@@ -10,7 +10,7 @@
 )
 
 // The sends of all routers to a worker that has started are counted together, in the window with most of them, and only
-// those since its start. Sends of a router that doesn't know of the start lower the percentage of informed ones.
+// those since its start. Sends of a router that hasn't learned of the start lower Told.
 func TestColdWindowsOfAllRouters(t *testing.T) {
 	dir := t.TempDir()
 	at := func(s float64) string {
@@ -26,7 +26,7 @@
 	one.WriteString(send(1.5, "n1", "s-cold", 0)) // before its start at 2 s
 	for i := range 6 {
 		one.WriteString(send(3+0.1*float64(i), "n1", "s-cold", 1000+100*i))
-		two.WriteString(send(3+0.1*float64(i), "n2", "s-cold", 0)) // doesn't know of the start
+		two.WriteString(send(3+0.1*float64(i), "n2", "s-cold", 0)) // no up_ms: the router hasn't learned of the start
 	}
 	one.WriteString(send(9, "n1", "s-cold", 7000))
 	os.WriteFile(filepath.Join(dir, "n1.log"), []byte(one.String()), 0o600)
--- a/cmd/fleetlog/main.go
+++ b/cmd/fleetlog/main.go
@@ -314,21 +314,21 @@
 	return strconv.Itoa(n)
 }
 
-var reportTemplate = template.Must(template.New("report").Parse(`{{.Routers}} routers, {{.Lines}} lines{{if .Passed}}, {{.Passed}} that are none{{end}}
+var reportTemplate = template.Must(template.New("report").Parse(`{{.Routers}} routers, {{.Lines}} lines{{if .Passed}}, {{.Passed}} skipped{{end}}
 
 {{define "row"}}{{printf "%-24s" .Name}}{{range .Cells}}{{printf " %14s" .}}{{end}}
 {{end -}}
-over the whole fleet
+events of the whole fleet
 {{template "row" .Head}}{{range .Events}}{{template "row" .}}{{end}}
-attempts at the busiest workers: how many, !bad, median ms, kept
+attempts at the busiest workers: count, !failed, median ms, share of prompt tokens kept in the cache
 {{template "row" .Head}}{{range .Workers}}{{template "row" .}}{{end}}
 {{- if .Met}}
-workers that failed: routers that met them, the first and the latest of them at s
+workers that failed: routers that saw a failure, seconds of the first router's and the last router's first failure
 {{range .Met}}{{printf "%-24s %4d %8.2f %8.2f" .Worker .Routers .First .Later}}
 {{end}}{{end}}
 {{- if .Cold}}
-cold workers, from lines at debug: the window of {{.Budget.Window}} with most sends of all routers, its part of the rule's budget if a
-warm worker of the kind can take no more than the busiest of them took in a window ({{.Budget.Multiple}} times {{.Budget.From}} of that), so many s
-after the start, by routers that had been told, sends in the whole ramp of {{.Budget.Ramp}}
+cold workers, from debug lines: sends of all routers in the fullest window of {{.Budget.Window}}, their ratio to the budget
+({{.Budget.Multiple}} times {{.Budget.From}} of the most sends to a warm worker of the kind in a window), seconds from the start to the end of the
+window, share of sends by routers that had been told of the start, sends in the whole ramp of {{.Budget.Ramp}}
 {{range .Cold}}{{printf "%-24s kind %s %4d sends %6.2f of %.1f at %6.2f, %3.0f%% told, %4d in all by %d routers" .Worker .Kind .Most .Part .Allowed .At .Told .All .Routers}}
 {{end}}{{end}}`))
--- a/cmd/fleetlog/main_test.go
+++ b/cmd/fleetlog/main_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	text := out.String()
-	for _, want := range []string{"2 routers, 6 lines, 1 that are none", "probe failed", "read errored", "write connect_failed", "answer refused", "2!1 100 90%", "s-2"} {
+	for _, want := range []string{"2 routers, 6 lines, 1 skipped", "probe failed", "read errored", "write connect_failed", "answer refused", "2!1 100 90%", "s-2"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("no %q in\n%s", want, text)
 		}
--- a/internal/describe/describe.go
+++ b/internal/describe/describe.go
@@ -133,7 +133,7 @@
 		}
 		for _, x := range routes {
 			if i := slices.IndexFunc(all, func(y Route) bool { return x.Method == y.Method && x.Path == y.Path }); i >= 0 && all[i].Class != x.Class {
-				return nil, fmt.Errorf("%s: %s %s: class %q, another description says %q", f.path, x.Method, x.Path, x.Class, all[i].Class)
+				return nil, fmt.Errorf("%s: %s %s: class %q, but class %q in another description", f.path, x.Method, x.Path, x.Class, all[i].Class)
 			}
 		}
 		all = append(all, routes...)
@@ -181,14 +181,14 @@
 	if raw, ok := v.(json.RawMessage); ok {
 		var s string
 		if err := json.Unmarshal(raw, &s); err != nil {
-			return "", fmt.Errorf("%s: not a word", ClassExtension)
+			return "", fmt.Errorf("%s: not a string", ClassExtension)
 		}
 		return s, nil
 	}
 	if s, ok := v.(string); ok {
 		return s, nil
 	}
-	return "", fmt.Errorf("%s: not a word", ClassExtension)
+	return "", fmt.Errorf("%s: not a string", ClassExtension)
 }
 
 // asyncAPIDocument is the part of an AsyncAPI 3 description that routes are read from.
