--- a/cmd/scaletest/settings.go
+++ b/cmd/scaletest/settings.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%d changes of the settings at one router before %d workers, %g requests/s, seed %d\n"+
+	_, err = fmt.Fprintf(out, "%d changes of the settings at one router with %d workers, %g requests/s, seed %d\n"+
 		"in force after: p50 %.2f ms, longest %.2f ms\n"+
 		"processor time: %.0f ms in %.1f s with the changes, %.0f ms in as long without\n"+
 		"requests: %d sent, %d served, %d refused, %d failed\n",
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -8,9 +8,12 @@
 //   - linefit: a straight line through measurements
 //   - onerouter: one real router among these components
 //   - listrun: how changes of the list of workers reach all routers
+//   - settingsrun: how soon a router applies changed settings
 //   - watchers: simulated routers that watch the list at discovery
 //   - fleetsim: hundreds of decision modules on a virtual clock
 //   - virtualclock, toyserver: shared by fleetsim and the tests of package decide
+//   - soak: random faults in real router and worker processes
+//   - faultproxy, clockstep: network faults and steps of the wall clock, for soak and other tests
 //
 // Nothing here is part of a router, and a router imports none of it.
 package scale
--- a/internal/scale/fleetsim/fleet.go
+++ b/internal/scale/fleetsim/fleet.go
@@ -11,7 +11,7 @@
 	"rowanyard/internal/scale/virtualclock"
 )
 
-// Properties of the simulated deployment. A router knows of them only from its settings and its own observations.
+// Properties of the simulated deployment. A router learns of them only through its settings and its own observations.
 const (
 	readerUtilization     = 0.6  // of the readers' capacity, at the rate of the options and without cache hits
 	writerMemoryUse       = 0.55 // of the writers' memory
--- a/internal/scale/fleetsim/options.go
+++ b/internal/scale/fleetsim/options.go
@@ -38,7 +38,7 @@
 	Tenants          int
 	Tokens           int           // mean length of a response
 	TokenTime        time.Duration // time between two tokens of a response
-	WarmUp, Measure  time.Duration // before the first phase that counts; of the steady phase
+	WarmUp, Measure  time.Duration // lengths of the warm-up and of the steady phase
 	Aftermath        time.Duration // simulated time after the start of an event
 	Event            Event
 	Seed             uint64
--- a/internal/scale/fleetsim/stats.go
+++ b/internal/scale/fleetsim/stats.go
@@ -29,9 +29,9 @@
 	_ = t.firstToken.RecordValue(int64(after)) // cannot fail: deadlines are far shorter than the maximum
 }
 
-func (t *stats) read(prompt, kept int) {
+func (t *stats) read(prompt, cached int) {
 	t.promptTokens += prompt
-	t.cachedTokens += kept
+	t.cachedTokens += cached
 }
 
 // Phase holds the measurements of one phase of a simulation.
@@ -43,13 +43,13 @@
 	BrokenStreams                int           // number of streams that ended early
 	FirstTokenP50, FirstTokenP95 time.Duration // time to the first token
 	CacheHitShare                float64       // share of the prompt tokens that readers found in their caches
-	AttemptsPerRequest           float64       // per request
-	ProbesPerRequest             float64       // per request
-	PeakReaderLoad               float64       // attempts at the busiest reader relative to the mean
-	PeakWriterLoad               float64       // attempts at the busiest writer relative to the mean
-	MeanProbeRate                float64       // per second, mean over all servers
-	MaxProbeRate                 float64       // per second, at the server that received the most
-	PeakColdLoad                 float64       // highest load of a cold server within a window so far, as a share of its limit
+	AttemptsPerRequest           float64
+	ProbesPerRequest             float64
+	PeakReaderLoad               float64 // attempts at the busiest reader relative to the mean
+	PeakWriterLoad               float64 // attempts at the busiest writer relative to the mean
+	MeanProbeRate                float64 // per second, mean over all servers
+	MaxProbeRate                 float64 // per second, at the server that received the most
+	PeakColdLoad                 float64 // highest load of a cold server within a window so far, as a share of its limit
 }
 
 // endPhase returns the measurements of the current phase and resets the counters for the next one.
--- a/internal/scale/onerouter/onerouter.go
+++ b/internal/scale/onerouter/onerouter.go
@@ -23,7 +23,7 @@
 	Workers   int
 	Readers   float64 // share of the workers that are readers
 	Zones     int
-	NoProbes  bool    // the settings say that workers do not answer probes, so that none are sent
+	NoProbes  bool    // the settings state that workers do not answer probes, so that none are sent
 	Rate      float64 // requests per second
 	Tokens    int     // events of a response
 	TokenTime time.Duration
@@ -87,7 +87,7 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// Settings returns the settings of a deployment with the given numbers of routers and zones. probes says whether
+// Settings returns the settings of a deployment with the given numbers of routers and zones. probes reports whether
 // workers answer probes.
 func Settings(routers, zones int, probes bool) (json.RawMessage, error) {
 	var set map[string]any
--- a/internal/scale/onerouter/process.go
+++ b/internal/scale/onerouter/process.go
@@ -50,11 +50,11 @@
 	StartupTime time.Duration // from the start until the router was ready
 }
 
-// logCounts holds what has been learned from the router's log so far.
+// logCounts holds counts and versions from the router's log so far.
 type logCounts struct {
 	bytes    int64
-	version  int64 // version of the latest list taken
-	settings int64 // number of changes of the settings taken
+	version  int64 // version of the latest worker list that the router applied
+	settings int64 // number of changes of the settings that it applied
 }
 
 // logCounter parses and counts the router's log, and keeps its end.
@@ -69,12 +69,12 @@
 	defer l.mu.Unlock()
 	l.current.bytes += int64(len(p))
 	l.tail.Write(p)
-	for _, found := range listTaken.FindAllSubmatch(p, -1) {
+	for _, found := range listAppliedPattern.FindAllSubmatch(p, -1) {
 		if seq, err := strconv.ParseInt(string(found[1]), 10, 64); err == nil {
 			l.current.version = seq
 		}
 	}
-	l.current.settings += int64(bytes.Count(p, settingsTaken))
+	l.current.settings += int64(bytes.Count(p, settingsAppliedText))
 	if over := l.tail.Len() - logTailBytes; over > 0 {
 		l.tail.Next(over)
 	}
@@ -132,7 +132,7 @@
 		return nil, errors.Join(err, os.RemoveAll(dir))
 	}
 	go func() {
-		_ = r.command.Wait() // the log says more than the exit status
+		_ = r.command.Wait() // errors quote the log, which is more specific than the exit status
 		close(r.exited)
 	}()
 	return r, nil
@@ -155,7 +155,7 @@
 	return r.command.Start()
 }
 
-// Reload gives the router other settings and waits until it logs that it has taken them.
+// Reload gives the router other settings and waits until it logs that it has applied them.
 func (r *Process) Reload(ctx context.Context, settings json.RawMessage) error {
 	before := r.log.counts().settings
 	r.config.Settings = settings
@@ -227,11 +227,11 @@
 		Discovery: Traffic{In: fromDiscovery, Out: toDiscovery}}, nil
 }
 
-// listTaken matches the log line of a router that has taken a list.
-var listTaken = regexp.MustCompile(`msg="worker list".* seq=(\d+)`)
+// listAppliedPattern matches the log line of a router that has applied a worker list.
+var listAppliedPattern = regexp.MustCompile(`msg="worker list".* seq=(\d+)`)
 
-// settingsTaken occurs in the log line of a router that has taken changed settings.
-var settingsTaken = []byte(`msg="new settings" `)
+// settingsAppliedText occurs in the log line of a router that has applied changed settings.
+var settingsAppliedText = []byte(`msg="new settings" `)
 
 // ListVersion returns the latest version of the list that the router has logged, or 0 if there is none.
 func (r *Process) ListVersion() int64 { return r.log.counts().version }
--- a/internal/scale/onerouter/scrape.go
+++ b/internal/scale/onerouter/scrape.go
@@ -22,12 +22,12 @@
 
 // scraper requests a router's metrics.
 type scraper struct {
-	address             string
-	good, failed, bytes atomic.Int64
+	address                  string
+	succeeded, failed, bytes atomic.Int64
 }
 
 func (s *scraper) counts() Scrapes {
-	return Scrapes{Succeeded: s.good.Load(), Failed: s.failed.Load(), Bytes: s.bytes.Load()}
+	return Scrapes{Succeeded: s.succeeded.Load(), Failed: s.failed.Load(), Bytes: s.bytes.Load()}
 }
 
 // run scrapes at the given interval over a kept connection until ctx ends.
@@ -46,7 +46,7 @@
 			s.failed.Add(1)
 			continue
 		}
-		s.good.Add(1)
+		s.succeeded.Add(1)
 		s.bytes.Add(n)
 	}
 }
--- a/internal/scale/registry/registry.go
+++ b/internal/scale/registry/registry.go
@@ -142,8 +142,8 @@
 	if seq == r.seq {
 		return l, more
 	}
-	known := seq > 0 && seq < r.seq && len(r.history) > 0 && r.history[0].seq <= seq+1
-	if !known {
+	covered := seq > 0 && seq < r.seq && len(r.history) > 0 && r.history[0].seq <= seq+1
+	if !covered {
 		l.Whole, l.Hosts = true, r.list()
 		return l, more
 	}
--- a/internal/scale/soak/checks.go
+++ b/internal/scale/soak/checks.go
@@ -33,7 +33,7 @@
 	drainGrace          = 550 * time.Millisecond
 	disconnectGrace     = 100 * time.Millisecond
 	deadlineSlack       = 150 * time.Millisecond
-	discoveryDelayLimit = 6 * time.Second // after this a change counts as known to a router, whatever state discovery is in
+	discoveryDelayLimit = 6 * time.Second // a router must have received a change after this, whatever state discovery is in
 	shutdownGrace       = 700 * time.Millisecond
 	clockSlack          = 100 * time.Millisecond // between two records of one event on a busy machine
 	killedRouterCleanup = 5 * time.Second        // the platform frees what a killed router left within this time
@@ -293,7 +293,7 @@
 	return true // its client never finished writing it
 }
 
-// checkDrains finds attempts at workers that the router knew to be draining.
+// checkDrains finds attempts at workers that were draining according to the list that the router had received.
 func checkDrains(rec *records) (found []Violation) {
 	router := make(map[string]int)
 	for _, s := range rec.requests {
--- a/internal/scale/soak/client.go
+++ b/internal/scale/soak/client.go
@@ -38,7 +38,7 @@
 
 // client sends requests one after the other, over one connection at a time.
 type client struct {
-	system         *deployment
+	harness        *deployment
 	router         int
 	number         int
 	random         *rand.Rand
@@ -92,7 +92,7 @@
 	if c.conn != nil {
 		return true
 	}
-	r := c.system.routers[c.router]
+	r := c.harness.routers[c.router]
 	if !r.isAdmitting() {
 		return false
 	}
@@ -114,7 +114,7 @@
 // send sends one request and reads its response to the end. If disconnectAfter is not zero, it closes the connection
 // after that time.
 func (c *client) send(s *clientRequest, disconnectAfter time.Duration) {
-	r := c.system.routers[c.router]
+	r := c.harness.routers[c.router]
 	s.reusedConn, s.incarnations[0] = c.requestsOnConn > 0, r.currentIncarnation()
 	defer func() { s.ended, s.incarnations[1] = time.Now(), r.currentIncarnation() }()
 	if _, err := io.WriteString(c.conn, c.rawRequest(s)); err != nil {
@@ -125,9 +125,9 @@
 	if disconnectAfter > 0 {
 		conn := c.conn
 		defer time.AfterFunc(disconnectAfter, func() {
-			c.system.requestLog.mu.Lock()
+			c.harness.requestLog.mu.Lock()
 			s.disconnectedAt = time.Now()
-			c.system.requestLog.mu.Unlock()
+			c.harness.requestLog.mu.Unlock()
 			conn.Close()
 		}).Stop()
 	}
--- a/internal/scale/soak/deployment.go
+++ b/internal/scale/soak/deployment.go
@@ -194,7 +194,7 @@
 	var clients, faults sync.WaitGroup
 	for _, r := range d.routers {
 		for n := range d.plan.Clients {
-			c := &client{system: d, router: r.number, number: n, random: rand.New(rand.NewPCG(d.plan.Seed, uint64(r.number)<<8|uint64(n)))}
+			c := &client{harness: d, router: r.number, number: n, random: rand.New(rand.NewPCG(d.plan.Seed, uint64(r.number)<<8|uint64(n)))}
 			clients.Go(func() { c.run(ctx, d.requestLog) })
 		}
 	}
--- a/internal/scale/soak/ledger.go
+++ b/internal/scale/soak/ledger.go
@@ -72,7 +72,7 @@
 	return l, nil
 }
 
-// Tell records an event. accepted reports whether the ledger took it: a hold, fetch or release may fail.
+// Tell records an event. accepted reports whether the ledger accepted it: a hold, fetch or release may fail.
 func (s *Ledger) Tell(c Call, accepted *bool) error {
 	*accepted = s.ledger.record(c)
 	return nil
--- a/internal/scale/soak/router.go
+++ b/internal/scale/soak/router.go
@@ -22,7 +22,7 @@
 	"rowanyard/internal/standin"
 )
 
-// What the platform grants to a router's process and requires of it.
+// Limits and times that the platform sets for a router's process, and intervals and ports of the test.
 const (
 	routerMemoryMB       = 192
 	routerMaxDescriptors = 512
--- a/internal/scale/soak/schedule.go
+++ b/internal/scale/soak/schedule.go
@@ -18,24 +18,24 @@
 // The faults.
 const (
 	WorkerSilent      FaultKind = "worker silent"      // its connections, old and new, stay open and carry nothing
-	WorkerUnreachable FaultKind = "worker never up"    // as WorkerSilent, but new connections are never established
+	WorkerUnreachable FaultKind = "worker unreachable" // as WorkerSilent, but new connections are never established
 	WorkerRefuses     FaultKind = "worker refuses"     // new connections are reset
-	WorkerDelayed     FaultKind = "worker late"        // new connections are served after a delay
-	WorkerOpenSilent  FaultKind = "worker muted"       // open connections carry nothing any more; new ones work
+	WorkerDelayed     FaultKind = "worker delayed"     // new connections are served after a delay
+	WorkerOpenSilent  FaultKind = "worker open silent" // open connections carry nothing any more; new ones work
 	WorkerResets      FaultKind = "worker resets"      // open connections are reset
 	WorkerStopped     FaultKind = "worker stopped"     // SIGSTOP, then SIGCONT
 	WorkerKilled      FaultKind = "worker killed"      // SIGKILL, then a new process
 	WorkerDrains      FaultKind = "worker drains"      // listed as draining, then as up again
 	DiscoverySilent   FaultKind = "discovery silent"   // to one router: its connections stay open and carry nothing
 	DiscoveryResets   FaultKind = "discovery resets"   // to one router: its connections are reset
-	RouterTerminated  FaultKind = "router ends"        // SIGTERM, SIGKILL at the earliest time allowed, and a new process
+	RouterTerminated  FaultKind = "router terminated"  // SIGTERM, SIGKILL at the earliest time allowed, and a new process
 	RouterKilled      FaultKind = "router killed"      // SIGKILL, and a new process
 	RouterReloads     FaultKind = "router reloads"     // a series of SIGHUP
 	ClockStepped      FaultKind = "wall clock stepped" // of one router
 	IdleConnections   FaultKind = "crowd"              // many idle connections to one router
 )
 
-// Fault is one fault of a schedule. It lasts from At, counted from the start of the workload, for the duration For.
+// Fault is one fault of a schedule. It begins at At, counted from the start of the workload, and lasts for Duration.
 type Fault struct {
 	Kind     FaultKind
 	At       time.Duration
--- a/internal/scale/soak/worker.go
+++ b/internal/scale/soak/worker.go
@@ -19,7 +19,7 @@
 	envIncarnation = "SOAK_INCARNATION"
 )
 
-// Values of Call.What. Those reported through standin.Options.OnEvent keep its spelling.
+// Values of Call.What. callArrived, callEnded and callEffect are names of events that standin.Options.OnEvent receives.
 const (
 	callHold     = "hold"
 	callFetch    = "fetch"
