--- a/internal/grant/explore_test.go
+++ b/internal/grant/explore_test.go
@@ -29,25 +29,25 @@
 
 // sim is one simulated run.
 type sim struct {
-	now        time.Duration
-	taskQueue  taskQueue
-	taskCount  int
-	rng        *rand.Rand
-	table      *Table
-	router     *decide.Router
-	variant    string // the deliberately broken variant, empty if none
-	log        []rules.Event
-	trace      []string
-	workers    []*fakeWorker
-	callers    []*fakeCaller
-	byID       map[decide.RequestID]*routedRequest
-	byName     map[string]*routedRequest
-	heldStates map[string]int // number of states held, by request
-	ran        map[string]bool
-	lastID     decide.RequestID
-	callCount  int
-	asked      int // requests made
-	begun      int // requests served
+	now          time.Duration
+	taskQueue    taskQueue
+	taskCount    int
+	rng          *rand.Rand
+	table        *Table
+	router       *decide.Router
+	variant      string // the deliberately broken variant, empty if none
+	log          []rules.Event
+	trace        []string
+	workers      []*fakeWorker
+	callers      []*fakeCaller
+	byID         map[decide.RequestID]*routedRequest
+	byName       map[string]*routedRequest
+	heldStates   map[string]int // number of states held, by request
+	ran          map[string]bool
+	lastID       decide.RequestID
+	callCount    int
+	requestCount int // requests made
+	servedCount  int // requests served
 }
 
 type taskQueue []task
@@ -86,8 +86,8 @@
 	return w.upTo(8 * ms)
 }
 
-func (w *sim) record(kind rules.Kind, request, worker string, call int, once bool) {
-	w.log = append(w.log, rules.Event{At: w.now, Kind: kind, Request: request, Worker: worker, Call: call, NonIdempotent: once})
+func (w *sim) record(kind rules.Kind, request, worker string, call int, nonIdempotent bool) {
+	w.log = append(w.log, rules.Event{At: w.now, Kind: kind, Request: request, Worker: worker, Call: call, NonIdempotent: nonIdempotent})
 }
 
 // fakeWorker is a simulated worker.
@@ -108,15 +108,15 @@
 
 // routedRequest is the router's state of a request, which package core keeps in the program.
 type routedRequest struct {
-	id       string
-	num      decide.RequestID
-	once     bool
-	waiting  []call          // calls that wait for the pending choice
-	chosen   []chosenAttempt // chosen but not granted
-	current  *chosenAttempt  // granted and not ended
-	attempts int             // attempts chosen by the decide.Router
-	begun    bool
-	over     bool
+	id            string
+	num           decide.RequestID
+	nonIdempotent bool
+	waiting       []call          // calls that wait for the pending choice
+	chosen        []chosenAttempt // chosen but not granted
+	current       *chosenAttempt  // granted and not ended
+	attempts      int             // attempts chosen by the decide.Router
+	begun         bool
+	over          bool
 }
 
 // chosenAttempt is an attempt that the decide.Router has chosen.
@@ -174,29 +174,29 @@
 	}
 	w.router.Servers(0, w.serverList())
 	for i := range 1 + w.rng.IntN(4) {
-		w.callers = append(w.callers, &fakeCaller{w: w, name: fmt.Sprintf("c%d", i), watches: w.chance(0.5), void: make(map[uint64]bool)})
+		w.callers = append(w.callers, &fakeCaller{w: w, name: fmt.Sprintf("c%d", i), watches: w.chance(0.5), revoked: make(map[uint64]bool)})
 	}
 	return w
 }
 
 // run plays the simulation to its end and returns the violations.
 func (w *sim) run() []rules.Violation {
-	const long = 6 * time.Second
+	const duration = 6 * time.Second
 	for _, p := range w.callers {
 		if p.watches {
 			w.after(0, p.watch)
 		}
 		for range 1 + w.rng.IntN(6) {
-			w.after(w.upTo(long/2), func() { p.request(fmt.Sprintf("q%d", w.asked), true) })
+			w.after(w.upTo(duration/2), func() { p.request(fmt.Sprintf("q%d", w.requestCount), true) })
 		}
 	}
 	for range w.rng.IntN(6) {
-		w.after(w.upTo(long), w.disturbWorker)
+		w.after(w.upTo(duration), w.disturbWorker)
 	}
 	var tick func()
 	tick = func() {
 		w.advance()
-		if w.now < 3*long {
+		if w.now < 3*duration {
 			w.after(5*ms, tick)
 		}
 	}
@@ -258,9 +258,9 @@
 		l.waiting = append(l.waiting, c)
 	case same != nil:
 		w.reply(c, w.answerFor(same, c))
-	case c.Attempt == 0: // a new request, or one that is over and named again
+	case c.Attempt == 0: // a new request, or one that has ended and whose id is used again
 		w.lastID++
-		l = &routedRequest{id: c.Request, num: w.lastID, once: c.NonIdempotent, waiting: []call{c}}
+		l = &routedRequest{id: c.Request, num: w.lastID, nonIdempotent: c.NonIdempotent, waiting: []call{c}}
 		w.byID[l.num], w.byName[l.id] = l, l
 		class := 0
 		if c.NonIdempotent {
@@ -326,7 +326,7 @@
 	w.offerChosen(l)
 	if unknown := status == decide.TimedOut || status == decide.Cancelled || status == decide.Reset; s.server[0] == 'r' && unknown {
 		attempts := l.attempts
-		for _, d := range []time.Duration{0, 100 * ms} { // it may have left a state all the same
+		for _, d := range []time.Duration{0, 100 * ms} { // the read may still leave state behind
 			w.after(d, func() {
 				if l.current == nil && l.attempts == attempts {
 					w.release(l.id)
@@ -458,7 +458,7 @@
 	watches      bool
 	answeredPing time.Duration // when the latest answered ping was sent
 	seq          uint64
-	void         map[uint64]bool // revoked grants
+	revoked      map[uint64]bool // revoked grants
 	epoch        int             // number of times that all grants were dropped
 }
 
@@ -475,10 +475,10 @@
 		last = max(last, w.now+w.latency())
 		w.after(last-w.now, do)
 	}
-	up := true
+	connected := true
 	var poll, ping func()
 	poll = func() { // the router's side
-		if !up {
+		if !connected {
 			return
 		}
 		revocations, seq, ended := w.table.Next(p.name, number)
@@ -493,7 +493,7 @@
 	ping = func() {
 		sent := w.now
 		w.after(w.latency(), func() {
-			if !up {
+			if !connected {
 				return
 			}
 			revocations, seq, ended := w.table.Next(p.name, number)
@@ -501,7 +501,7 @@
 				send(func() { p.handleRevocations(revocations, seq); p.answeredPing = max(p.answeredPing, sent) })
 			}
 		})
-		if up && w.now < 15*time.Second {
+		if connected && w.now < 15*time.Second {
 			w.after(80*ms+w.upTo(20*ms), ping)
 		}
 	}
@@ -509,22 +509,22 @@
 	ping()
 	if w.chance(0.3) {
 		w.after(w.upTo(6*time.Second), func() {
-			up = false
+			connected = false
 			w.table.Unwatch(w.now, p.name, number)
 			w.after(w.upTo(time.Second), p.watch)
 		})
 	} else {
-		w.after(15*time.Second, func() { up = false; w.table.Unwatch(w.now, p.name, number) })
+		w.after(15*time.Second, func() { connected = false; w.table.Unwatch(w.now, p.name, number) })
 	}
 }
 
-func (p *fakeCaller) handleRevocations(told []Revocation, seq uint64) {
-	for _, r := range told {
+func (p *fakeCaller) handleRevocations(revocations []Revocation, seq uint64) {
+	for _, r := range revocations {
 		if r.Seq != p.seq+1 {
 			p.epoch++ // a gap: drop all grants
 		}
 		p.seq = r.Seq
-		p.void[r.Grant] = true
+		p.revoked[r.Grant] = true
 	}
 	if p.seq != seq {
 		p.epoch++
@@ -533,12 +533,12 @@
 }
 
 // request makes one request and follows it to its end.
-func (p *fakeCaller) request(id string, fresh bool) {
+func (p *fakeCaller) request(id string, newID bool) {
 	w := p.w
-	if fresh {
-		w.asked++
+	if newID {
+		w.requestCount++
 	}
-	t := &job{fakeCaller: p, id: id, once: w.chance(0.5)}
+	t := &job{fakeCaller: p, id: id, nonIdempotent: w.chance(0.5)}
 	if w.chance(0.05) && len(w.callers) > 1 { // another caller uses the same id
 		w.after(w.upTo(time.Second), func() { w.callers[w.rng.IntN(len(w.callers))].request(id, false) })
 	}
@@ -548,11 +548,11 @@
 // job is one request of a fakeCaller.
 type job struct {
 	*fakeCaller
-	id    string
-	once  bool
-	calls int
-	dead  bool // has crashed or forgotten the request
-	sent  map[uint64]bool
+	id            string
+	nonIdempotent bool
+	calls         int
+	dead          bool // has crashed or forgotten the request
+	sent          map[uint64]bool
 }
 
 // call asks for a choice, repeatedly if no answer comes.
@@ -565,13 +565,13 @@
 	w.callCount++
 	number, sent, done := w.callCount, w.now, false
 	w.record(rules.Asked, t.id, "", number, false)
-	c := call{n: number, ChooseCall: ChooseCall{Caller: t.name, Request: t.id, Attempt: n, NonIdempotent: t.once}, reply: func(a answer) {
+	c := call{n: number, ChooseCall: ChooseCall{Caller: t.name, Request: t.id, Attempt: n, NonIdempotent: t.nonIdempotent}, reply: func(a answer) {
 		if !done && !t.dead {
 			done = true
 			t.handleAnswer(n, sent, a)
 		}
 	}}
-	if t.once {
+	if t.nonIdempotent {
 		c.Class = 1
 	}
 	if w.chance(0.05) { // the message is lost
@@ -613,7 +613,7 @@
 			w.after(busy.RetryAfter, func() { t.call(n) })
 		} else if errors.Is(a.err, ErrAttemptPending) || w.chance(0.1) {
 			w.after(w.upTo(300*ms), func() { t.call(n) })
-		} else if errors.Is(a.err, ErrAttemptOrder) && w.chance(0.5) { // it has ended in the meantime: start again
+		} else if errors.Is(a.err, ErrAttemptOrder) && w.chance(0.5) { // the request has ended in the meantime: start again
 			w.after(w.upTo(300*ms), func() { t.call(0) })
 		}
 		return
@@ -645,7 +645,7 @@
 // act sends the attempt to its worker if the grant is still valid.
 func (t *job) act(n int, sent time.Duration, epoch int, a answer) {
 	w := t.w
-	stale := w.now-sent >= a.valid || t.void[a.grant]
+	stale := w.now-sent >= a.valid || t.revoked[a.grant]
 	if a.watch {
 		stale = stale || epoch != t.epoch || w.now-t.answeredPing > testConfig.WatchTimeout
 	}
@@ -703,10 +703,10 @@
 		return
 	}
 	w.record(rules.Opened, t.id, b.id, 0, false)
-	out := true
-	in := func() {
-		if out {
-			out = false
+	open := true
+	closeAttempt := func() {
+		if open {
+			open = false
 			w.record(rules.Closed, t.id, b.id, 0, false)
 		}
 	}
@@ -716,7 +716,7 @@
 	}
 	var renew func()
 	renew = func() {
-		if !out || t.dead {
+		if !open || t.dead {
 			return
 		}
 		w.after(w.latency(), func() {
@@ -728,17 +728,17 @@
 	}
 	renew()
 	effect := func() {
-		w.record(rules.Effect, t.id, b.id, 0, t.once)
+		w.record(rules.Effect, t.id, b.id, 0, t.nonIdempotent)
 		w.ran[t.id] = true
 	}
 	if w.chance(0.05) { // the caller crashes with its connections
 		w.after(w.upTo(took), func() {
-			if t.dead = true; out && b.kind == 0 && w.chance(0.3) {
+			if t.dead = true; open && b.kind == 0 && w.chance(0.3) {
 				w.hold(t.id)
-			} else if out && b.kind == 1 && w.chance(0.5) {
+			} else if open && b.kind == 1 && w.chance(0.5) {
 				effect()
 			}
-			in()
+			closeAttempt()
 		})
 	}
 	if w.chance(0.04) {
@@ -746,10 +746,10 @@
 	}
 	reset := w.chance(0.08)
 	w.after(min(took, max(0, ends-w.now)), func() {
-		if !out {
+		if !open {
 			return
 		}
-		defer in()
+		defer closeAttempt()
 		switch {
 		case w.now >= ends || b.dead || reset: // no response: cancelled or broken
 			if b.kind == 1 && w.chance(0.5) {
@@ -770,7 +770,7 @@
 		default:
 			w.heldStates[t.id] = 0
 			w.record(rules.Released, t.id, "", 0, false)
-			w.begun++
+			w.servedCount++
 			effect()
 			if !t.dead {
 				t.report(a.grant, Begun)
@@ -801,14 +801,14 @@
 // log.
 func TestExploreSeeds(t *testing.T) {
 	from, to := seedRange(3000)
-	begun, asked, ended := 0, 0, time.Now().Add(2*time.Minute)
+	servedCount, requestCount, ended := 0, 0, time.Now().Add(2*time.Minute)
 	for seed := from; seed < to; seed++ {
 		if time.Now().After(ended) {
 			t.Logf("time is up after %d seeds", seed-from)
 			break
 		}
 		w, broken := explore(seed, "")
-		begun, asked = begun+w.begun, asked+w.asked
+		servedCount, requestCount = servedCount+w.servedCount, requestCount+w.requestCount
 		if len(broken) > 0 {
 			t.Errorf("seed %d: %v", seed, broken)
 			if to == from+1 {
@@ -825,10 +825,10 @@
 			t.Errorf("seed %d: %d requests left in the table", seed, n)
 		}
 	}
-	if to > from+1 && begun < asked/6 {
-		t.Errorf("only %d of %d requests were served", begun, asked)
+	if to > from+1 && servedCount < requestCount/6 {
+		t.Errorf("only %d of %d requests were served", servedCount, requestCount)
 	}
-	t.Logf("%d of %d requests served", begun, asked)
+	t.Logf("%d of %d requests served", servedCount, requestCount)
 }
 
 // The same seed gives an identical run.
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// A caller that floods the router cannot take the places of others and is told when to retry. A full ledger refuses new
+// A caller that floods the router cannot take the places of others and gets a retry delay. A full ledger refuses new
 // requests instead of forgetting entries.
 func TestAFloodLeavesRoomForOthers(t *testing.T) {
 	tab := newTable(t, func(x *Config) { x.MaxOpenRequests, x.MaxEffects = 30, 12 })
