--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure exports Prometheus metrics, and OpenTelemetry traces of requests from the caller through grants and attempts
-// to the end. No metric has a caller, request or worker as label, so that peers can't make the number of series grow. Both
-// are off unless the operator's file enables them.
+// Package measure exports Prometheus metrics, and OpenTelemetry traces of requests with their grants and attempts. No metric has
+// a caller, request or worker as label, so that peers can't make the number of series grow. Both are off unless the operator's
+// file enables them.
 package measure
 
 import (
@@ -58,7 +58,7 @@
 	}
 }
 
-// CollectGrants adds the grants, requests, callers and effects of d.
+// CollectGrants adds the numbers of grants, requests, callers and effects of d.
 func (m *Metrics) CollectGrants(d *decisions.Coordinator) { m.registry.MustRegister(grantCollector{d}) }
 
 // CollectGuard adds the counts of g.
@@ -147,7 +147,7 @@
 	}, nil
 }
 
-// CollectCacheReports adds what stats reports on the prefix caches of workers.
+// CollectCacheReports adds the statistics that stats returns on the index of workers' prefix caches.
 func (m *Metrics) CollectCacheReports(stats func() kvindex.Stats) {
 	m.registry.MustRegister(cacheCollector{stats})
 }
@@ -156,19 +156,19 @@
 type cacheCollector struct{ stats func() kvindex.Stats }
 
 var (
-	descBlocks    = prometheus.NewDesc("rowanyard_kv_blocks", "Blocks of text that workers report to keep, known now.", nil, nil)
-	descWorkers   = prometheus.NewDesc("rowanyard_kv_workers", "Workers of which reports are known.", nil, nil)
-	descGaps      = prometheus.NewDesc("rowanyard_kv_gaps_total", "Times that a worker's reports had a gap.", nil, nil)
-	descReplays   = prometheus.NewDesc("rowanyard_kv_replays_total", "Gaps that were filled in time.", nil, nil)
-	descLost      = prometheus.NewDesc("rowanyard_kv_aged_total", "Gaps that were not: the worker's knowledge went.", nil, nil)
-	descRefused   = prometheus.NewDesc("rowanyard_kv_refused_total", "Reports, or parts of them, that count for nothing, by reason.", []string{"reason"}, nil)
-	descPredicted = prometheus.NewDesc("rowanyard_kv_predictions_total", "Reads at workers whose kept length was predicted.", nil, nil)
-	descWrong     = prometheus.NewDesc("rowanyard_kv_wrong_predictions_total", "Of these, predicted wrong by more than a tenth and 64 tokens.", nil, nil)
+	descBlocks      = prometheus.NewDesc("rowanyard_kv_blocks", "Blocks of text that workers report to keep, known now.", nil, nil)
+	descWorkers     = prometheus.NewDesc("rowanyard_kv_workers", "Workers of which reports are known.", nil, nil)
+	descGaps        = prometheus.NewDesc("rowanyard_kv_gaps_total", "Times that a worker's reports had a gap.", nil, nil)
+	descReplays     = prometheus.NewDesc("rowanyard_kv_replays_total", "Gaps that were filled in time.", nil, nil)
+	descExpiredGaps = prometheus.NewDesc("rowanyard_kv_aged_total", "Gaps that were not: the worker's knowledge went.", nil, nil)
+	descRefused     = prometheus.NewDesc("rowanyard_kv_refused_total", "Reports, or parts of them, that count for nothing, by reason.", []string{"reason"}, nil)
+	descPredicted   = prometheus.NewDesc("rowanyard_kv_predictions_total", "Reads at workers whose kept length was predicted.", nil, nil)
+	descWrong       = prometheus.NewDesc("rowanyard_kv_wrong_predictions_total", "Of these, predicted wrong by more than a tenth and 64 tokens.", nil, nil)
 )
 
 // Describe implements prometheus.Collector.
 func (x cacheCollector) Describe(to chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descBlocks, descWorkers, descGaps, descReplays, descLost, descRefused, descPredicted, descWrong} {
+	for _, d := range []*prometheus.Desc{descBlocks, descWorkers, descGaps, descReplays, descExpiredGaps, descRefused, descPredicted, descWrong} {
 		to <- d
 	}
 }
@@ -180,7 +180,7 @@
 	to <- prometheus.MustNewConstMetric(descWorkers, prometheus.GaugeValue, float64(s.Workers))
 	to <- prometheus.MustNewConstMetric(descGaps, prometheus.CounterValue, float64(s.Gaps))
 	to <- prometheus.MustNewConstMetric(descReplays, prometheus.CounterValue, float64(s.Replays))
-	to <- prometheus.MustNewConstMetric(descLost, prometheus.CounterValue, float64(s.ExpiredGaps))
+	to <- prometheus.MustNewConstMetric(descExpiredGaps, prometheus.CounterValue, float64(s.ExpiredGaps))
 	to <- prometheus.MustNewConstMetric(descPredicted, prometheus.CounterValue, float64(s.Predictions))
 	to <- prometheus.MustNewConstMetric(descWrong, prometheus.CounterValue, float64(s.WrongPredictions))
 	for reason, n := range s.Refused {
--- a/internal/measure/measure_test.go
+++ b/internal/measure/measure_test.go
@@ -25,7 +25,7 @@
 	"rowanyard/internal/wire"
 )
 
-// A request that a caller carries appears in the metrics and as one trace: the request, its read and its write.
+// A request whose attempts a caller sends itself appears in the metrics and as one trace: the request, its read and its write.
 func TestRequestIsMeasuredAndTraced(t *testing.T) {
 	spans := make(chan *collector.ExportTraceServiceRequest, 10)
 	otlp := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { // a fake collector
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -47,7 +47,7 @@
 		HeardMs    int `json:"heard_ms"`    // silence of a watch stream after which its caller drops its grants
 		RememberS  int `json:"remember_s"`  // for how long an effect that may have happened is remembered
 		Open       int `json:"open"`        // requests open at once, of all callers
-		Callers    int `json:"callers"`     // callers known at once
+		Callers    int `json:"callers"`     // callers tracked at once
 		Effects    int `json:"effects"`     // effects remembered at once
 	} `json:"grants"`
 	Reports struct {
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// GrantTerms returns the terms of grants. maxWait is the longest Retry-After that clients are given.
+// GrantTerms returns the terms of grants. maxWait is the longest Retry-After that is sent to clients.
 func (f *File) GrantTerms(maxWait time.Duration) grant.Config {
 	g := f.Grants
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -330,7 +330,7 @@
 	case <-ctx.Done():
 		return
 	}
-	if ctx.Err() != nil { // the state that a cancelled read leaves expires by itself
+	if ctx.Err() != nil { // cancelled when the time was up: no state is stored
 		return
 	}
 	if w.fleet.StateStore.Hold(c.id, w.name) {
