--- a/cmd/fleetlog/cold.go
+++ b/cmd/fleetlog/cold.go
@@ -53,8 +53,8 @@
 }
 
 // window describes the window in which a cold worker was sent most. Part is Most divided by Allowed, At the number of
-// seconds from the worker's start to the window's end, Told the percentage of the sends by routers that logged the start, and All the number
-// of sends in the whole ramp.
+// seconds from the worker's start to the window's end, Told the percentage of the sends by routers that logged the start,
+// and All the number of sends in the whole ramp.
 type window struct {
 	Worker, Kind  string
 	Most, All     int
--- a/example/caller/main.go
+++ b/example/caller/main.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// report tells the decision service what became of an attempt.
+// report reports the fate of an attempt to the decision service.
 func report(ctx context.Context, client pb.DecisionsClient, grant *pb.Choice, fate pb.Fate) {
 	if _, err := client.Report(ctx, &pb.ReportRequest{Grant: grant.Grant, Fate: fate}); err != nil {
 		fmt.Fprintln(os.Stderr, "caller: report:", err)
--- a/internal/enginehost/host.go
+++ b/internal/enginehost/host.go
@@ -412,7 +412,7 @@
 	return text
 }
 
-// Settings returns settings of a router for Config.
+// Settings returns settings of a router, in the form that Config takes.
 func Settings() json.RawMessage {
 	return json.RawMessage(`{"me":0,"n_instances":1,"granularity":2000,"zone":0,"zones":["here"],
 "host_types":["reader","writer-a","writer-b"],"discovery":"pushed","report":{"names":["util","queue","x0"],"source":"on_probe"},
