--- a/decide/heldstate.go
+++ b/decide/heldstate.go
@@ -9,7 +9,7 @@
 // a response of the server to that attempt, its first token or its end, proves that. An answer to a probe
 // proves that the machine is reachable, not that the connection is.
 
-// scheduleWriteCheck schedules the check of the attempt being sent if it is a write that takes a held state.
+// scheduleWriteCheck schedules checkWrite for the attempt being sent if that is a write of a held state.
 func (r *Router) scheduleWriteCheck(p *request, read bool) {
 	p.writeCheckAt, p.writeProbed = 0, false
 	if read || p.holder == nil || p.Leased || !r.cfg.CanProbe {
@@ -39,8 +39,7 @@
 // answered. A repeatable request then goes to another writer while its state can still be taken; any other
 // waits, but the server gets no more requests. This keeps states within the pin limit without giving them up.
 // A healthy server that is slow to answer probes may be taken for silent. Reads are not checked: they may
-// take long on a healthy server, and a probe's answer would also change the load estimates, which lowered the
-// simulator's score to 0.64.
+// take long on a healthy server, and a probe's answer would also change the load estimates.
 func (r *Router) checkWrite(p *request) {
 	if p.writeCheckAt == 0 || r.now < p.writeCheckAt {
 		return
@@ -117,8 +116,8 @@
 
 // updateHeldState decides what the end of an attempt means for the held state. The pin limit starts anew only
 // if the end shows that the attempt had arrived; an attempt that never connected, or was cancelled without a
-// sign of life, took nothing. The reachable argument is whether the server has responded to anything since
-// the attempt was sent, not counting this end.
+// sign of life, has not fetched the state. The reachable argument is whether the server has responded to
+// anything since the attempt was sent, not counting this end.
 func (r *Router) updateHeldState(p *request, a *attempt, o Outcome, reachable bool) {
 	arrivalUnknown := o.Status == TimedOut || o.Status == Cancelled || o.Status == Reset
 	stateLost := p.released || arrivalUnknown && r.cfg.PinLimit > 0 &&
