--- a/decide/api.go
+++ b/decide/api.go
@@ -1,6 +1,22 @@
 // Package decide implements the routing policy of a two-stage language-model router: which server reads the prompt
 // (prefill), which one writes the answer (decode), when an attempt is retried and when a request is refused.
 //
+// A reader runs the first stage, the read, and holds the resulting state (KV cache) until a writer fetches it. The
+// writer runs the second stage, the write, and streams the answer. A mixed server can run both stages of a request by
+// itself. The readers, the writers and the mixed servers form a pool each. An attempt is one send of a request to one
+// server.
+//
+// The servers of a cell share a network link, and the cells of a zone a network path to the rest, so a state goes to a
+// writer as near to its reader as possible.
+//
+// Any number of routers send to the same servers and do not communicate. Each decides from its own record of what it
+// has sent, from the server list and from probes. Where routers have to agree, they hash: the first reader in
+// rendezvous order for a shared prefix, or for a session, is its home, where all routers expect the prefix to be
+// cached.
+//
+// A server is cold for a while after its start. It then has only a part of its capacity and fails if all routers
+// together send more than a multiple of that, so attempts at cold servers are limited.
+//
 // A Router handles one event at a time and acts through an Executor. It starts no goroutines, reads no clock and does
 // no I/O, so that equal seeds and events give equal decisions.
 package decide
@@ -44,13 +60,13 @@
 	ScopeCell
 )
 
-// Class is a class of requests that share latency targets, value and repeat rules.
+// Class holds what the requests of one class have in common: latency targets, value and repeat rules.
 type Class struct {
 	TTFTTarget        time.Duration // target time to first token (TTFT)
 	TTFTTargetPer1000 time.Duration // added to TTFTTarget for each 1,000 prompt tokens
 	Deadline          time.Duration // total time that a client waits
 	TPOTTarget        time.Duration // target mean time per output token (TPOT)
-	Value             float64       // value of an answer in time
+	Value             float64       // value of an answer in time, relative to other classes
 	LateValueShare    float64       // share of Value that an answer after TTFTTarget is worth; not used by the Router
 	Effect            Effect
 	Scope             Scope         // keyed classes: the servers that drop repeats
@@ -62,7 +78,7 @@
 	Quota float64 // requests per second over all routers, 0 = unlimited
 }
 
-// Kind describes the servers of one kind.
+// Kind describes servers of one type, such as those with the same hardware and role.
 type Kind struct {
 	Role         Role
 	MemoryTokens int // KV cache memory in tokens, 0 = unknown
@@ -71,7 +87,7 @@
 // Settings configures a Router. A zero duration disables its limit unless the field says otherwise.
 type Settings struct {
 	RouterIndex, RouterCount int // index of this router among all, and their number
-	Zone                     int
+	Zone                     int // zone of this router; not used by the Router
 	Classes                  []Class
 	Tenants                  []Tenant
 	Kinds                    []Kind
@@ -80,7 +96,7 @@
 	MaxAttempts              int           // attempts per request, 0 = unlimited
 	ConnectTimeout           time.Duration // an attempt reaches its server within this time or not at all
 	MaxRetryAfter            time.Duration // longest retry delay suggested to refused clients, 0 = none
-	CanCancel                bool
+	CanCancel                bool          // the Executor can cancel attempts
 	CanProbe                 bool          // servers report their load to probes
 	WritersCanRead           bool          // a writer without a state reads the prompt itself
 	PollServerList           bool          // the server list arrives only on request
@@ -156,27 +172,27 @@
 	Unsent                          // never sent
 )
 
-// Outcome is the end of one attempt of a request.
+// Outcome reports the end of one attempt of a request.
 type Outcome struct {
 	ID           RequestID
-	Attempt      int
+	Attempt      int // its number, see Executor
 	Server       string
 	Status       Status
-	Elapsed      time.Duration
-	Final        bool // the client has its answer: no more attempts
-	CachedTokens int  // Read and Served: prompt tokens that the server had cached
-	NoState      bool // Rejected: there was no state to fetch
+	Elapsed      time.Duration // since the attempt began
+	Final        bool          // the client has its answer: no more attempts
+	CachedTokens int           // Read and Served: prompt tokens that the server had cached
+	NoState      bool          // Rejected: there was no state to fetch
 }
 
-// Started is the first token of an attempt's answer.
+// Started reports the first token of an attempt's answer.
 type Started struct {
 	ID      RequestID
-	Attempt int
+	Attempt int // its number, see Executor
 	Server  string
-	Elapsed time.Duration
+	Elapsed time.Duration // since the attempt began
 }
 
-// Probed is a server's answer to a probe. Negative values are unknown.
+// Probed reports a server's answer to a probe. Negative values are unknown.
 type Probed struct {
 	Server         string
 	QueuedRequests float64 // requests in its queue
@@ -212,7 +228,7 @@
 	Servers  []Server
 }
 
-// Reason explains a decision in logs.
+// Reason states in logs why a decision was made.
 type Reason string
 
 // The reasons.
--- a/decide/coldfleet_test.go
+++ b/decide/coldfleet_test.go
@@ -73,11 +73,11 @@
 	utilization, capacityRatio := 0.4+0.5*d.rng.Float64(), 1+d.rng.Float64()
 	d.servers = make(map[string]*simServer)
 	for i := range serverCount {
-		role, of := 1, serverCount-readers
+		role, serversInRole := 1, serverCount-readers
 		if i < readers {
-			role, of = 0, readers
+			role, serversInRole = 0, readers
 		}
-		kind, capacity := role, d.rate/utilization/float64(of)
+		kind, capacity := role, d.rate/utilization/float64(serversInRole)
 		if i%2 == 1 { // the mean capacity over both kinds of the role stays
 			kind, capacity = role+2, capacity*2*capacityRatio/(1+capacityRatio)
 		} else {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,6 +1,6 @@
 package decide
 
-// The decisions of a Router; its interface is in api.go, its state in state.go. "Own" means of this router.
+// The decisions of a Router; interface and terms are in api.go, the state in state.go. "Own": of this router.
 
 import (
 	"cmp"
@@ -72,7 +72,7 @@
 	maxSparseBackoff    = 16 * time.Second       // ... or to the usual time between sends, at most this
 	partialMiss         = 0.5                    // weight of a refusal or a silence as a sign of a lost zone
 	refusedWithin       = 50 * time.Millisecond  // a connection that failed sooner was refused
-	maxZoneBackoff      = 4 * time.Second        // see recordUnreachable
+	maxZoneBackoff      = 4 * time.Second        // longest backoff from a zone
 	minFullBackoff      = 100 * time.Millisecond // backoff from a full server, ...
 	fullBackoffFactor   = 50                     // ... or this many times the time of its rejection, ...
 	maxFullBackoff      = 30 * time.Second       // ... doubled each time it is full again up to this
@@ -162,9 +162,9 @@
 	r.exec.SetTimer(uint64(q.ID), max(now, p.deadline-finalAnswerSteps*r.cfg.ClockStep))
 	r.requestTokens += r.expectedTokens(p)
 	if p.PrefixLength == 0 || 2*p.PrefixLength >= p.PromptLength {
-		p.home = p.Prefix
+		p.homePrefix = p.Prefix
 	}
-	p.prefixShare = r.prefixWork.workShare(p.home, float64(r.expectedTokens(p)), r.now)
+	p.prefixShare = r.prefixWork.workShare(p.homePrefix, float64(r.expectedTokens(p)), r.now)
 	p.value = r.value(p)
 	r.dispatch(p)
 }
@@ -180,8 +180,8 @@
 	return r.wouldBeLate(p, s)
 }
 
-// wouldBeLate reports whether the wait expected at s is too long for p. A server without own requests counts
-// as idle so that the estimate stays fresh, but only at random where few own requests are in flight at all.
+// wouldBeLate reports whether the wait expected at s is too long for p. A server without own requests is
+// tried even then, so that the estimate stays fresh; only at random where few own requests are in flight.
 func (r *Router) wouldBeLate(p *request, s *server) bool {
 	ttftTarget := r.ttftTarget(p)
 	remaining := min(ttftTarget-(r.now-p.arrived), p.deadline-r.now)
@@ -217,8 +217,8 @@
 	return shedBase + shedValue*p.value + shedCached*float64(match)/float64(max(1, p.PromptLength))
 }
 
-// value returns p's value relative to the highest, reduced if its tenant is over quota. Where this router's
-// share of a quota is less than a few requests, being over it takes more than a few.
+// value returns p's value relative to the highest, reduced if its tenant is over quota. The tenant's count is
+// drawn towards this router's share of the quota: one request must not exceed a share of less than one.
 func (r *Router) value(p *request) float64 {
 	v := p.class.Value / max(r.maxValue, 1e-9)
 	if p.Tenant < 0 || p.Tenant >= len(r.demand) {
@@ -327,9 +327,9 @@
 	r.kinds[s.Kind].inFlight++
 	p.silenceCheckAt = r.now + r.silenceTimeout(p, s)
 	r.exec.SetTimer(uint64(p.ID), p.silenceCheckAt)
-	match, since := s.prefixes.match(&p.Request, r.now)
+	match, matchSentAt := s.prefixes.match(&p.Request, r.now)
 	p.attempts = append(p.attempts, attempt{server: s, sentAt: r.now, read: read, inFlight: true,
-		match: match, since: since})
+		match: match, matchSentAt: matchSentAt})
 	if read || p.holder == nil {
 		s.prefixes.record(&p.Request, r.now)
 	}
@@ -446,13 +446,13 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	key := mix(cmp.Or(p.home, p.Session, r.rng.Uint64()))
+	key := mix(cmp.Or(p.homePrefix, p.Session, r.rng.Uint64()))
 	for _, s := range candidates {
 		s.match, s.hashOrder = 0, mix(s.hash^key) // as rendezvousHash
 	}
 	r.setMatches(p)
-	home := lazysort.New(candidates, func(a, b *server) bool { return a.hashOrder > b.hashOrder })
-	s, more := home.Next()
+	byHash := lazysort.New(candidates, func(a, b *server) bool { return a.hashOrder > b.hashOrder })
+	s, more := byHash.Next()
 	demand := &r.kinds[s.Kind].demand
 	increment := 1.0
 	if p.probed { // already counted before the probes
@@ -460,7 +460,7 @@
 	}
 	demand.add(r.now, increment)
 	mean := demand.value(r.now) / float64(len(candidates))
-	for ; more; s, more = home.Next() {
+	for ; more; s, more = byHash.Next() {
 		s.demand.add(r.now, increment)
 		if r.admits(p, s, mean) {
 			s.match = max(s.match, p.homeMatch(s))
@@ -493,18 +493,18 @@
 }
 
 // admits limits the load on popular servers. A server in higher demand than its peers takes a bounded
-// multiple of their mean, more while it is faster than they and less while it is slower. Its sessions are
-// chosen by hash: all routers spill the same ones, to the same next server. This covers popular prefixes that
-// overload their home though no router has two requests there, and slow readers that would keep their
-// sessions. Transfer times count too, for cells with few writers. A few requests may look like popularity.
+// multiple of their mean, more while it is faster than they and less while it is slower. The sessions that it
+// keeps are chosen by hash: all routers spill the same ones, to the same next server. This covers popular
+// prefixes that overload their home though no router has two requests there, and slow readers, which would
+// keep their sessions. Transfer times count too, for cells with few writers. A few requests may look popular.
 func (r *Router) admits(p *request, s *server, mean float64) bool {
 	probeUnanswered := s.probedAt > s.probeAnsweredAt && r.now-s.probedAt < probeValidFor &&
 		r.probeAnsweredAt[s.role] >= s.probedAt
 	if probeUnanswered || float64(s.inFlight)*r.routerWeight() >= maxReadsPerReader {
 		return false
 	}
-	n := s.demand.value(r.now)
-	demand := mean * (1 + n) / (1 + mean)
+	ownDemand := s.demand.value(r.now)
+	demand := mean * (1 + ownDemand) / (1 + mean)
 	localWait := r.wait(s) + r.cell(s).transfers.blend(r.transfers, r.now, loadSpan)
 	allowance := max(negligibleWaitShare*r.ttftTarget(p).Seconds(),
 		r.kinds[s.Kind].wait.value+r.transfers.value) / max(localWait, 1e-3)
@@ -512,8 +512,8 @@
 		popularityLimit*mean*allowance
 }
 
-// shrinkToMean estimates the true value behind a count, given the mean of its peers: small counts are drawn
-// towards the mean, large ones are left as they are.
+// shrinkToMean estimates the expected value behind a count n, given the mean of its peers: if that is small,
+// the count is drawn towards it, as chance prevails; if it is large, the count stays nearly as it is.
 func shrinkToMean(n, mean float64) float64 { return mean * (peerWeight + n) / (peerWeight + mean) }
 
 // pickWriter selects the less loaded of two random writers as near to the reader as possible. Writers filled
@@ -535,9 +535,9 @@
 	maxFill := maxWriterFill *
 		min(1, (r.farTransfers.value+negligibleWait)/(r.nearTransfers.value+negligibleWait))
 	belowLimit := func(s *server) bool {
-		var own float64
-		s.fill, own = r.fill(s)
-		return math.Pow(draw, 1-own)*s.fill < maxFill ||
+		var ownWeight float64
+		s.fill, ownWeight = r.fill(s)
+		return math.Pow(draw, 1-ownWeight)*s.fill < maxFill ||
 			s.Cell == p.holder.Cell && s.fill < 1 && r.linksSlow()
 	}
 	for dist := range distances {
@@ -556,16 +556,16 @@
 // linksSlow reports whether transfers out of a cell recently took far longer than those inside. The writers
 // of the cell are then filled further before states leave it; the far transfers that remain show a recovery.
 func (r *Router) linksSlow() bool {
-	return r.now-r.farTransfers.at < maxBackoff && r.farTransfers.n > 2 &&
+	return r.now-r.farTransfers.at < maxBackoff && r.farTransfers.valueCount > 2 &&
 		r.farTransfers.value > slowLinkFactor*r.nearTransfers.value
 }
 
 // fill returns the own tokens at s relative to this router's share of its memory, and the weight of the
 // server's own count in that. The fewer requests the share holds, the more the estimate relies on the fill of
 // the whole pool: among many routers a single request is weak evidence.
-func (r *Router) fill(s *server) (fill, own float64) {
+func (r *Router) fill(s *server) (fill, ownWeight float64) {
 	share := r.memory(s) / r.routerWeight()
-	prior := peerWeight * float64(r.writeTokens[s.role]) / float64(max(1, r.streams[s.role]))
+	prior := peerWeight * float64(r.writeTokens[s.role]) / float64(max(1, r.writesInFlight[s.role]))
 	fleetFill := float64(r.writeTokens[s.role]) * r.routerWeight() / r.answerMemory[s.role]
 	return (float64(s.tokens) + prior*fleetFill*r.cellCrowding(s)) / (share + prior), share / (share + prior)
 }
@@ -580,7 +580,7 @@
 		return servers[i]
 	}
 	a, b := servers[i], servers[(i+1+r.rng.IntN(len(servers)-1))%len(servers)]
-	if r.loadKnown(a) && r.loadKnown(b) && b.load < a.load ||
+	if r.loadKnown(a) && r.loadKnown(b) && b.memoryUse < a.memoryUse ||
 		!(r.loadKnown(a) && r.loadKnown(b)) && b.tokens < a.tokens {
 		return b
 	}
@@ -639,7 +639,7 @@
 	if meanRatio <= 0 || s.tokens <= 0 {
 		return false
 	}
-	spent, done := s.streams.sum(r.now)
+	spent, done := s.answerTimes.sum(r.now)
 	return (spent+slowAnswerSmoothing*meanRatio)/(done+slowAnswerSmoothing) > slowAnswerFactor*meanRatio
 }
 
@@ -741,8 +741,8 @@
 // that has is only busy, unless it has answered an attempt sent long after this one: that points to a dead
 // connection, or to a server that answers out of order.
 func (r *Router) checkSilence(p *request) {
-	n := len(p.attempts) - 1
-	a := &p.attempts[n]
+	last := len(p.attempts) - 1
+	a := &p.attempts[last]
 	if !a.inFlight || a.streaming {
 		return
 	}
@@ -755,7 +755,7 @@
 	}
 	p.silenceCheckAt = 0
 	r.explain(p, SilentServer)
-	r.exec.Cancel(p.ID, n)
+	r.exec.Cancel(p.ID, last)
 }
 
 // mayUseCold paces attempts at a cold server, which fails if all routers together send more than its budget
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -23,19 +23,19 @@
 func (rec *recorder) record(format string, a ...any) {
 	rec.calls = append(rec.calls, fmt.Sprintf(format, a...))
 }
-func (rec *recorder) Send(id RequestID, s string, t time.Duration) {
-	rec.record("send %d %s", id, s)
-	rec.lastTimeout = t
-	rec.sends = append(rec.sends, s)
+func (rec *recorder) Send(id RequestID, server string, timeout time.Duration) {
+	rec.record("send %d %s", id, server)
+	rec.lastTimeout = timeout
+	rec.sends = append(rec.sends, server)
 }
-func (rec *recorder) Cancel(id RequestID, n int) { rec.record("cancel %d %d", id, n) }
+func (rec *recorder) Cancel(id RequestID, attempt int) { rec.record("cancel %d %d", id, attempt) }
 func (rec *recorder) Refuse(id RequestID, retryAfter time.Duration) {
 	rec.record("refuse %d", id)
 	rec.retryAfter = retryAfter
 }
 func (rec *recorder) Fail(id RequestID)            { rec.record("fail %d", id) }
 func (rec *recorder) Release(id RequestID)         { rec.record("release %d", id) }
-func (rec *recorder) Probe(s string)               { rec.record("probe %s", s) }
+func (rec *recorder) Probe(server string)          { rec.record("probe %s", server) }
 func (rec *recorder) RequestServerList(watch bool) { rec.record("list %v", watch) }
 func (rec *recorder) SetTimer(token uint64, at time.Duration) {
 	rec.timers[token] = append(rec.timers[token], at)
@@ -125,8 +125,8 @@
 	}
 	other, otherRec := newTestRouter(t, testSettings(), testServers())
 	other.rng.Uint64() // a router with other random numbers
-	if h, _ := serve(other, otherRec, testRequest(99), 0); h != home {
-		t.Errorf("home at the other router is %s, want %s", h, home)
+	if otherHome, _ := serve(other, otherRec, testRequest(99), 0); otherHome != home {
+		t.Errorf("home at the other router is %s, want %s", otherHome, home)
 	}
 	if len(r.requests) != 0 || r.requestTokens != 0 {
 		t.Errorf("%d requests and %d tokens left at the end", len(r.requests), r.requestTokens)
@@ -172,9 +172,9 @@
 
 func TestHeldStateGoesToAnotherWriterAfterFailure(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		o      Outcome
-		reread bool
+		name    string
+		outcome Outcome
+		reread  bool
 	}{
 		{"error", Outcome{Status: Errored}, false},
 		{"no connection", Outcome{Status: ConnectFailed}, false},
@@ -185,8 +185,8 @@
 		r.Request(0, testRequest(1))
 		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms})
 		first := rec.lastServer()
-		c.o.ID, c.o.Attempt, c.o.Server = 1, 1, first
-		r.Outcome(100*ms, c.o)
+		c.outcome.ID, c.outcome.Attempt, c.outcome.Server = 1, 1, first
+		r.Outcome(100*ms, c.outcome)
 		if rec.lastServer() == first || (rec.lastServer()[0] == 'r') != c.reread {
 			t.Errorf("%s: sent to %s, then to %s", c.name, first, rec.lastServer())
 		}
@@ -335,7 +335,7 @@
 	drained := Server{ID: home, State: Draining, Kind: 0}
 	r.Servers(time.Second, ServerList{Servers: []Server{drained}})
 	for id := RequestID(2); id < 20; id++ {
-		if at, _ := serve(r, rec, testRequest(id), time.Second); at == home {
+		if reader, _ := serve(r, rec, testRequest(id), time.Second); reader == home {
 			t.Fatalf("request %d sent to draining %s", id, home)
 		}
 	}
@@ -459,7 +459,7 @@
 	old.Prefix = 8
 	s.prefixes.record(&old, 0)
 	s.prefixes.record(&q, time.Second)
-	a := attempt{match: 3000, since: time.Second}
+	a := attempt{match: 3000, matchSentAt: time.Second}
 	s.prefixes.reconcile(&a, 2900, 30*time.Second)
 	if n, _ := s.prefixes.match(&old, 30*time.Second); n == 0 {
 		t.Error("record dropped though the prefix was cached")
@@ -478,8 +478,8 @@
 	if w := r.pickWriter(p); w.Cell != 1 {
 		t.Errorf("picked %s in a cell whose writers are full", w.ID)
 	}
-	r.nearTransfers = mean{value: 0.05, n: 9}
-	r.farTransfers = mean{value: 1, n: 9}
+	r.nearTransfers = mean{value: 0.05, valueCount: 9}
+	r.farTransfers = mean{value: 1, valueCount: 9}
 	r.servers["w01"].tokens = 60000
 	if w := r.pickWriter(p); w.ID != "w01" {
 		t.Errorf("picked %s over a slow link though the cell has room", w.ID)
@@ -489,7 +489,7 @@
 func TestOverloadRefusesRequests(t *testing.T) {
 	r, rec := newTestRouter(t, testSettings(), testServers())
 	for _, s := range r.listed {
-		s.wait = mean{value: 5, n: 4}
+		s.wait = mean{value: 5, valueCount: 4}
 	}
 	for id := RequestID(1); id < 40; id++ {
 		r.Request(0, testRequest(id))
@@ -557,10 +557,10 @@
 	r, rec := newTestRouter(t, testSettings(), testServers())
 	home, _ := serve(r, rec, testRequest(1), 0)
 	for _, s := range r.listed {
-		s.wait = mean{value: 0.05, n: 4}
+		s.wait = mean{value: 0.05, valueCount: 4}
 	}
 	slow := r.servers[home]
-	slow.wait, slow.inFlight = mean{value: 3, n: 4}, 1
+	slow.wait, slow.inFlight = mean{value: 3, valueCount: 4}, 1
 	r.Request(time.Second, testRequest(2))
 	if rec.lastServer() == home || rec.countCalls("refuse") > 0 {
 		t.Errorf("request sent to slow home %s or refused: %v", home, rec.calls)
@@ -571,7 +571,7 @@
 	cfg := testSettings()
 	r, rec := newTestRouter(t, cfg, append(testServers(), Server{ID: "m0", Kind: 2}))
 	m := r.servers["m0"]
-	m.wait, m.inFlight = mean{value: 5, n: 4}, 1
+	m.wait, m.inFlight = mean{value: 5, valueCount: 4}, 1
 	sentToMixed := 0
 	for id := RequestID(1); id < 30; id++ {
 		r.Request(0, testRequest(id))
@@ -649,7 +649,7 @@
 		t.Errorf("timeouts: %v out of the cell, %v within it", far, rec.lastTimeout)
 	}
 	r.Outcome(far, Outcome{ID: 1, Server: "w10", Status: TimedOut, Elapsed: far})
-	if r.farTransfers.n == 0 {
+	if r.farTransfers.valueCount == 0 {
 		t.Error("a transfer that timed out is not counted as slow")
 	}
 }
@@ -751,13 +751,13 @@
 	r, rec := newTestRouter(t, testSettings(), testServers())
 	id := RequestID(1)
 	type answer struct {
-		id   RequestID
-		at   string
-		ends time.Duration
+		id       RequestID
+		serverID string
+		ends     time.Duration
 	}
 	var open []answer
 	now := time.Duration(0)
-	run := func(until, slow time.Duration) map[string]int {
+	run := func(until, slowDuration time.Duration) map[string]int {
 		got := map[string]int{}
 		for ; now < until; now += 50 * ms {
 			rec.sends = nil
@@ -767,14 +767,14 @@
 			r.Outcome(now, Outcome{ID: id, Server: rec.lastServer(), Status: Read})
 			took := 2 * time.Second
 			if got[rec.lastServer()]++; rec.lastServer() == "w00" {
-				took = slow
+				took = slowDuration
 			}
 			r.Started(now, Started{ID: id, Attempt: 1, Server: rec.lastServer(), Elapsed: 50 * ms})
 			open = append(open, answer{id, rec.lastServer(), now + took})
 			id++
 			open = slices.DeleteFunc(open, func(a answer) bool {
 				if a.ends <= now {
-					r.Outcome(now, Outcome{ID: a.id, Attempt: 1, Server: a.at, Status: Served, Elapsed: took, Final: true})
+					r.Outcome(now, Outcome{ID: a.id, Attempt: 1, Server: a.serverID, Status: Served, Elapsed: took, Final: true})
 				}
 				return a.ends <= now
 			})
@@ -801,8 +801,8 @@
 	for id := range r.requests {
 		r.Outcome(now, Outcome{ID: id, Attempt: 1, Server: r.requests[id].attempts[1].server.ID, Status: Reset, Final: true})
 	}
-	if s := r.servers["w01"]; math.Abs(s.streams.inverse) > 1e-6 {
-		t.Errorf("sum over running streams is %v after the last has ended", s.streams.inverse)
+	if s := r.servers["w01"]; math.Abs(s.answerTimes.inverse) > 1e-6 {
+		t.Errorf("sum over running answers is %v after the last has ended", s.answerTimes.inverse)
 	}
 }
 
@@ -1122,17 +1122,17 @@
 	cfg := testSettings()
 	cfg.MaxRetryAfter = 500 * time.Millisecond
 	for _, c := range []struct {
-		wait        float64
-		least, most time.Duration
+		wait               float64
+		minDelay, maxDelay time.Duration
 	}{{0.8, minRetryAfter, 200 * time.Millisecond}, {9, 250 * time.Millisecond, 250 * time.Millisecond}} {
 		r, rec := newTestRouter(t, cfg, testServers())
 		for _, s := range r.listed {
 			s.wait.add(c.wait, time.Second)
-			s.wait.n = 1000
+			s.wait.valueCount = 1000
 			s.inFlight = 1
 		}
 		r.Request(time.Second, testRequest(1))
-		if !rec.called("refuse 1") || rec.retryAfter < c.least || rec.retryAfter > c.most {
+		if !rec.called("refuse 1") || rec.retryAfter < c.minDelay || rec.retryAfter > c.maxDelay {
 			t.Errorf("wait %v s: %v, retry delay %v", c.wait, rec.calls, rec.retryAfter)
 		}
 	}
@@ -1146,7 +1146,7 @@
 	r.Started(100*ms, Started{ID: 1, Attempt: 1, Server: rec.lastServer(), Elapsed: 50 * ms})
 	before := r.servers[rec.lastServer()].wait
 	r.Outcome(time.Minute, Outcome{ID: 1, Attempt: 1, Server: rec.lastServer(), Status: Cancelled, Elapsed: time.Minute, Final: true})
-	if before.n == 0 || r.servers[rec.lastServer()].wait != before {
+	if before.valueCount == 0 || r.servers[rec.lastServer()].wait != before {
 		t.Errorf("wait %+v, want %+v as before", r.servers[rec.lastServer()].wait, before)
 	}
 }
@@ -1154,7 +1154,7 @@
 // An unsafe request cannot be repeated, so it waits for a far transfer until its deadline. A safe one is cut off early
 // and tried elsewhere.
 func TestUnsafeRequestWaitsForFarTransfer(t *testing.T) {
-	for effect, least := range map[Effect]time.Duration{Safe: 0, Unsafe: 6 * time.Second} {
+	for effect, minTimeout := range map[Effect]time.Duration{Safe: 0, Unsafe: 6 * time.Second} {
 		cfg, servers := testSettings(), testServers()
 		cfg.Classes[0].Effect = effect
 		for i := range servers { // writers are in another cell than readers
@@ -1163,7 +1163,7 @@
 		r, rec := newTestRouter(t, cfg, servers)
 		r.Request(0, testRequest(1))
 		r.Outcome(50*ms, Outcome{ID: 1, Server: rec.lastServer(), Status: Read, Elapsed: 50 * ms, CachedTokens: 3000})
-		if far := r.ttftTarget(&request{class: &cfg.Classes[0], Request: testRequest(1)}) / 2; effect == Safe && rec.lastTimeout > far || rec.lastTimeout < least {
+		if far := r.ttftTarget(&request{class: &cfg.Classes[0], Request: testRequest(1)}) / 2; effect == Safe && rec.lastTimeout > far || rec.lastTimeout < minTimeout {
 			t.Errorf("effect %d: timeout %v", effect, rec.lastTimeout)
 		}
 	}
@@ -1200,8 +1200,8 @@
 	for i := range uint64(1000) {
 		p.record(&Request{Session: i + 1, PromptLength: 100}, time.Duration(i)*time.Second)
 	}
-	if most := int(prefixTTL/time.Second) + 1; p.order.Len() > most || len(p.entries) != p.order.Len() {
-		t.Errorf("%d and %d entries kept, want at most %d", p.order.Len(), len(p.entries), most)
+	if maxEntries := int(prefixTTL/time.Second) + 1; p.order.Len() > maxEntries || len(p.entries) != p.order.Len() {
+		t.Errorf("%d and %d entries kept, want at most %d", p.order.Len(), len(p.entries), maxEntries)
 	}
 }
 
@@ -1422,17 +1422,17 @@
 		}
 		for id := range RequestID(40) {
 			q.ID, q.Session = id, uint64(cfg.RouterIndex)<<8|uint64(id)
-			p := &request{Request: q, class: &cfg.Classes[0], home: q.Prefix,
+			p := &request{Request: q, class: &cfg.Classes[0], homePrefix: q.Prefix,
 				prefixShare: r.prefixWork.workShare(q.Prefix, float64(q.PromptLength+q.MaxOutput/2), now)}
 			sessions++
 			if r.pickReader(p) != s {
 				continue
 			}
 			used++
-			if s.queue, s.loadAt = 4, now; r.pickReader(p) == s {
+			if s.queuedRequests, s.loadAt = 4, now; r.pickReader(p) == s {
 				t.Fatal("cold server picked though it has reported a queue")
 			}
-			s.queue, s.loadAt = 0, 0
+			s.queuedRequests, s.loadAt = 0, 0
 			if p.attempts = []attempt{{server: s}}; r.pickReader(p) == s {
 				t.Fatal("cold server picked twice for one request")
 			}
@@ -1564,7 +1564,7 @@
 	for i := range 30 {
 		all = append(all, Server{ID: fmt.Sprintf("r%d", i), Kind: 0}, Server{ID: fmt.Sprintf("w%d", i), Kind: 1})
 	}
-	submitAll := func(prefixLen, prompt int) (most int, agree bool) {
+	submitAll := func(prefixLen, prompt int) (maxReads int, agree bool) {
 		readCounts, homes := map[string]int{}, map[uint64]string{}
 		agree = true
 		for cfg.RouterIndex = range 300 {
@@ -1584,15 +1584,15 @@
 			}
 		}
 		for _, n := range readCounts {
-			most = max(most, n)
+			maxReads = max(maxReads, n)
 		}
-		return most, agree
+		return maxReads, agree
 	}
 	const mean = 300 * 4 / 30
-	if most, agree := submitAll(500, 5000); most > 2*mean || !agree {
-		t.Errorf("%d of 1200 prompts that share a tenth at one reader, %d on average; all routers agree: %v", most, mean, agree)
+	if maxReads, agree := submitAll(500, 5000); maxReads > 2*mean || !agree {
+		t.Errorf("%d of 1200 prompts that share a tenth at one reader, %d on average; all routers agree: %v", maxReads, mean, agree)
 	}
-	if most, _ := submitAll(4500, 5000); most < 4*mean {
-		t.Errorf("only %d of 1200 prompts that share nine tenths at one reader: the prefix is not reused", most)
+	if maxReads, _ := submitAll(4500, 5000); maxReads < 4*mean {
+		t.Errorf("only %d of 1200 prompts that share nine tenths at one reader: the prefix is not reused", maxReads)
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -61,11 +61,11 @@
 }
 
 // Servers passes a server list to the router.
-func (r *simRouter) Servers(now time.Duration, l ServerList) {
-	for _, s := range l.Servers {
+func (r *simRouter) Servers(now time.Duration, list ServerList) {
+	for _, s := range list.Servers {
 		r.knownStarts[s.ID] = s.StartedAt
 	}
-	r.Router.Servers(now, l)
+	r.Router.Servers(now, list)
 }
 
 const (
@@ -131,11 +131,11 @@
 
 // publishServers passes the current server list to each router, after a random delay up to maxDelay.
 func (sim *simulation) publishServers(maxDelay time.Duration) {
-	l := sim.serverList()
+	list := sim.serverList()
 	for _, r := range sim.routers {
 		sim.After(time.Duration(sim.rng.Int64N(int64(maxDelay))), func() {
 			if !r.stopped {
-				r.Servers(sim.Now, ServerList{Complete: true, Servers: l})
+				r.Servers(sim.Now, ServerList{Complete: true, Servers: list})
 			}
 		})
 	}
@@ -174,7 +174,7 @@
 }
 
 func (r *simRouter) Send(id RequestID, server string, timeout time.Duration) {
-	sim, n := r.sim, r.attempts[id]
+	sim, attempt := r.sim, r.attempts[id]
 	if sim.trace != nil {
 		sim.trace("%v %d sends %d to %s within %v\n", sim.Now, r.cfg.RouterIndex, id, server, timeout)
 	}
@@ -182,7 +182,7 @@
 	srv := sim.servers[server]
 	if srv == nil { // no longer there: the connection is refused
 		sim.After(ms, func() {
-			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: ConnectFailed, Elapsed: ms})
+			r.deliver(sim.Now, Outcome{ID: id, Attempt: attempt, Server: server, Status: ConnectFailed, Elapsed: ms})
 		})
 		return
 	}
@@ -197,7 +197,7 @@
 		append(srv.startKnown, r.knownStarts[server] == srv.StartedAt), append(srv.work, work)
 	if srv.silent {
 		sim.After(timeout, func() {
-			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: TimedOut, Elapsed: timeout})
+			r.deliver(sim.Now, Outcome{ID: id, Attempt: attempt, Server: server, Status: TimedOut, Elapsed: timeout})
 		})
 		return
 	}
@@ -212,7 +212,7 @@
 	}
 	if wait > timeout {
 		sim.After(timeout, func() {
-			r.deliver(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: TimedOut, Elapsed: timeout})
+			r.deliver(sim.Now, Outcome{ID: id, Attempt: attempt, Server: server, Status: TimedOut, Elapsed: timeout})
 		})
 		return
 	}
@@ -221,7 +221,7 @@
 			return
 		}
 		if sim.settings.Kinds[srv.Kind].Role == Reader {
-			r.Outcome(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: Read, Elapsed: sim.Now - began, CachedTokens: 2000})
+			r.Outcome(sim.Now, Outcome{ID: id, Attempt: attempt, Server: server, Status: Read, Elapsed: sim.Now - began, CachedTokens: 2000})
 			return
 		}
 		if r.open[id] {
@@ -229,9 +229,9 @@
 			if sim.onServed != nil {
 				sim.onServed(id)
 			}
-			r.Started(sim.Now, Started{ID: id, Attempt: n, Server: server, Elapsed: sim.Now - began})
+			r.Started(sim.Now, Started{ID: id, Attempt: attempt, Server: server, Elapsed: sim.Now - began})
 		}
-		r.Outcome(sim.Now, Outcome{ID: id, Attempt: n, Server: server, Status: Served, Final: true, Elapsed: sim.Now - began})
+		r.Outcome(sim.Now, Outcome{ID: id, Attempt: attempt, Server: server, Status: Served, Final: true, Elapsed: sim.Now - began})
 	})
 }
 
@@ -258,10 +258,10 @@
 }
 
 // Cancel ends attempts at silent servers only; others run to their end.
-func (r *simRouter) Cancel(id RequestID, n int) {
+func (r *simRouter) Cancel(id RequestID, attempt int) {
 	p := r.Router.requests[id]
-	if srv := r.sim.servers[p.attempts[n].server.ID]; srv != nil && srv.silent {
-		o := Outcome{ID: id, Attempt: n, Server: srv.ID, Status: Cancelled, Elapsed: r.sim.Now - p.attempts[n].sentAt}
+	if srv := r.sim.servers[p.attempts[attempt].server.ID]; srv != nil && srv.silent {
+		o := Outcome{ID: id, Attempt: attempt, Server: srv.ID, Status: Cancelled, Elapsed: r.sim.Now - p.attempts[attempt].sentAt}
 		r.sim.After(0, func() { r.deliver(r.sim.Now, o) })
 	}
 }
--- a/decide/learned.go
+++ b/decide/learned.go
@@ -34,7 +34,7 @@
 }
 
 func (m mean) snapshot(now time.Duration) [3]float64 {
-	return [3]float64{m.value, m.n, (now - m.at).Seconds()}
+	return [3]float64{m.value, m.valueCount, (now - m.at).Seconds()}
 }
 
 func (c rate) snapshot(now time.Duration) [3]float64 {
@@ -42,7 +42,7 @@
 }
 
 func (m *mean) restore(v [3]float64, now time.Duration) {
-	m.value, m.n, m.at = v[0], min(v[1], 1/latestWaitWeight), now-seconds(v[2])
+	m.value, m.valueCount, m.at = v[0], min(v[1], 1/latestWaitWeight), now-seconds(v[2])
 }
 
 func (c *rate) restore(v [3]float64, now time.Duration) { c.count, c.at = v[0], now-seconds(v[2]) }
@@ -57,7 +57,7 @@
 	}
 	estimates.AnswerTimes = make(map[string][3]float64)
 	for _, s := range r.listed {
-		if spent, done := s.streams.sum(now); spent > 0 {
+		if spent, done := s.answerTimes.sum(now); spent > 0 {
 			estimates.AnswerTimes[s.ID] = [3]float64{spent, done, 0}
 		}
 	}
@@ -92,8 +92,8 @@
 	}
 	for id, v := range estimates.AnswerTimes {
 		if s := r.servers[id]; s != nil {
-			s.streams.spent.restore([3]float64{v[0], 0, v[2]}, now)
-			s.streams.done.restore([3]float64{v[1], 0, v[2]}, now)
+			s.answerTimes.spent.restore([3]float64{v[0], 0, v[2]}, now)
+			s.answerTimes.done.restore([3]float64{v[1], 0, v[2]}, now)
 		}
 	}
 	r.loadVersion++
--- a/decide/lookup.go
+++ b/decide/lookup.go
@@ -10,20 +10,20 @@
 // location is the cell and zone of a server.
 type location struct{ cell, zone int }
 
-// scratch is a list of servers whose memory is reused. Except for readers, whose order does not matter because they
-// are ranked, the servers are in the order of the index.
-type scratch []*server
+// serverBuffer is a list of servers whose memory is reused. Except for readers, whose order does not matter because
+// they are ranked, the servers are in the order of the index.
+type serverBuffer []*server
 
 // keep removes the servers for which pred is false.
-func (l *scratch) keep(pred func(*server) bool) { l.filter(*l, pred) }
+func (l *serverBuffer) keep(pred func(*server) bool) { l.filter(*l, pred) }
 
 // find returns the position of s in a list in the order of the index, or where it would be inserted.
-func (l *scratch) find(s *server) (position int, found bool) {
+func (l *serverBuffer) find(s *server) (position int, found bool) {
 	return slices.BinarySearchFunc(*l, s, func(a, b *server) int { return a.position - b.position })
 }
 
 // add inserts a server that is not in the list.
-func (l *scratch) add(s *server) {
+func (l *serverBuffer) add(s *server) {
 	if s.role == Reader {
 		*l = append(*l, s)
 		return
@@ -33,7 +33,7 @@
 }
 
 // remove removes a server if it is in the list.
-func (l *scratch) remove(s *server) {
+func (l *serverBuffer) remove(s *server) {
 	if s.role == Reader {
 		*l = slices.DeleteFunc(*l, func(o *server) bool { return o == s })
 	} else if position, found := l.find(s); found {
@@ -42,9 +42,9 @@
 }
 
 // filter replaces the list by the given servers for which keep is true.
-func (l *scratch) filter(of []*server, keep func(*server) bool) []*server {
+func (l *serverBuffer) filter(servers []*server, keep func(*server) bool) []*server {
 	*l = (*l)[:0]
-	for _, s := range of {
+	for _, s := range servers {
 		if keep(s) {
 			*l = append(*l, s)
 		}
@@ -54,26 +54,26 @@
 
 // sumAnswerTimes recomputes the answer durations by role from those of the ready servers.
 func (r *Router) sumAnswerTimes() {
-	for role := range r.answers {
-		r.answers[role] = newStreams()
+	for role := range r.answerTimesByRole {
+		r.answerTimesByRole[role] = newAnswerTimes()
 		for _, s := range r.index.Ready(role) {
-			r.answers[role].addAll(&s.streams, r.now)
+			r.answerTimesByRole[role].addAll(&s.answerTimes, r.now)
 		}
 	}
 }
 
 // recordAnswerStart and recordAnswerEnd record an answer with the given hint at s.
 func (r *Router) recordAnswerStart(s *server, hint time.Duration) {
-	s.streams.begin(r.now, hint)
+	s.answerTimes.begin(r.now, hint)
 	if s.State == Ready {
-		r.answers[s.role].begin(r.now, hint)
+		r.answerTimesByRole[s.role].begin(r.now, hint)
 	}
 }
 
 func (r *Router) recordAnswerEnd(s *server, firstTokenAt, hint time.Duration) {
-	s.streams.end(firstTokenAt, hint, r.now)
+	s.answerTimes.end(firstTokenAt, hint, r.now)
 	if s.State == Ready {
-		r.answers[s.role].end(firstTokenAt, hint, r.now)
+		r.answerTimesByRole[s.role].end(firstTokenAt, hint, r.now)
 	}
 }
 
--- a/decide/prefixes.go
+++ b/decide/prefixes.go
@@ -38,22 +38,23 @@
 	return prefixes{serverID: serverID, entries: make(map[prefixKey]*list.Element), order: list.New()}
 }
 
-// match returns the length of the longest prefix of q that the reader has probably cached, and when it was last sent.
+// match returns the length in tokens of the longest prefix of q that the reader has probably cached, and when it was
+// last sent.
 // The reader's own report, if there is one, overrides the record.
-func (t *prefixes) match(q *Request, now time.Duration) (tokens int, since time.Duration) {
-	if cached, reported := q.CachedTokens[t.serverID]; reported {
+func (p *prefixes) match(q *Request, now time.Duration) (tokens int, sentAt time.Duration) {
+	if cached, reported := q.CachedTokens[p.serverID]; reported {
 		return cached, now
 	}
 	for _, k := range []prefixKey{{false, q.Prefix}, {true, q.Session}} {
-		e := t.entries[k]
+		e := p.entries[k]
 		if k.key == 0 || e == nil {
 			continue
 		}
 		if x := e.Value.(*prefix); now-x.at <= prefixTTL && x.tokens > tokens {
-			tokens, since = x.tokens, x.at
+			tokens, sentAt = x.tokens, x.at
 		}
 	}
-	return tokens, since
+	return tokens, sentAt
 }
 
 // homeMatch returns how much of q the first server in rendezvous order is taken to have cached: the shared prefix,
@@ -66,43 +67,43 @@
 }
 
 // dropOldest removes the prefix that was sent longest ago.
-func (t *prefixes) dropOldest() {
-	key := t.order.Remove(t.order.Back()).(*prefix).key
-	delete(t.entries, key)
-	if t.index != nil {
-		t.index.Remove(key, t.reader)
+func (p *prefixes) dropOldest() {
+	key := p.order.Remove(p.order.Back()).(*prefix).key
+	delete(p.entries, key)
+	if p.index != nil {
+		p.index.Remove(key, p.reader)
 	}
 }
 
 // reset removes all prefixes.
-func (t *prefixes) reset() {
-	for len(t.entries) > 0 {
-		t.dropOldest()
+func (p *prefixes) reset() {
+	for len(p.entries) > 0 {
+		p.dropOldest()
 	}
 }
 
 // record adds the shared prefix and the session of a request sent to the reader.
-func (t *prefixes) record(q *Request, now time.Duration) {
-	t.put(prefixKey{false, q.Prefix}, q.PrefixLength, now)
-	t.put(prefixKey{true, q.Session}, q.PromptLength, now)
+func (p *prefixes) record(q *Request, now time.Duration) {
+	p.put(prefixKey{false, q.Prefix}, q.PrefixLength, now)
+	p.put(prefixKey{true, q.Session}, q.PromptLength, now)
 }
 
-// put adds or renews an entry and drops those that are too old or too many.
-func (t *prefixes) put(k prefixKey, tokens int, now time.Duration) {
+// put adds or renews an entry. Adding drops the oldest ones beyond prefixTTL or maxPrefixes.
+func (p *prefixes) put(k prefixKey, tokens int, now time.Duration) {
 	if k.key == 0 {
 		return
 	}
-	if e := t.entries[k]; e != nil {
+	if e := p.entries[k]; e != nil {
 		*e.Value.(*prefix) = prefix{k, tokens, now}
-		t.order.MoveToFront(e)
+		p.order.MoveToFront(e)
 		return
 	}
-	t.entries[k] = t.order.PushFront(&prefix{k, tokens, now})
-	if t.index != nil {
-		t.index.Add(k, t.reader)
+	p.entries[k] = p.order.PushFront(&prefix{k, tokens, now})
+	if p.index != nil {
+		p.index.Add(k, p.reader)
 	}
-	for t.order.Len() > maxPrefixes || now-t.order.Back().Value.(*prefix).at > prefixTTL {
-		t.dropOldest()
+	for p.order.Len() > maxPrefixes || now-p.order.Back().Value.(*prefix).at > prefixTTL {
+		p.dropOldest()
 	}
 }
 
@@ -124,12 +125,12 @@
 // prefixes first, so everything sent before the lost one counts as lost too, unless it is younger than minLostAge: a
 // single loss may concern that prefix alone. This keeps sessions from being pinned to a reader that has lost its
 // cache in a flush, in a restart that is not yet listed, or for lack of memory.
-func (t *prefixes) reconcile(a *attempt, cached int, now time.Duration) {
-	threshold := min(a.since, now-minLostAge)
-	for float64(cached) < minCachedShare*float64(a.match) && t.order.Len() > 0 {
-		if t.order.Back().Value.(*prefix).at > threshold {
+func (p *prefixes) reconcile(a *attempt, cached int, now time.Duration) {
+	threshold := min(a.matchSentAt, now-minLostAge)
+	for float64(cached) < minCachedShare*float64(a.match) && p.order.Len() > 0 {
+		if p.order.Back().Value.(*prefix).at > threshold {
 			return
 		}
-		t.dropOldest()
+		p.dropOldest()
 	}
 }
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -7,11 +7,11 @@
 // Selection of the servers to probe for their load, and evaluation of their answers or silence.
 
 // probeCandidates probes the selected reader and the runner-up, once per request, and schedules another look
-// at p for when the answers are due. It reports whether it did so, which depends on servers reporting their
-// queues to probes and on this router having no recent observations of its own. It detects home servers that
-// many routers overload, each sending too rarely to notice, and servers that hang: one that leaves a probe
-// unanswered while another answers is passed over by admits. The price is two probes and some milliseconds,
-// which matters where TTFT targets are short.
+// at p for when the answers are due. It reports whether it did so: only if servers report their load when
+// probed and this router has no recent observations of the selected reader but silence. It detects home
+// servers that many routers overload, each sending too rarely to notice, and servers that hang: one that
+// leaves a probe unanswered while another answers is passed over by admits. The price is two probes and some
+// milliseconds, which matters where TTFT targets are short.
 func (r *Router) probeCandidates(p *request, s *server) bool {
 	if !r.cfg.CanProbe || p.probed || !s.waitFromSilence && s.wait.weight(r.now, rateSpan) >= 1 {
 		return false
@@ -75,7 +75,7 @@
 	if unanswered && r.probeAnsweredAt[s.role] >= s.probedAt {
 		return true
 	}
-	return r.loadKnown(s) && (s.queue >= 1 || s.load > maxWriterMemoryUse)
+	return r.loadKnown(s) && (s.queuedRequests >= 1 || s.memoryUse > maxWriterMemoryUse)
 }
 
 // probeStaleWriters probes the nearest writers that have not been heard recently, while p is being read. It
--- a/decide/settings_test.go
+++ b/decide/settings_test.go
@@ -117,8 +117,8 @@
 		now += 600 * ms
 	}
 	r.Shutdown(now)
-	if len(r.requests) > 0 || r.requestTokens != 0 || r.writeTokens != [Mixed + 1]int{} || r.streams != [Mixed + 1]int{} {
-		t.Errorf("%d open requests, %d request tokens, %v write tokens, %v streams left", len(r.requests), r.requestTokens, r.writeTokens, r.streams)
+	if len(r.requests) > 0 || r.requestTokens != 0 || r.writeTokens != [Mixed + 1]int{} || r.writesInFlight != [Mixed + 1]int{} {
+		t.Errorf("%d open requests, %d request tokens, %v write tokens, %v writes in flight left", len(r.requests), r.requestTokens, r.writeTokens, r.writesInFlight)
 	}
 	answered := rec.countCalls("refuse ") + rec.countCalls("fail ")
 	if served := 400 - answered; served < 300 {
--- a/decide/state.go
+++ b/decide/state.go
@@ -15,44 +15,44 @@
 // Router makes the decisions of one router process. Its methods take the current time of that process's clock. A Router
 // is not safe for concurrent use.
 type Router struct {
-	cfg             Settings
-	exec            Executor
-	rng             *rand.Rand
-	now             time.Duration // clock time of the current event
-	servers         map[string]*server
-	listed          []*server                   // by ID
-	index           *serverindex.Index[*server] // ready servers
-	prefixes        prefixIndex
-	nearestWriters  map[location][]*server // by location of the reader, filled on demand after each list change
-	loadVersion     int                    // incremented whenever accepted or sends change
-	requests        map[RequestID]*request
-	requestTokens   int    // expected tokens of all open requests
-	demand          []rate // requests by tenant
-	kinds           []kind
-	cells           map[int]*cell
-	zones           map[int]*zone
-	prefixWork      workByPrefix
-	sends           [Mixed + 1]rate          // attempts by role, while a server of the role was warm
-	reads           rate                     // completed reads
-	readerCount     float64                  // ready readers
-	answerMemory    [Mixed + 1]float64       // memory of the ready servers for answers by role, in tokens
-	writeTokens     [Mixed + 1]int           // expected tokens of own writes in flight by role
-	streams         [Mixed + 1]int           // own writes in flight by role
-	answers         [Mixed + 1]streams       // answer durations of all ready servers by role
-	secondsPerToken float64                  // unhindered read time per token that is not cached
-	nearTransfers   mean                     // time to first token where the writer is in the reader's cell
-	transfers       mean                     // over all transfers
-	farTransfers    mean                     // where it is not
-	probeAnsweredAt [Mixed + 1]time.Duration // latest answer to a probe by role
-	lastSilenceAt   time.Duration            // last time that a server was found silent, 0 = never
-	firstListAt     time.Duration            // arrival of the first server list
-	maxValue        float64                  // highest Value of a class
+	cfg               Settings
+	exec              Executor
+	rng               *rand.Rand
+	now               time.Duration // clock time of the current event
+	servers           map[string]*server
+	listed            []*server                   // by ID
+	index             *serverindex.Index[*server] // ready servers
+	prefixes          prefixIndex
+	nearestWriters    map[location][]*server // by location of the reader, filled on demand after each list change
+	loadVersion       int                    // incremented whenever accepted or sends change
+	requests          map[RequestID]*request
+	requestTokens     int    // expected tokens of all open requests
+	demand            []rate // requests by tenant
+	kinds             []kind
+	cells             map[int]*cell
+	zones             map[int]*zone
+	prefixWork        workByPrefix
+	sends             [Mixed + 1]rate          // attempts by role, while a server of the role was warm
+	reads             rate                     // completed reads
+	readerCount       float64                  // ready readers
+	answerMemory      [Mixed + 1]float64       // memory of the ready servers for answers by role, in tokens
+	writeTokens       [Mixed + 1]int           // expected tokens of own writes in flight by role
+	writesInFlight    [Mixed + 1]int           // number of these writes
+	answerTimesByRole [Mixed + 1]answerTimes   // answer durations of all ready servers by role
+	secondsPerToken   float64                  // unhindered read time per token that is not cached
+	nearTransfers     mean                     // time to first token of writes in the reader's cell
+	transfers         mean                     // the same of all writes; those of crowded cells weigh less
+	farTransfers      mean                     // the same of writes outside the reader's cell
+	probeAnsweredAt   [Mixed + 1]time.Duration // latest answer to a probe by role
+	lastSilenceAt     time.Duration            // last time that a server was found silent, 0 = never
+	firstListAt       time.Duration            // arrival of the first server list
+	maxValue          float64                  // highest Value of a class
 
 	flagged [Mixed + 1][]*server // see flaggedServers
 
 	// Buffers that are reused by each choice.
-	eligible, healthy [Mixed + 1]scratch // servers of a role that a request may go to, and the healthy ones of those
-	nearby            scratch            // writers that are near enough and have room
+	eligible, healthy [Mixed + 1]serverBuffer // servers of a role that a request may go to, and the healthy ones of those
+	nearby            serverBuffer            // writers that are near enough and have room
 }
 
 // newRouter returns a Router that has not seen any event.
@@ -114,20 +114,20 @@
 	Server
 
 	// The fields that every choice reads for every server come first, so that they share cache lines.
-	hash         uint64        // of its ID
-	hashOrder    uint64        // rendezvous hash for the request being ranked
-	match        int           // cached prompt tokens of the request being ranked
-	inFlight     int           // own attempts without an outcome or a first token
-	warmAt       time.Duration // warm from this time on
-	probedAt     time.Duration
-	loadAt       time.Duration // arrival of queue and load, 0 = never
-	load         float64       // share of its memory in use
-	queue        float64       // queued requests
-	position     int           // position in the index while it is ready
-	tokens       int           // expected tokens of own writes in flight
-	suspect      bool
-	isFlagged    bool                     // listed in Router.flagged
-	fullBackoffs map[classTenant]*backoff // after rejections, by class and tenant
+	hash           uint64        // of its ID
+	hashOrder      uint64        // rendezvous hash for the request being ranked
+	match          int           // cached prompt tokens of the request being ranked
+	inFlight       int           // own attempts without an outcome or a first token
+	warmAt         time.Duration // warm from this time on
+	probedAt       time.Duration
+	loadAt         time.Duration // arrival of memoryUse and queuedRequests, 0 = never
+	memoryUse      float64       // share of its memory in use
+	queuedRequests float64
+	position       int // position in the index while it is ready
+	tokens         int // expected tokens of own writes in flight
+	suspect        bool
+	isFlagged      bool                     // listed in Router.flagged
+	fullBackoffs   map[classTenant]*backoff // after rejections, by class and tenant
 
 	role              Role
 	prefixes          prefixes
@@ -140,7 +140,7 @@
 	failures          rate          // failed attempts and attempts without any sign of life
 	wait              mean          // time to the end of a read or to the first token
 	waitFromSilence   bool          // wait includes attempts without a sign of life: void once a probe is answered
-	streams           streams       // durations of its answers
+	answerTimes       answerTimes   // durations of its answers
 	aliveAt           time.Duration // last sign of life in response to an attempt
 	heardAt           time.Duration // last response of any sort, including to probes
 	lastSuccessSentAt time.Duration // send time of the most recently sent successful attempt
@@ -153,17 +153,17 @@
 // backoff is a period during which a server or zone is not used.
 type backoff struct{ length, until time.Duration }
 
-// extend starts a new period, twice as long as the previous one and between least and most.
-func (t *backoff) extend(now, least, most time.Duration) {
-	t.length = min(max(least, 2*t.length), most)
-	t.until = now + t.length
+// extend starts a new period, twice as long as the previous one, but between shortest and longest.
+func (b *backoff) extend(now, shortest, longest time.Duration) {
+	b.length = min(max(shortest, 2*b.length), longest)
+	b.until = now + b.length
 }
 
 // request is a client request, kept until its last attempt has ended.
 type request struct {
 	Request
 	class          *Class
-	home           uint64  // the prefix that its reader is hashed from, 0 = hashed from the session
+	homePrefix     uint64  // the prefix that its reader is hashed from, 0 = hashed from the session
 	coldKey        uint64  // decides which cold servers are open to it
 	coldQuantile   float64 // its rank from 0 upwards; cold servers are open to the lowest ranks
 	prefixShare    float64 // estimated share of its prefix in the work of all requests
@@ -197,9 +197,9 @@
 	inFlight     bool
 	streaming    bool          // its answer has begun
 	verified     bool          // its connection was alive right before the first byte
-	firstTokenAt time.Duration // valid while streaming
+	firstTokenAt time.Duration // set once streaming
 	match        int           // prompt tokens recorded as cached at its server ...
-	since        time.Duration // ... by a send at this time
+	matchSentAt  time.Duration // ... by a send at this time
 }
 
 // fraction maps a hash to a number in [0, 1).
@@ -254,6 +254,7 @@
 
 func (p *request) classTenant() classTenant { return classTenant{p.Class, p.Tenant} }
 
+// seconds converts a number of seconds to a Duration.
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
 // rebuildIndex recomputes everything that is derived from the server list.
@@ -308,6 +309,7 @@
 	}
 }
 
+// cell returns the record of the server's cell, which it creates if needed.
 func (r *Router) cell(s *server) *cell {
 	if r.cells[s.Cell] == nil {
 		r.cells[s.Cell] = &cell{reads: rate{span: loadSpan}}
@@ -315,6 +317,7 @@
 	return r.cells[s.Cell]
 }
 
+// zone returns the record of a zone, which it creates if needed.
 func (r *Router) zone(id int) *zone {
 	if r.zones[id] == nil {
 		r.zones[id] = &zone{}
@@ -332,12 +335,12 @@
 	}
 }
 
-// addInFlight adds tokens and streams to the own writes in flight at s; negative numbers remove them.
-func (r *Router) addInFlight(s *server, tokens, streams int) {
+// addInFlight adds writes with their expected tokens to the own writes in flight at s; negative numbers remove them.
+func (r *Router) addInFlight(s *server, tokens, writes int) {
 	s.tokens += tokens
 	r.flag(s)
 	r.writeTokens[s.role] += tokens
-	r.streams[s.role] += streams
+	r.writesInFlight[s.role] += writes
 }
 
 // memory returns a server's memory for answers in tokens, practically unlimited where it is unknown.
@@ -368,7 +371,7 @@
 
 // meanAnswerRatio returns the mean duration of answers at the ready servers of a role, relative to their hints.
 func (r *Router) meanAnswerRatio(role Role) float64 {
-	spent, done := r.answers[role].sum(r.now)
+	spent, done := r.answerTimesByRole[role].sum(r.now)
 	return spent / max(done, 1)
 }
 
@@ -406,10 +409,10 @@
 	if s.StartedAt != e.StartedAt || s.ID == "" { // a new process: discard what was learned about the old one
 		s.prefixes.reset()
 		*s = server{prefixes: newPrefixes(e.ID), inFlight: s.inFlight, tokens: s.tokens, coldSends: s.coldSends,
-			demand: s.demand, streams: s.streams}
+			demand: s.demand, answerTimes: s.answerTimes}
 		s.prefixes.reader, s.prefixes.index = s, &r.prefixes
 		s.demand.span, s.successes.span, s.failures.span = loadSpan, rateSpan, rateSpan
-		s.streams.spent.span, s.streams.done.span = answerTimeSpan, answerTimeSpan
+		s.answerTimes.spent.span, s.answerTimes.done.span = answerTimeSpan, answerTimeSpan
 		for i := range len(e.ID) {
 			s.hash = mix(s.hash*31 + uint64(e.ID[i]))
 		}
@@ -446,7 +449,7 @@
 		s.probedAt = 0 // answered, though without a load
 	}
 	if s != nil && probe.QueuedRequests >= 0 {
-		s.queue, s.load, s.loadAt = probe.QueuedRequests, probe.MemoryUse, now
+		s.queuedRequests, s.memoryUse, s.loadAt = probe.QueuedRequests, probe.MemoryUse, now
 	}
 }
 
