--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -165,7 +165,7 @@
 		requests: make(map[decide.RequestID]*activeRequest), claimedIDs: make(map[string]bool)}
 	c.Guard.Log = log
 	settings.PinSlack = writeArrivalSlack
-	r, err := decide.New(settings, seed, (*actions)(c))
+	r, err := decide.New(settings, seed, (*executor)(c))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/core/executor.go
+++ b/internal/core/executor.go
@@ -1,6 +1,6 @@
 package core
 
-// This file implements decide.Front: it hands the module's commands to the goroutines of the requests they are for.
+// This file implements decide.Executor: it hands the module's commands to the goroutines of the requests they are for.
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 // probeTimeout bounds one load probe of a worker.
 const probeTimeout = 250 * time.Millisecond
 
-// actions is the decide.Front and decide.Explainer through which the decision module acts. Its methods are called with
-// Core.mu held, while the module handles an event, so they must not block.
-type actions Core
+// executor is the implementation of decide.Executor and decide.Explainer through which the decision module acts. Its
+// methods are called with Core.mu held, while the module handles an event, so they must not block.
+type executor Core
 
 // enqueue queues a command for a request without blocking. A command for a request that has ended is dropped, and so is
 // one that finds the queue full, which is logged.
-func (x *actions) enqueue(id decide.RequestID, cmd command) {
+func (x *executor) enqueue(id decide.RequestID, cmd command) {
 	req := x.requests[id]
 	if req == nil {
 		return
@@ -31,7 +31,7 @@
 }
 
 // settle fixes the final answer of a request, unless it is fixed already, and has the request deliver it.
-func (x *actions) settle(id decide.RequestID, v Verdict, retryAfter time.Duration) {
+func (x *executor) settle(id decide.RequestID, v Verdict, retryAfter time.Duration) {
 	if req := x.requests[id]; req != nil && req.verdict == Pending {
 		req.verdict, req.retryAfter = v, retryAfter
 		x.enqueue(id, command{kind: settle})
@@ -39,7 +39,7 @@
 }
 
 // Explain implements decide.Explainer.
-func (x *actions) Explain(id decide.RequestID, reason decide.Reason) {
+func (x *executor) Explain(id decide.RequestID, reason decide.Reason) {
 	if req := x.requests[id]; req != nil {
 		req.reason = string(reason)
 	}
@@ -52,37 +52,37 @@
 	return req.reason
 }
 
-// Send implements decide.Front.
-func (x *actions) Send(id decide.RequestID, server string, timeout time.Duration) {
+// Send implements decide.Executor.
+func (x *executor) Send(id decide.RequestID, server string, timeout time.Duration) {
 	x.enqueue(id, command{kind: send, worker: server, timeout: timeout})
 }
 
-// Cancel implements decide.Front.
-func (x *actions) Cancel(id decide.RequestID, attempt int) {
+// Cancel implements decide.Executor.
+func (x *executor) Cancel(id decide.RequestID, attempt int) {
 	x.enqueue(id, command{kind: cancel, attemptNumber: attempt})
 }
 
-// Refuse implements decide.Front.
-func (x *actions) Refuse(id decide.RequestID, retryAfter time.Duration) {
+// Refuse implements decide.Executor.
+func (x *executor) Refuse(id decide.RequestID, retryAfter time.Duration) {
 	x.settle(id, Refused, retryAfter)
 }
 
-// Fail implements decide.Front.
-func (x *actions) Fail(id decide.RequestID) { x.settle(id, Failed, 0) }
+// Fail implements decide.Executor.
+func (x *executor) Fail(id decide.RequestID) { x.settle(id, Failed, 0) }
 
-// Release implements decide.Front.
-func (x *actions) Release(id decide.RequestID) { x.enqueue(id, command{kind: release}) }
+// Release implements decide.Executor.
+func (x *executor) Release(id decide.RequestID) { x.enqueue(id, command{kind: release}) }
 
-// SetTimer implements decide.Front.
-func (x *actions) SetTimer(token uint64, at time.Duration) {
+// SetTimer implements decide.Executor.
+func (x *executor) SetTimer(token uint64, at time.Duration) {
 	c := (*Core)(x)
 	time.AfterFunc(at-c.clock(), func() {
 		c.dispatch(func(now time.Duration, r *decide.Router) { r.Timer(now, token) })
 	})
 }
 
-// Probe implements decide.Front. A failed probe is not reported to the module.
-func (x *actions) Probe(server string) {
+// Probe implements decide.Executor. A failed probe is not reported to the module.
+func (x *executor) Probe(server string) {
 	c, w := (*Core)(x), x.workers[server]
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), probeTimeout)
@@ -98,8 +98,8 @@
 	}()
 }
 
-// RequestServerList implements decide.Front. It does nothing, as discovery pushes the worker list.
-func (x *actions) RequestServerList(bool) {}
+// RequestServerList implements decide.Executor. It does nothing, as discovery pushes the worker list.
+func (x *executor) RequestServerList(bool) {}
 
 // statusName returns the name of a status for logs.
 func statusName(s decide.Status) string {
--- a/internal/httpfront/handover.go
+++ b/internal/httpfront/handover.go
@@ -56,8 +56,9 @@
 		eventScanner{namePrefix: h.Line, lineBytes: h.Length, validName: h.Fine, isComment: h.Note}, nil
 }
 
-// transfer sends a stream and its sockets to the process that listens at path, and returns once that process has accepted them.
-func transfer(path string, h streamPosition, client, worker int) error {
+// handOverStream sends a stream's position and its sockets to the process that listens at path, and returns once that process
+// has accepted them. The sockets stay open in this process.
+func handOverStream(path string, h streamPosition, client, worker int) error {
 	text, err := json.Marshal(h)
 	if err != nil {
 		return err
@@ -298,7 +299,7 @@
 			defer syscall.Close(worker)
 			position := streamPositionOf(s.chunk, s.events)
 			position.Behind = int(s.pipelined.Load())
-			err = transfer(path, position, client, worker)
+			err = handOverStream(path, position, client, worker)
 		}
 	}
 	if err != nil {
--- a/internal/httpfront/relay.go
+++ b/internal/httpfront/relay.go
@@ -53,7 +53,7 @@
 		if r.handedOver = true; n > 0 { // passed on first
 			return n, nil
 		}
-		if r.transfer() {
+		if r.handOver() {
 			r.onEnd(decide.Served) // complete as far as this process is concerned
 		}
 	}
@@ -82,9 +82,9 @@
 	return n, err
 }
 
-// transfer hands the stream to the process that takes over. If that fails the stream breaks, and its client requests
-// the rest.
-func (r *relay) transfer() bool {
+// handOver hands the stream over to the process that takes over, and reports whether that succeeded. If it failed the
+// stream breaks, and its client requests the rest.
+func (r *relay) handOver() bool {
 	s := r.Stream.(*stream)
 	defer syscall.Close(s.conn.handOverFD)
 	r.conn.socket.pause()
@@ -93,7 +93,7 @@
 		defer syscall.Close(client)
 		position := streamPositionOf(s.conn.chunks, s.events)
 		position.Behind = int(r.conn.pipelined.Load())
-		err = transfer(r.successorPath.get(), position, client, s.conn.handOverFD)
+		err = handOverStream(r.successorPath.get(), position, client, s.conn.handOverFD)
 	}
 	if err != nil {
 		r.log.Warn("a stream was not handed on", "err", err)
--- a/internal/scale/fleetsim/router.go
+++ b/internal/scale/fleetsim/router.go
@@ -6,7 +6,7 @@
 	"rowanyard/decide"
 )
 
-// router is one simulated router. It runs the real decision module and implements its network side, decide.Front.
+// router is one simulated router. It runs the real decision module and implements its network side, decide.Executor.
 type router struct {
 	fleet        *fleet
 	decide       *decide.Router
@@ -52,7 +52,7 @@
 	r.decide.Request(r.fleet.Now, q)
 }
 
-// Send implements decide.Front.
+// Send implements decide.Executor.
 func (r *router) Send(id decide.RequestID, to string, timeout time.Duration) {
 	f, q := r.fleet, r.open[id]
 	s := f.servers[to]
@@ -167,16 +167,16 @@
 	}
 }
 
-// Cancel implements decide.Front.
+// Cancel implements decide.Executor.
 func (r *router) Cancel(id decide.RequestID, n int) {
 	q := r.open[id]
 	r.fleet.After(0, func() { r.finish(q, n, decide.Outcome{Status: decide.Cancelled}) })
 }
 
-// Refuse implements decide.Front.
+// Refuse implements decide.Executor.
 func (r *router) Refuse(id decide.RequestID, _ time.Duration) { r.respond(id, &r.fleet.stats.refused) }
 
-// Fail implements decide.Front.
+// Fail implements decide.Executor.
 func (r *router) Fail(id decide.RequestID) { r.respond(id, &r.fleet.stats.failed) }
 
 // respond ends a request with a final response other than a stream, and cancels its attempts.
@@ -191,18 +191,18 @@
 	}
 }
 
-// Release implements decide.Front. In the simulation, held state occupies no memory at a reader.
+// Release implements decide.Executor. In the simulation, held state occupies no memory at a reader.
 func (r *router) Release(decide.RequestID) {}
 
-// RequestServerList implements decide.Front. It does nothing, as announceServers pushes all lists.
+// RequestServerList implements decide.Executor. It does nothing, as announceServers pushes all lists.
 func (r *router) RequestServerList(bool) {}
 
-// SetTimer implements decide.Front.
+// SetTimer implements decide.Executor.
 func (r *router) SetTimer(token uint64, at time.Duration) {
 	r.fleet.After(at-r.fleet.Now, func() { r.decide.Timer(r.fleet.Now, token) })
 }
 
-// Probe implements decide.Front.
+// Probe implements decide.Executor.
 func (r *router) Probe(to string) {
 	f, s := r.fleet, r.fleet.servers[to]
 	f.stats.probes++
