--- a/internal/core/activerequest.go
+++ b/internal/core/activerequest.go
@@ -398,7 +398,7 @@
 		req.heldSince, req.releasedAtLimit = time.Now(), false
 		req.successfulReads.Add(1)
 		if predicted, ok := req.CachedTokens[a.To.ID]; ok && req.core.CacheReports != nil {
-			req.core.CacheReports.Found(a.To.ID, predicted, e.CachedTokens)
+			req.core.CacheReports.RecordPrediction(a.To.ID, predicted, e.CachedTokens)
 		}
 	case e.NoState:
 		req.stateWaiting = false
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -110,17 +110,17 @@
 	log      *slog.Logger
 	start    time.Time
 
-	mu           sync.Mutex
-	router       *decide.Router
-	workers      map[string]Worker // the listed workers, by id
-	workerStarts *startTimes       // when they started
-	requests     map[decide.RequestID]*activeRequest
-	claimedIDs   map[string]bool      // ids that clients gave to their open requests
-	lastContact  map[string]time.Time // when listed workers last answered; no entry where the latest call went unanswered
-	banned       map[string]bool      // workers that operators have taken out of service, listed or not
-	lastID       decide.RequestID
-	running      inflight.Counter // requests, and releases that outlive their request
-	stopping     bool             // Shutdown was called: no new request is started
+	mu            sync.Mutex
+	router        *decide.Router
+	workers       map[string]Worker // the listed workers, by id
+	workerStarts  *startTimes       // when they started
+	requests      map[decide.RequestID]*activeRequest
+	claimedIDs    map[string]bool      // ids that clients gave to their open requests
+	lastContact   map[string]time.Time // when listed workers last answered; no entry where the latest call went unanswered
+	inMaintenance map[string]bool      // workers that operators have taken out of service, listed or not
+	lastID        decide.RequestID
+	running       inflight.Counter // requests, and releases that outlive their request
+	stopping      bool             // Shutdown was called: no new request is started
 
 	// Guard counts violated invariants, and steps that were stopped in time.
 	Guard invariant.Guard
@@ -134,11 +134,12 @@
 
 // CacheReports holds what workers report of the prompts in their caches.
 type CacheReports interface {
-	// Kept returns, by worker id, how many tokens of a prompt workers have cached. A worker that does not report is missing.
-	Kept(prompt []byte) map[string]int
-	// Found records how many tokens of a prompt a reader was predicted to have cached, according to Kept, and how many it
-	// found.
-	Found(worker string, predicted, kept int)
+	// CachedTokens returns, by worker id, how many tokens of a prompt workers have cached. A worker that does not report is
+	// missing.
+	CachedTokens(prompt []byte) map[string]int
+	// RecordPrediction records how many tokens of a prompt a worker was predicted to have cached, according to
+	// CachedTokens, and how many it found in its cache.
+	RecordPrediction(worker string, predicted, actual int)
 }
 
 // CachedTokens returns, by worker id, how many tokens of a prompt workers report as cached, nil where there are no reports.
@@ -146,7 +147,7 @@
 	if c.CacheReports == nil {
 		return nil
 	}
-	return c.CacheReports.Kept(prompt())
+	return c.CacheReports.CachedTokens(prompt())
 }
 
 // writeArrivalSlack is how long past the pin limit a state may stay held while its write has probably arrived. It is a part
--- a/internal/core/workerlist.go
+++ b/internal/core/workerlist.go
@@ -95,26 +95,26 @@
 // moduleView returns a listed worker as the module sees it: one that is out for maintenance is draining, whatever its
 // listed state.
 func (c *Core) moduleView(w Worker) decide.Server {
-	if c.banned[w.ID] && w.State == decide.Ready {
+	if c.inMaintenance[w.ID] && w.State == decide.Ready {
 		w.State = decide.Draining
 	}
 	return w.Server
 }
 
-// SetBanned replaces the set of workers that are out for maintenance. A worker may be in it without being listed, and is out
-// once it is listed.
-func (c *Core) SetBanned(ids []string) {
+// SetInMaintenance replaces the set of workers that are in maintenance, which get no new work. A worker may be in the set
+// without being listed; it gets no new work once it is listed either.
+func (c *Core) SetInMaintenance(ids []string) {
 	defer c.notifyAcceptingChange(c.accepting())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	old := c.banned
-	c.banned = make(map[string]bool)
+	old := c.inMaintenance
+	c.inMaintenance = make(map[string]bool)
 	for _, id := range ids {
-		c.banned[id] = true
+		c.inMaintenance[id] = true
 	}
 	var changed decide.ServerList
 	for id, w := range c.workers {
-		if old[id] != c.banned[id] {
+		if old[id] != c.inMaintenance[id] {
 			changed.Servers = append(changed.Servers, c.moduleView(w))
 		}
 	}
@@ -123,8 +123,8 @@
 	}
 }
 
-// Known reports whether a worker is listed.
-func (c *Core) Known(id string) bool {
+// HasWorker reports whether a worker is listed.
+func (c *Core) HasWorker(id string) bool {
 	_, ok := c.Worker(id)
 	return ok
 }
--- a/internal/httpfront/discovery_test.go
+++ b/internal/httpfront/discovery_test.go
@@ -152,7 +152,7 @@
 			case <-time.After(time.Minute):
 				t.Fatal("the next good list was not applied")
 			}
-			if !c.Known("c") || c.Known("a") {
+			if !c.HasWorker("c") || c.HasWorker("a") {
 				t.Error("the next good list is not the current one")
 			}
 			if text := log.String(); strings.Count(text, "watch ended") < 2 || !strings.Contains(text, "err=") {
@@ -186,7 +186,7 @@
 	if w, _ := c.Worker("b"); w.State != decide.Draining {
 		t.Error("b's drain was lost because of a's invalid entry")
 	}
-	if c.Known("c") || c.Known("x") {
+	if c.HasWorker("c") || c.HasWorker("x") {
 		t.Error("c, which was removed, or x, which was never valid, is known")
 	}
 }
@@ -224,7 +224,7 @@
 	if w, _ := c.Worker("s-00000003"); w.State != decide.Draining {
 		t.Error("the drain in an indented change was not applied")
 	}
-	if w, ok := c.Worker("s-00000000"); ok && w.State == decide.Ready || !c.Known("s-000003ff") {
+	if w, ok := c.Worker("s-00000000"); ok && w.State == decide.Ready || !c.HasWorker("s-000003ff") {
 		t.Error("the change to all entries was not applied")
 	}
 }
@@ -241,7 +241,7 @@
 		t.Fatal(err)
 	}
 	before, cancelOld := context.WithCancel(t.Context())
-	if err := d.apply(before, old); err != nil || !c.Known("old") {
+	if err := d.apply(before, old); err != nil || !c.HasWorker("old") {
 		t.Fatalf("the old address's list was not applied: %v", err)
 	}
 	m := newScriptedDiscovery(t, respondAndHold(listJSON(10, true, "a")), respondAndHold(listJSON(11, false, "b")+listJSON(12, false, "c=draining")))
@@ -257,7 +257,7 @@
 	if err := d.apply(before, old); err == nil {
 		t.Error("the old address's list was applied after the move")
 	}
-	if c.Known("old") || !c.Known("a") || !c.Known("c") {
+	if c.HasWorker("old") || !c.HasWorker("a") || !c.HasWorker("c") {
 		t.Error("the new address's list is not the current one")
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -26,10 +26,10 @@
 
 // Router is the part of the core that operator calls act on.
 type Router interface {
-	// Known reports whether the list of workers contains id.
-	Known(id string) bool
-	// SetBanned replaces the set of workers that are in maintenance.
-	SetBanned(ids []string)
+	// HasWorker reports whether the worker list contains id.
+	HasWorker(id string) bool
+	// SetInMaintenance replaces the set of workers that are in maintenance.
+	SetInMaintenance(ids []string)
 }
 
 // Controller carries out operators' calls and follows the state that processes of one router share. It is an http.Handler.
@@ -153,7 +153,7 @@
 	c.state = st
 	if !slices.Equal(old.Maintenance, st.Maintenance) {
 		c.Log.Info("maintenance", "out", st.Maintenance)
-		c.Router.SetBanned(st.Maintenance)
+		c.Router.SetInMaintenance(st.Maintenance)
 	}
 	if old.Standby != st.Standby {
 		c.Log.Info("standby", "on", st.Standby)
@@ -208,7 +208,7 @@
 		return http.StatusBadRequest
 	}
 	id := ids[0]
-	if !c.Router.Known(id) && !c.inMaintenance(id) {
+	if !c.Router.HasWorker(id) && !c.inMaintenance(id) {
 		return http.StatusNotFound
 	}
 	c.update(func(st *State) {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -14,12 +14,12 @@
 
 // fakeRouter is a Router with a fixed list of workers.
 type fakeRouter struct {
-	workers []string
-	banned  []string
+	workers       []string
+	inMaintenance []string
 }
 
-func (f *fakeRouter) Known(id string) bool   { return slices.Contains(f.workers, id) }
-func (f *fakeRouter) SetBanned(ids []string) { f.banned = slices.Clone(ids) }
+func (f *fakeRouter) HasWorker(id string) bool      { return slices.Contains(f.workers, id) }
+func (f *fakeRouter) SetInMaintenance(ids []string) { f.inMaintenance = slices.Clone(ids) }
 
 func openShared(t *testing.T, dir string) *SharedState {
 	t.Helper()
@@ -66,16 +66,16 @@
 		t.Errorf("successor %q %v, want %q", socket, newer, next.SocketPath())
 	}
 	next.refresh()
-	if !slices.Equal(nextRouter.banned, []string{"w1"}) {
-		t.Errorf("the next process has in maintenance %v", nextRouter.banned)
+	if !slices.Equal(nextRouter.inMaintenance, []string{"w1"}) {
+		t.Errorf("the next process has in maintenance %v", nextRouter.inMaintenance)
 	}
 	// A worker may leave maintenance after it has been removed from the list.
-	if got := call(next, http.MethodPost, "/maintenance/exit?who=w1"); got != 200 || len(nextRouter.banned) != 0 {
-		t.Errorf("maintenance exit: %d, still in maintenance %v", got, nextRouter.banned)
+	if got := call(next, http.MethodPost, "/maintenance/exit?who=w1"); got != 200 || len(nextRouter.inMaintenance) != 0 {
+		t.Errorf("maintenance exit: %d, still in maintenance %v", got, nextRouter.inMaintenance)
 	}
 	old.refresh()
-	if len(oldRouter.banned) != 0 {
-		t.Errorf("the old process still has in maintenance %v", oldRouter.banned)
+	if len(oldRouter.inMaintenance) != 0 {
+		t.Errorf("the old process still has in maintenance %v", oldRouter.inMaintenance)
 	}
 	b.processLock.Close() // the next process dies: the old one must not hand its address over to it
 	if _, newer := old.Successor(); newer {
@@ -95,8 +95,8 @@
 	d := newController(s, f)
 	d.Start()
 	os.RemoveAll(dir)
-	if got := call(d, http.MethodPost, "/maintenance/enter?who=w1"); got != 200 || !slices.Equal(f.banned, []string{"w1"}) {
-		t.Errorf("%d, out %v", got, f.banned)
+	if got := call(d, http.MethodPost, "/maintenance/enter?who=w1"); got != 200 || !slices.Equal(f.inMaintenance, []string{"w1"}) {
+		t.Errorf("%d, out %v", got, f.inMaintenance)
 	}
 	d.refresh()
 	if unshared, err := Open("", "x"); err != nil || !unshared.Alone() {
@@ -121,8 +121,8 @@
 				t.Errorf("%v: %s: %d", fault, path, got)
 			}
 		}
-		if d.refresh(); !slices.Equal(f.banned, []string{"w2"}) {
-			t.Errorf("%v: in maintenance %v, the change was undone", fault, f.banned)
+		if d.refresh(); !slices.Equal(f.inMaintenance, []string{"w2"}) {
+			t.Errorf("%v: in maintenance %v, the change was undone", fault, f.inMaintenance)
 		}
 		s.writeFile = writeDurably
 		d.refresh()
@@ -144,8 +144,8 @@
 		if err := os.WriteFile(s.path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if d.refresh(); !slices.Equal(f.banned, []string{"w1"}) {
-			t.Errorf("%q: out %v", text, f.banned)
+		if d.refresh(); !slices.Equal(f.inMaintenance, []string{"w1"}) {
+			t.Errorf("%q: out %v", text, f.inMaintenance)
 		}
 		if st, err := s.Load(); err != nil || !slices.Equal(st.Maintenance, []string{"w1"}) || st.Started != 1 {
 			t.Errorf("%q: the file has %+v, %v", text, st, err)
@@ -183,8 +183,8 @@
 	if err := lockWithTimeout(other, lockTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if got := call(d, http.MethodPost, "/maintenance/enter?who=w1"); got != 200 || len(f.banned) != 1 {
-		t.Errorf("%d, out %v", got, f.banned)
+	if got := call(d, http.MethodPost, "/maintenance/enter?who=w1"); got != 200 || len(f.inMaintenance) != 1 {
+		t.Errorf("%d, out %v", got, f.inMaintenance)
 	}
 	other.Close()
 	if d.refresh(); len(d.unsaved) != 0 {
--- a/internal/reports/reports.go
+++ b/internal/reports/reports.go
@@ -81,7 +81,7 @@
 // no longer listed and ends their streams.
 func (l *Listener) OnAvailabilityChange(ids []string) {
 	for _, id := range ids {
-		if l.core.Known(id) {
+		if l.core.HasWorker(id) {
 			continue
 		}
 		l.mu.Lock()
@@ -93,9 +93,9 @@
 	}
 }
 
-// Kept implements core.CacheReports: it returns the cached prompt tokens of each worker whose cache is completely known or
+// CachedTokens implements core.CacheReports: it returns the cached prompt tokens of each worker whose cache is completely known or
 // that is known to have cached some of the prompt, or nil if there is none.
-func (l *Listener) Kept(prompt []byte) map[string]int {
+func (l *Listener) CachedTokens(prompt []byte) map[string]int {
 	hashes := make(map[int][]uint64)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,8 +118,8 @@
 	return out
 }
 
-// Found implements core.CacheReports: it records how a prediction by Kept compares with what the worker found.
-func (l *Listener) Found(_ string, predicted, actual int) {
+// RecordPrediction implements core.CacheReports: it records how a prediction by CachedTokens compares with what the worker found.
+func (l *Listener) RecordPrediction(_ string, predicted, actual int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index.RecordPrediction(predicted, actual)
--- a/internal/reports/reports_test.go
+++ b/internal/reports/reports_test.go
@@ -152,7 +152,7 @@
 	crashed, other := instances[0], instances[1]
 	cached := func(inst *enginehost.Instance) (longest int, known bool) {
 		for _, s := range shared {
-			n, ok := b.listener.Kept([]byte(s))[inst.ID]
+			n, ok := b.listener.CachedTokens([]byte(s))[inst.ID]
 			longest, known = max(longest, n), known || ok
 		}
 		return longest, known
