--- a/internal/decisions/coordinator.go
+++ b/internal/decisions/coordinator.go
@@ -121,6 +121,7 @@
 // Refused is the final answer to a request that was refused and has not run.
 type Refused struct{ RetryAfter time.Duration }
 
+// Error returns the same text for every refusal, without the retry delay.
 func (r *Refused) Error() string { return "refused, nothing has run" }
 
 // NewCoordinator returns a Coordinator. It must be called before the core starts to report changes of workers.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -37,6 +37,7 @@
 
 var eventNames = [...]string{"?", "prefill done", "first token", "token", "done", "rejected", "dropped", "stopped", "lost", "preempted"}
 
+// String returns the name of the kind, the name of the last kind for a number above it, and "?" for 0.
 func (h EventKind) String() string { return eventNames[min(int(h), len(eventNames)-1)] }
 
 // final reports whether no more events follow for the request.
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -28,6 +28,7 @@
 
 var stateNames = [...]string{"none", "offered", "taken up", "revoked", "reported", "expired"}
 
+// String returns the name of the state: "none" for 0, the name of the last state for a number above it.
 func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
 // Fate is the result of a grant as reported by its caller.
@@ -68,6 +69,7 @@
 	RetryAfter time.Duration
 }
 
+// Error returns the limit that was reached and when to come back.
 func (b *BusyError) Error() string { return fmt.Sprintf("%v, come back after %v", b.Err, b.RetryAfter) }
 
 // Unwrap returns the limit that was reached, one of the Err values of this package.
--- a/internal/grant/rules/rules.go
+++ b/internal/grant/rules/rules.go
@@ -40,6 +40,7 @@
 	NonIdempotent bool // for Effect: the request must not run twice
 }
 
+// String returns the event as a line of a log: its time in seconds, its kind and its other fields by name.
 func (e Event) String() string {
 	return fmt.Sprintf("%9.3f %-8s request=%s worker=%s call=%d once=%v", e.At.Seconds(), kindNames[e.Kind], e.Request, e.Worker, e.Call, e.NonIdempotent)
 }
@@ -56,6 +57,7 @@
 	Event
 }
 
+// Error returns the rule and the event that breaks it.
 func (b Violation) Error() string { return b.Rule + ": " + b.Event.String() }
 
 // Check returns the violations in a log, at most one per rule, request and worker. end is when the run ended; what is still
--- a/internal/scale/hollow/hollow.go
+++ b/internal/scale/hollow/hollow.go
@@ -37,6 +37,7 @@
 
 var kindNames = [kindCount]string{"probe", "release", "read", "write", "other"}
 
+// String returns the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
 // Count counts messages, each including its response, and their bytes above TCP.
--- a/internal/scale/linefit/linefit.go
+++ b/internal/scale/linefit/linefit.go
@@ -37,6 +37,8 @@
 	return line, nil
 }
 
+// String returns the line as intercept plus slope per unit of x, with the residual and the number of points if there are
+// enough of them for a residual to mean something.
 func (l Line) String() string {
 	if l.Points < minPointsForResidual {
 		return fmt.Sprintf("%.4g + %.4g per unit (from two points)", l.Intercept, l.Slope)
--- a/internal/scale/soak/schedule.go
+++ b/internal/scale/soak/schedule.go
@@ -44,6 +44,7 @@
 	Amount   int // by kind: bytes that still pass, milliseconds of delay, seconds of a clock step, number of signals or connections
 }
 
+// String returns the fault on one line: when it begins in seconds, its kind, target, duration and amount.
 func (f Fault) String() string {
 	return fmt.Sprintf("%6.3f %s %d for %v amount %d", f.At.Seconds(), f.Kind, f.Target, f.Duration, f.Amount)
 }
