--- a/internal/core/activerequest.go
+++ b/internal/core/activerequest.go
@@ -19,7 +19,7 @@
 
 // Limits on the course of a request.
 const (
-	overdueGrace         = 15 * time.Millisecond     // past its deadline a request that the module has not answered is failed
+	overdueGrace         = 15 * time.Millisecond     // past its deadline, until a request without an answer is failed
 	defaultCancelGrace   = 250 * time.Millisecond    // for cancelled attempts to end, where no connect timeout is set
 	queueCapacity        = 64                        // of a request's queues of commands and of attempt events
 	heldCheckMinInterval = 50 * time.Millisecond     // between checks of a state that is held past its limit
@@ -42,9 +42,9 @@
 	// The fields below are used by run's goroutine only, except for the atomic ones and for verdict, retryAfter and reason,
 	// which Core.mu guards: the module may settle the request from a timer while its first token arrives, and only one of
 	// the two gives the final answer.
-	verdict            Verdict
+	verdict            Verdict // Pending until the final answer is fixed
 	retryAfter         time.Duration
-	answered           bool
+	answered           bool // the final answer was delivered
 	attempts           []*attempt
 	inFlight           int          // attempts without a result
 	streaming          bool         // the answer's stream has not ended
@@ -58,11 +58,11 @@
 	unknownSince       time.Time    // end of the latest read whose outcome is unknown
 	heldSince          time.Time    // start of the current holding time of the waiting state
 	releasedAtLimit    bool         // the waiting state was released since heldSince, at the pin limit
-	answerFixed        atomic.Bool  // the final answer was delivered: no further attempt may be sent
+	answerFixed        atomic.Bool  // answered, for the goroutines of attempts: nothing more may be sent
 	reason             string       // the module's latest reason for a choice
 }
 
-// attempt is an attempt with what the core notes of it.
+// attempt is an attempt with the core's record of it.
 type attempt struct {
 	Attempt
 	began    time.Time
@@ -80,7 +80,7 @@
 	Result
 }
 
-// command is what the module wants done for a request.
+// command is an instruction of the module for a request.
 type command struct {
 	kind          commandKind
 	worker        string        // send
@@ -94,7 +94,7 @@
 	send    commandKind = iota // start an attempt
 	cancel                     // cancel an attempt
 	settle                     // deliver the final answer, which verdict holds
-	release                    // release the state that waits for a write that has not shown that it arrived
+	release                    // release a state although a write for it is in flight, which may not have arrived
 )
 
 // The causes with which the contexts of attempts end.
@@ -112,7 +112,7 @@
 	c := req.core
 
 	c.dispatch(func(now time.Duration, r *decide.Router) {
-		req.settings = c.Settings() // those from which the module takes the request's class
+		req.settings = c.Settings() // the same as those by which the module treats the request
 		r.Request(now, req.Request)
 	})
 	overdueTimer := time.NewTimer(req.TimeLeft + overdueGrace)
@@ -204,7 +204,8 @@
 	req.core.mu.Unlock()
 }
 
-// settleAs fixes and delivers the final answer, unless one is fixed already. It reports whether it did.
+// settleAs fixes v as the verdict of the final answer and delivers it, unless one is fixed already. It reports whether it
+// did.
 func (req *activeRequest) settleAs(v Verdict) bool {
 	req.core.mu.Lock()
 	won := req.verdict == Pending
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -3,9 +3,14 @@
 // keeps the list of workers and drives the decision module, package decide: it serializes the module's events, keeps its
 // clock and its timers, and numbers the requests.
 //
-// Protocols such as HTTP and gRPC belong to the fronts. A front hands over each request together with a Transport that
+// A request has two stages. In the read, a worker that is a reader processes the prompt and holds the resulting state (the
+// KV cache). In the write, a worker that is a writer fetches that state, which frees it at the reader, and streams the
+// answer. Some workers do both. A state must be fetched or released within the pin limit (decide.Settings.PinLimit), as it
+// occupies the reader's memory. What package decide calls a server is a worker here.
+//
+// Protocols such as HTTP and gRPC belong to the fronts. A front calls Core.Serve with each request and a Transport that
 // carries out its attempts. Which worker an attempt goes to, and whether a request is tried again, is decided by the
-// module alone.
+// module alone: it answers events with commands, which the executor passes to the goroutine of the request (activeRequest).
 package core
 
 import (
@@ -27,9 +32,9 @@
 type Worker struct {
 	decide.Server
 	// UnixStart is when the worker's process started, as Unix time by the worker's own clock; 0: long ago. The core
-	// derives Since from it, on its own clock.
+	// derives StartedAt from it, on its own clock.
 	UnixStart time.Duration
-	Addr      string
+	Addr      string // host:port
 	Wire      string // wire protocol that the worker speaks, for transports; the core does not look at it
 }
 
@@ -37,7 +42,7 @@
 type Attempt struct {
 	Number int // position among the attempts of the request, from 0
 	To     Worker
-	Read   bool // To is a reader: this is the first of the two stages
+	Read   bool // the attempt is a read, the first of the two stages; otherwise it is a write
 	// Deadline is when the router stops waiting for the attempt. A transport tells the worker the time that remains when
 	// it writes the request, not earlier, since connecting may have taken long.
 	Deadline time.Time
@@ -93,7 +98,7 @@
 	ClientGone                // the client left first and gets no answer
 )
 
-// Answer is the one final answer to a request.
+// Answer is the one final answer to a request. Its fields other than Verdict are set only with the verdict that they name.
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter time.Duration // Refused: when the client may try again, 0 = no advice
@@ -103,7 +108,7 @@
 	StreamEnded func(decide.Status)
 }
 
-// Core is a router without its protocols. Its methods may be called from several goroutines.
+// Core is a router without its protocols. Create it with New. Its methods may be called from several goroutines.
 type Core struct {
 	settings atomic.Pointer[decide.Settings] // stored with mu held, never modified once stored
 	prober   Prober
@@ -117,7 +122,7 @@
 	requests      map[decide.RequestID]*activeRequest
 	claimedIDs    map[string]bool      // ids that clients gave to their open requests
 	lastContact   map[string]time.Time // when listed workers last answered; no entry where the latest call went unanswered
-	inMaintenance map[string]bool      // workers that operators have taken out of service, listed or not
+	inMaintenance map[string]bool      // workers that operators have put into maintenance, listed or not
 	lastID        decide.RequestID
 	running       inflight.Counter // requests, and releases that outlive their request
 	stopping      bool             // Shutdown was called: no new request is started
@@ -143,6 +148,7 @@
 }
 
 // CachedTokens returns, by worker id, how many tokens of a prompt workers report as cached, nil where there are no reports.
+// prompt is called only if there may be reports.
 func (c *Core) CachedTokens(prompt func() []byte) map[string]int {
 	if c.CacheReports == nil {
 		return nil
@@ -178,7 +184,7 @@
 // Settings returns the settings in force. They must not be modified.
 func (c *Core) Settings() *decide.Settings { return c.settings.Load() }
 
-// errModulePanicked is returned by Apply if the module panicked while it took the new settings.
+// errModulePanicked is returned by Apply if the module panicked while it applied the new settings.
 var errModulePanicked = errors.New("the decision module failed on them")
 
 // Apply puts new settings in force for the requests that come from now on; open requests keep their class. If the settings
@@ -265,13 +271,13 @@
 	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Shutdown(now) })
 }
 
-// Estimates returns what the module has learned so far.
+// Estimates returns what the module has learned so far about workers and load, for Restore in the next process.
 func (c *Core) Estimates() (learned decide.Estimates) {
 	c.dispatch(func(now time.Duration, r *decide.Router) { learned = r.Estimates(now) })
 	return learned
 }
 
-// Restore passes what the previous process had learned to the module.
+// Restore passes to the module what the previous process had learned. It returns an error if the module can't use it.
 func (c *Core) Restore(learned decide.Estimates) (err error) {
 	c.dispatch(func(now time.Duration, r *decide.Router) { err = r.Restore(now, learned) })
 	return err
--- a/internal/core/executor.go
+++ b/internal/core/executor.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// settle fixes the final answer of a request, unless it is fixed already, and has the request deliver it.
+// settle fixes the final answer of a request, unless it is fixed already, and has the request's goroutine deliver it.
 func (x *executor) settle(id decide.RequestID, v Verdict, retryAfter time.Duration) {
 	if req := x.requests[id]; req != nil && req.verdict == Pending {
 		req.verdict, req.retryAfter = v, retryAfter
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -13,8 +13,8 @@
 // pinLimitGrace is how far past the pin limit, for delays of the network, a state may stay held before that is a violation.
 const pinLimitGrace = 300 * time.Millisecond
 
-// sendBlockedBy is the sending guard's rule. It returns why the first byte of an attempt must not be sent any more, "" if
-// it may be.
+// sendBlockedBy is the rule of the sending guard. It returns why the first byte of an attempt must not be sent, or "" if it
+// may be.
 func (req *activeRequest) sendBlockedBy(a *attempt) string {
 	switch {
 	case req.client.Err() != nil:
--- a/internal/core/workerlist.go
+++ b/internal/core/workerlist.go
@@ -1,6 +1,6 @@
 package core
 
-// This file keeps the list of workers and which of them operators have taken out of service, and reports changes to the
+// This file keeps the list of workers and which of them operators have put into maintenance, and reports changes to the
 // module and to Core.OnAvailabilityChange.
 
 import (
@@ -45,7 +45,8 @@
 	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Servers(now, list) })
 }
 
-// ListConfirmed notes that the worker list is complete as of now: discovery has reported what changed, or that nothing did.
+// ListConfirmed records that the worker list is complete as of now: discovery has reported what changed, or that nothing
+// did.
 func (c *Core) ListConfirmed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,8 +93,8 @@
 	}
 }
 
-// moduleView returns a listed worker as the module sees it: one that is out for maintenance is draining, whatever its
-// listed state.
+// moduleView returns a listed worker as it is reported to the module: one in maintenance counts as draining even if it is
+// listed as ready.
 func (c *Core) moduleView(w Worker) decide.Server {
 	if c.inMaintenance[w.ID] && w.State == decide.Ready {
 		w.State = decide.Draining
