--- a/internal/httpfront/cancel.go
+++ b/internal/httpfront/cancel.go
@@ -24,6 +24,8 @@
 	stopWatching func() bool // stops watching attemptCtx
 }
 
+// watchAttempt starts to watch attemptCtx. sent is whether net/http has received the request's last byte, and after is
+// time.After or its replacement in tests. The caller must call finish or, if the answer is a stream, streamBegun.
 func watchAttempt(attemptCtx context.Context, cancelGrace time.Duration, sent *atomic.Bool, after func(time.Duration) <-chan time.Time) *attemptWatch {
 	w := &attemptWatch{attemptCtx: attemptCtx, sent: sent, cancelGrace: cancelGrace, after: after}
 	w.requestCtx, w.cancel = context.WithCancelCause(context.WithoutCancel(attemptCtx))
--- a/internal/httpfront/clients.go
+++ b/internal/httpfront/clients.go
@@ -22,7 +22,7 @@
 	minIdleTime             = 50 * time.Millisecond   // before a connection without a request may be evicted
 	minBodyTime             = 300 * time.Millisecond  // from a head until a connection whose body is still incomplete may be evicted
 	maxConcurrentRejections = 16                      // further connections wait until one of these is closed
-	rejectionTimeout        = 200 * time.Millisecond  // reads what the client sends: a reset could discard the answer
+	rejectionTimeout        = 200 * time.Millisecond  // for reading what a rejected client sends, see rejectConn
 )
 
 // clientListener is a listener that holds at most maxConns connections. When the limit is reached, a new connection
@@ -295,7 +295,8 @@
 	return text + "\r\n"
 }
 
-// rejectConn answers a new connection with 503 and closes it. What its client sends is discarded and reaches no worker.
+// rejectConn answers a new connection with 503 and closes it. What its client sends is read and discarded, since a close with
+// unread input would send a reset, which could discard the answer.
 func rejectConn(c net.Conn, retryAfter string) {
 	defer c.Close()
 	_ = c.SetDeadline(time.Now().Add(rejectionTimeout))
--- a/internal/httpfront/connclose.go
+++ b/internal/httpfront/connclose.go
@@ -27,7 +27,8 @@
 	closed         bool
 }
 
-// pause stops reading without closing, because another process reads the socket from now on.
+// pause stops reading without closing. It is called before the socket is handed over to another process, which reads it from
+// then on.
 func (r *socketState) pause() {
 	r.mu.Lock()
 	r.paused = true
--- a/internal/httpfront/discovery.go
+++ b/internal/httpfront/discovery.go
@@ -37,30 +37,30 @@
 	minBackoff               = 200 * time.Millisecond  // a watch that has ended is restarted after up to this, doubled ...
 	maxBackoff               = 2 * time.Second         // ... for each failure since the last one that lasted, up to this
 	overloadBackoffPerRouter = 150 * time.Millisecond  // under overload all routers together make one call in this time, doubled likewise
-	watchSilenceTimeout      = 3 * time.Second         // discovery sends an empty line every 2 s,
-	firstLineTimeout         = 2500 * time.Millisecond // also as the first one
-	listTimeout              = time.Second             // the full list is sent at once
+	watchSilenceTimeout      = 3 * time.Second         // between two lines of a watch; discovery sends an empty one every 2 s
+	firstLineTimeout         = 2500 * time.Millisecond // from the call until the first line, which may be an empty one
+	listTimeout              = time.Second             // for a list that has begun; the full list is sent at once
 	defaultMaxListBytes      = 4 << 20
 	discoveryDialTimeout     = time.Second
 )
 
 // List is discovery's representation of the worker list, or of a change to it.
 type List struct {
-	Seq   int64   `json:"seq"`
-	Whole bool    `json:"whole"`
+	Seq   int64   `json:"seq"`   // version of the worker list
+	Whole bool    `json:"whole"` // Hosts is the full list, not a change
 	Hosts []Entry `json:"hosts"`
 }
 
 // Entry is a worker in a List.
 type Entry struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs float64 `json:"born_ms"`
+	Host   string  `json:"host"`    // id
+	Dial   string  `json:"dial"`    // host:port
+	Site   string  `json:"site"`    // name of its zone
+	Class  string  `json:"class"`   // name of its kind
+	Block  int     `json:"block"`   // number of its cell
+	Health string  `json:"health"`  // a key of healthStates
+	Share  float64 `json:"share"`   // weight
+	BornMs float64 `json:"born_ms"` // Unix time of its start in milliseconds, 0: long ago
 }
 
 // Names holds the names that a deployment's lists use for kinds and zones, in the order of their numbers, and converts
@@ -110,7 +110,8 @@
 	return workers, rejected
 }
 
-// Discovery follows one discovery address at a time and keeps the core's worker list up to date.
+// Discovery follows one discovery address at a time and keeps the core's worker list up to date. Create it with
+// NewDiscovery. Its methods are safe for concurrent use.
 type Discovery struct {
 	Names        Names
 	Core         *core.Core
@@ -227,7 +228,8 @@
 	return wait
 }
 
-// watchOnce makes one watch call and reads it to its end.
+// watchOnce makes one watch call, after one for the full list if after is unknownVersion, and applies what arrives until it
+// ends. It updates after, the version of the core's list, and lastHeard.
 func (d *Discovery) watchOnce(ctx context.Context, client *http.Client, addr string, after *int64, lastHeard *time.Time) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -1,9 +1,14 @@
 // Package httpfront implements the platform's protocol: HTTP/1.1 with clients and workers, and the watch of the worker
 // list that discovery serves.
 //
-// The client side, a Front, parses a request's head into the values that package core decides on, and relays a worker's
-// stream unchanged. Everything that is decided about a request, such as where it is sent, whether it is sent again and
-// what its final answer is, is left to the core.
+// A Front serves clients: it parses a request's head into the values that decisions depend on, passes the request to
+// package core, and relays a worker's stream unchanged. Workers is the client for workers; an Exchange carries the attempts
+// of one request through it. Discovery keeps the core's worker list up to date. Everything that is decided about a request,
+// such as where it is sent, whether it is sent again and what its final answer is, is left to the core.
+//
+// On both sides a connection type, clientConn and workerConn, scans the bytes before net/http parses them: ambiguous framing
+// is rejected, and a client's request that has been read, even in part, is answered before its connection closes. When a
+// new process replaces this one, running streams can be handed over to it together with their sockets.
 package httpfront
 
 import (
@@ -62,11 +67,11 @@
 	mu            sync.Mutex
 	clients       *clientListener // nil before Serve
 	receiver      *StreamReceiver // nil if no streams are taken over from another process
-	successorPath successor
-	connLimit     int  // set by Limit, 0 if it has not been called
-	standby       bool // an operator wants the router to have no clients
-	closing       bool // Shutdown has begun
-	successor     bool // during Shutdown: another process serves at this address
+	successorPath successor       // set by Shutdown
+	connLimit     int             // set by Limit, 0 if it has not been called
+	standby       bool            // an operator wants the router to have no clients
+	closing       bool            // Shutdown has begun
+	successor     bool            // Shutdown was called while another process serves at this address
 }
 
 // New returns a Front that passes requests to c. classNames are the names of the classes in the order of their numbers.
@@ -117,7 +122,8 @@
 	return err
 }
 
-// Limit sets how many client connections are held at once.
+// Limit sets how many client connections are held at once. If more are open, some are closed when
+// the next one arrives.
 func (f *Front) Limit(maxConns int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/httpfront/guard_test.go
+++ b/internal/httpfront/guard_test.go
@@ -689,12 +689,12 @@
 // client requests the rest, and never for a pause no longer than those before.
 func TestStallTimeoutFollowsStreamGaps(t *testing.T) {
 	for _, c := range []struct {
-		resume    bool
-		gap, want time.Duration
+		resume           bool
+		longestGap, want time.Duration
 	}{{true, 0, StreamStallTimeout}, {true, 30 * time.Millisecond, minStallTimeout}, {true, 200 * time.Millisecond, 2 * time.Second},
 		{true, time.Second, StreamStallTimeout}, {false, 30 * time.Millisecond, StreamStallTimeout}} {
-		if s := (&stream{resume: c.resume, gap: c.gap}); s.stallTimeout() != c.want {
-			t.Errorf("resume %v, gap %v: waits %v, want %v", c.resume, c.gap, s.stallTimeout(), c.want)
+		if s := (&stream{resume: c.resume, longestGap: c.longestGap}); s.stallTimeout() != c.want {
+			t.Errorf("resume %v, gap %v: waits %v, want %v", c.resume, c.longestGap, s.stallTimeout(), c.want)
 		}
 	}
 	// Gaps are measured between reads that return data.
@@ -715,7 +715,7 @@
 	got := &stream{res: res, resume: true, lastRead: time.Now().Add(-time.Second), stallTimer: time.AfterFunc(time.Hour, func() { res.Body.Close() })}
 	defer got.Close()
 	got.Read(make([]byte, 64))
-	if got.gap < time.Second {
-		t.Errorf("a gap of a second was measured as %v", got.gap)
+	if got.longestGap < time.Second {
+		t.Errorf("a gap of a second was measured as %v", got.longestGap)
 	}
 }
--- a/internal/httpfront/handover.go
+++ b/internal/httpfront/handover.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	handOverTimeout  = 300 * time.Millisecond // for the other process to accept a stream
+	handOverTimeout  = 300 * time.Millisecond // to connect to the other process, and for the exchange that follows
 	maxPositionBytes = 4 << 10                // of an encoded streamPosition
 	handOverSockets  = 2                      // the client's and the worker's
 )
@@ -99,7 +99,8 @@
 	return fd, dupErr
 }
 
-// StreamReceiver receives streams from an older process and relays the rest of them.
+// StreamReceiver receives streams from an older process and relays the rest of them to their clients. It is created by
+// Front.ReceiveStreams.
 type StreamReceiver struct {
 	listener   *net.UnixListener
 	log        *slog.Logger
@@ -119,7 +120,7 @@
 func (h *successor) set(path string) { h.mu.Lock(); h.path = path; h.mu.Unlock() }
 func (h *successor) get() string     { h.mu.Lock(); defer h.mu.Unlock(); return h.path }
 
-// ReceiveStreams listens at path for the streams of an older process until Shutdown is called.
+// ReceiveStreams listens on a Unix socket at path for the streams of an older process until Shutdown is called.
 func (f *Front) ReceiveStreams(path string) error {
 	_ = os.Remove(path)
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
--- a/internal/httpfront/relay.go
+++ b/internal/httpfront/relay.go
@@ -1,6 +1,6 @@
 package httpfront
 
-// Streams pass from worker to client unchanged and without delay.
+// The relay of a worker's stream to its client, unchanged and without delay.
 
 import (
 	"context"
--- a/internal/httpfront/workerconn.go
+++ b/internal/httpfront/workerconn.go
@@ -59,7 +59,7 @@
 	registry          *connRegistry               // holds the connection until it is closed
 
 	watchMu sync.Mutex
-	watch   *attemptWatch // of the attempt in progress, nil once its answer has ended
+	watch   *attemptWatch // of the attempt in progress, nil once its answer has ended; see cancel.go
 
 	// Used by Read only, which the transport calls from one goroutine.
 	buf                []byte // a head not yet complete, or bytes not yet returned
@@ -72,13 +72,14 @@
 	err                error
 }
 
+// answerState is the part of an answer that is read next.
 type answerState int
 
 const (
-	inHead answerState = iota
-	inSizedBody
-	inChunkedBody
-	inBodyToClose
+	inHead        answerState = iota
+	inSizedBody               // with a Content-Length
+	inChunkedBody             // the last chunk ends it
+	inBodyToClose             // the close of the connection ends it
 )
 
 // Close implements net.Conn.
@@ -217,6 +218,7 @@
 	return 0, nil
 }
 
+// fail makes all further reads return err and keeps the connection from being used again.
 func (c *workerConn) fail(err error) {
 	c.unusable.Store(true)
 	c.err = err
@@ -339,18 +341,19 @@
 	onData    func(p []byte) // receives the data, may be nil
 }
 
+// chunkState is the part of a chunked body that the next byte belongs to. Its numbers are part of streamPosition.
 type chunkState int
 
 const (
-	chunkSize chunkState = iota
-	chunkExt
-	chunkSizeLF
+	chunkSize   chunkState = iota
+	chunkExt               // a chunk extension, up to the CR
+	chunkSizeLF            // the LF after the size and its extension
 	chunkData
-	chunkCR
-	chunkLF
-	trailer
-	trailerLine
-	trailerLF
+	chunkCR     // the CR after the data ...
+	chunkLF     // ... and the LF
+	trailer     // the start of a trailer line, or of the empty line that ends the body
+	trailerLine // the rest of a trailer line
+	trailerLF   // the LF that ends the body
 )
 
 // feed processes the next bytes. It returns how many of them belong to the body and whether the body has ended.
--- a/internal/httpfront/workers.go
+++ b/internal/httpfront/workers.go
@@ -98,7 +98,7 @@
 	Workers     *Workers
 	Method, URI string
 	Head        http.Header
-	Body        []byte // sent to workers, nil after DropBody
+	Body        []byte // sent to workers; nil after DropBody, when attempts end as Unsent
 	// ClientGone, if set, reports whether the client has left, possibly before the request's context ends.
 	ClientGone func() bool
 	mu         sync.Mutex
@@ -112,7 +112,7 @@
 	x.mu.Unlock()
 }
 
-// wireTransport sends the request to workers that speak another wire protocol.
+// wireTransport sends the request to workers that speak the wire protocol named wire.
 type wireTransport struct {
 	wire string
 	core.Transport
@@ -122,7 +122,7 @@
 // transport can't resend the request on its own.
 type bodyReader struct {
 	r         *bytes.Reader
-	allowed   func() bool
+	allowed   func() bool // Attempt.MaySend, called before the first byte is read
 	readBegun atomic.Bool // the transport has begun to read the body
 	fullyRead atomic.Bool // the transport has received the last byte
 }
@@ -149,7 +149,7 @@
 
 func (b *bodyReader) Close() error { return nil }
 
-// Try implements core.Transport.
+// Try implements core.Transport. It sends the attempt again on another connection only if nothing of it was written.
 func (x *Exchange) Try(ctx context.Context, a core.Attempt) core.Result {
 	x.mu.Lock()
 	payload, bridged := x.Body, x.bridged
@@ -440,9 +440,9 @@
 	events     eventScanner
 	stallTimer *time.Timer
 
-	resume   bool
-	lastRead time.Time     // when data last arrived
-	gap      time.Duration // the longest time between two arrivals
+	resume     bool          // Workers.Resume
+	lastRead   time.Time     // when data last arrived
+	longestGap time.Duration // the longest time between two arrivals
 }
 
 // Header returns the header of the worker's answer.
@@ -500,7 +500,7 @@
 	s.stallTimer.Stop()
 	if now := time.Now(); n > 0 {
 		if !s.lastRead.IsZero() {
-			s.gap = max(s.gap, now.Sub(s.lastRead))
+			s.longestGap = max(s.longestGap, now.Sub(s.lastRead))
 		}
 		s.lastRead = now
 	}
@@ -517,10 +517,10 @@
 // stallTimeout returns how long the stream may be silent. It is short for resumable streams because a connection to a
 // healthy worker can die silently, and each second until the client requests the rest slows the whole answer down.
 func (s *stream) stallTimeout() time.Duration {
-	if !s.resume || s.gap == 0 {
+	if !s.resume || s.longestGap == 0 {
 		return StreamStallTimeout
 	}
-	return min(max(minStallTimeout, stallGapFactor*s.gap), StreamStallTimeout)
+	return min(max(minStallTimeout, stallGapFactor*s.longestGap), StreamStallTimeout)
 }
 
 // requestHandOver makes Read return errHandedOver before the next byte that has not arrived yet.
