--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -271,7 +271,7 @@
 	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Shutdown(now) })
 }
 
-// Estimates returns what the module has learned so far about workers and load, for Restore in the next process.
+// Estimates returns what the module has learned so far, for Restore in the next process.
 func (c *Core) Estimates() (learned decide.Estimates) {
 	c.dispatch(func(now time.Duration, r *decide.Router) { learned = r.Estimates(now) })
 	return learned
--- a/internal/httpfront/front.go
+++ b/internal/httpfront/front.go
@@ -122,8 +122,8 @@
 	return err
 }
 
-// Limit sets how many client connections are held at once. If more are open, some are closed when
-// the next one arrives.
+// Limit sets how many client connections are held at once. If more are open, inactive ones are closed when the next
+// connection arrives.
 func (f *Front) Limit(maxConns int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
