--- a/internal/core/workerlist.go
+++ b/internal/core/workerlist.go
@@ -1,6 +1,6 @@
 package core
 
-// This file keeps the list of workers and which of them operators have taken out of service, and reports changes to the
+// This file keeps the list of workers and which of them operators have put into maintenance, and reports changes to the
 // module and to Core.OnAvailabilityChange.
 
 import (
@@ -45,7 +45,8 @@
 	c.dispatchLocked(func(now time.Duration, r *decide.Router) { r.Servers(now, list) })
 }
 
-// ListConfirmed notes that the worker list is complete as of now: discovery has reported what changed, or that nothing did.
+// ListConfirmed records that the worker list is complete as of now: discovery has reported what changed, or that nothing
+// did.
 func (c *Core) ListConfirmed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,29 +93,29 @@
 	}
 }
 
-// moduleView returns a listed worker as the module sees it: one that is out for maintenance is draining, whatever its
-// listed state.
+// moduleView returns a listed worker as it is reported to the module: one in maintenance counts as draining even if it is
+// listed as ready.
 func (c *Core) moduleView(w Worker) decide.Server {
-	if c.banned[w.ID] && w.State == decide.Ready {
+	if c.inMaintenance[w.ID] && w.State == decide.Ready {
 		w.State = decide.Draining
 	}
 	return w.Server
 }
 
-// SetBanned replaces the set of workers that are out for maintenance. A worker may be in it without being listed, and is out
-// once it is listed.
-func (c *Core) SetBanned(ids []string) {
+// SetInMaintenance replaces the set of workers that are in maintenance, which get no new work. A worker may be in the set
+// without being listed; it gets no new work once it is listed either.
+func (c *Core) SetInMaintenance(ids []string) {
 	defer c.notifyAcceptingChange(c.accepting())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	old := c.banned
-	c.banned = make(map[string]bool)
+	old := c.inMaintenance
+	c.inMaintenance = make(map[string]bool)
 	for _, id := range ids {
-		c.banned[id] = true
+		c.inMaintenance[id] = true
 	}
 	var changed decide.ServerList
 	for id, w := range c.workers {
-		if old[id] != c.banned[id] {
+		if old[id] != c.inMaintenance[id] {
 			changed.Servers = append(changed.Servers, c.moduleView(w))
 		}
 	}
@@ -123,8 +124,8 @@
 	}
 }
 
-// Known reports whether a worker is listed.
-func (c *Core) Known(id string) bool {
+// HasWorker reports whether a worker is listed.
+func (c *Core) HasWorker(id string) bool {
 	_, ok := c.Worker(id)
 	return ok
 }
